--- a/core/fleet.h
+++ b/core/fleet.h
@@ -9,9 +9,9 @@
 #ifndef FLEET_H
 #define FLEET_H
 
-#include "cell.h"
+#include "fsched.h"
 #include "follow.h"
-#include "lead.h"
+#include "leader.h"
 #include "mesh.h"
 
 enum
@@ -256,7 +256,7 @@
 /** fleet_metrics() - Counters in Prometheus text; the caller frees. */
 char *fleet_metrics (struct fleet *f);
 
-/* gate.c, used by fleet.c */
+/* api.c, used by fleet.c */
 void gate_tick (struct fleet *f);
 bool gate_store (struct fleet *f, uint64_t token, const struct store_rep *rep);
 void gate_mesh (struct fleet *f, const struct mesh_msg *m);
@@ -270,7 +270,7 @@
 /** load_finish() - Begin to schedule once all is read. */
 void load_finish (struct fleet *f);
 
-/* proxy.c, used by fleet.c and gate.c */
+/* proxy.c, used by fleet.c and api.c */
 void proxy_init (struct fleet *f);
 void proxy_fini (struct fleet *f);
 /** proxy_way_lost() - Whether the table does not answer this instance. */
@@ -287,7 +287,7 @@
 void proxy_reply (struct fleet *f, const struct mesh_msg *m);
 void proxy_tick (struct fleet *f);
 
-/* fleet.c, used by gate.c and proxy.c */
+/* fleet.c, used by api.c and proxy.c */
 /** fleet_answered() - A call to the table has ended, whoever made it. */
 void fleet_answered (struct fleet *f, uint64_t token,
                      const struct store_rep *rep);
--- a/core/cell.c
+++ b/core/fsched.c
@@ -1,4 +1,4 @@
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/core/cell.h
+++ b/core/fsched.h
@@ -2,12 +2,12 @@
  * DOC: The scheduler of the fleet's jobs, present only while its instance
  * leads.
  *
- * A start is on record before it is sent, see cell_plan.c.  An executor runs
- * only what a lease covers, refuses lower fencing tokens and remembers each
- * end until it is told that the end is recorded.  So a new leader learns what
- * runs from the executors, and from the record what may be running on those
- * that do not answer; it leaves just these tasks alone until their leases are
- * surely over.
+ * A start is on record before it is sent, see fsched_intent.c.  An executor
+ * runs only what a lease covers, refuses lower fencing tokens and remembers
+ * each end until it is told that the end is recorded.  So a new leader learns
+ * what runs from the executors, and from the record what may be running on
+ * those that do not answer; it leaves just these tasks alone until their
+ * leases are surely over.
  *
  * No input or output: results are handed in with the present time, orders and
  * log lines are left in the queue, records are collected by the journal.
@@ -21,7 +21,7 @@
 
 #include "fconf.h"
 #include "hist.h"
-#include "lead.h"
+#include "leader.h"
 #include "msg.h"
 #include "order.h"
 
@@ -313,7 +313,7 @@
 
 TAILQ_HEAD (plan_entryq, plan_entry);
 
-/** struct plan - starts on record, see cell_plan.c */
+/** struct plan - starts on record, see fsched_intent.c */
 struct plan
 {
   struct plan_entryq slots[PLAN_SLOTS]; /* by the row that they lie in */
--- a/core/cell_advice.c
+++ b/core/fsched_advice.c
@@ -6,7 +6,7 @@
  *
  * Load answered: three queues with 5.6, 50 and 310 ms a question, 55 jobs/s.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/cell_exec.c
+++ b/core/fsched_exec.c
@@ -1,7 +1,7 @@
 /*
  * Executors: their leases, and what they say runs and has ended there.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/core/cell_impl.h
+++ b/core/fsched_impl.h
@@ -2,9 +2,9 @@
 #ifndef CELL_IMPL_H
 #define CELL_IMPL_H
 
-#include "cell.h"
+#include "fsched.h"
 
-/* cell.c */
+/* fsched.c */
 /** cell_zalloc() - Zeroed memory that the caller frees. */
 void *cell_zalloc (size_t n, size_t size);
 /** cell_forget_job() - Drop a job that is recorded and runs nowhere. */
@@ -28,7 +28,7 @@
 /** cell_job_of() - The job of a task, if that makes sense for it. */
 struct job *cell_job_of (const struct cell *c, const struct task_ref *t);
 
-/* cell_names.c */
+/* fsched_intern.c */
 enum
 {
   LABELS_MAX = 63, /* a set is one word, and 0 means no label; labels beyond
@@ -43,7 +43,7 @@
 /** cell_name_exec() - Numbers of what @e has reported. */
 void cell_name_exec (struct cell *c, struct exec *e);
 
-/* cell_plan.c */
+/* fsched_intent.c */
 void plan_init (struct plan *p);
 void plan_fini (struct plan *p);
 /** plan_start() - Put a new start on record, then send it. */
@@ -55,10 +55,10 @@
 /** plan_go() - What may be running on executors that have not answered. */
 void plan_go (struct cell *c);
 
-/* cell_record.c */
+/* fsched_record.c */
 void cell_trim_jobs (struct cell *c);
 
-/* cell_start.c */
+/* fsched_start.c */
 struct start *start_new (struct cell *c, struct job *j, int step, int index,
                          struct exec *e, int64_t no, int state);
 /** start_begun() - A task of the job has been started. */
@@ -74,7 +74,7 @@
                    const struct order_result *res);
 void start_tick (struct cell *c, struct start *r);
 
-/* cell_exec.c */
+/* fsched_exec.c */
 struct exec *exec_find (const struct cell *c, const char *id);
 /** exec_clock() - What its clock shows now, by the last answer. */
 int64_t exec_clock (const struct cell *c, const struct exec *e);
@@ -102,10 +102,10 @@
 /** exec_fits() - How many such tasks it has room for, at most @most. */
 int exec_fits (const struct exec *e, const struct job *j, int step, int most);
 
-/* cell_place.c */
+/* fsched_place.c */
 void place_pass (struct cell *c);
 
-/* cell_advice.c */
+/* fsched_advice.c */
 bool permit_valid (const struct cell *c, const struct jstep *s,
                    const struct exec *e);
 struct permit *permit_of (struct jstep *s, const struct exec *e);
--- a/core/cell_plan.c
+++ b/core/fsched_intent.c
@@ -11,7 +11,7 @@
  * Load answered: a leader lost together with executors, or cut off with a
  * domain of them, while hundreds of jobs wait.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/core/cell_names.c
+++ b/core/fsched_intern.c
@@ -4,7 +4,7 @@
  *
  * Load answered: 900 jobs waiting for 350 executors.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/cell_place.c
+++ b/core/fsched_place.c
@@ -1,7 +1,7 @@
 /*
  * Which job goes first, and on which executors its tasks go.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/cell_record.c
+++ b/core/fsched_record.c
@@ -2,7 +2,7 @@
  * What the scheduler puts on record: progress and final states of jobs, and
  * the roster of executors; and what it drops once a job has ended.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/core/cell_start.c
+++ b/core/fsched_start.c
@@ -3,7 +3,7 @@
  * became of a start whose answer was lost is found out: either a list shows
  * it, or it is stopped by name, which the executor never undoes.
  */
-#include "cell_impl.h"
+#include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/core/lead.c
+++ b/core/leader.c
@@ -1,4 +1,4 @@
-#include "lead.h"
+#include "leader.h"
 
 #include <stdio.h>
 #include <stdlib.h>
