--- a/bench/policy.c
+++ b/bench/policy.c
@@ -52,17 +52,18 @@
 }
 
 static void
-add_workers (struct pl *pl, int n, int accels)
+add_workers (struct pool *pool, int n, int accels)
 {
   for (int i = 0; i < n; i++)
     {
       struct inst in = { .kind = INST_WORKER,
-                         .room = { .cores = CORES, .mem_mb = MEM_MB } };
+                         .capacity = { .cores = CORES, .mem_mb = MEM_MB } };
       snprintf (in.id, sizeof in.id, "w%04d", i);
       snprintf (in.rack, sizeof in.rack, "r%03d", i / RACK_SIZE);
       /* Accelerators are spread evenly over the workers. */
-      in.room.accels = (int64_t)(i + 1) * accels / n - (int64_t)i * accels / n;
-      struct worker *w = pl_add (pl, &in);
+      in.capacity.accels
+          = (int64_t)(i + 1) * accels / n - (int64_t)i * accels / n;
+      struct worker *w = pool_add (pool, &in);
       w->state = WORKER_LIVE;
       w->listed = true;
     }
@@ -87,14 +88,14 @@
 static bool
 fits (const struct worker *w, const struct clb_res *need)
 {
-  struct clb_res room = w->inst.room;
+  struct clb_res room = w->inst.capacity;
 
   clb_res_add (&room, &w->used, -1);
   return clb_res_fits (need, &room);
 }
 
 static struct worker *
-baseline (struct pl *pl, struct worker **all, int n, int way,
+baseline (struct pool *pool, struct worker **all, int n, int way,
           const struct clb_res *need)
 {
   struct worker *best = NULL;
@@ -110,7 +111,7 @@
         return a;
       return fits (b, need) ? b : NULL;
     }
-  (void)pl;
+  (void)pool;
   for (int i = 0; i < n; i++)
     {
       if (!all[i] || !fits (all[i], need))
@@ -124,7 +125,7 @@
 }
 
 static struct worker *
-choose (struct pl *pl, struct worker **all, int n, int way,
+choose (struct pool *pool, struct worker **all, int n, int way,
         const struct spec *spec)
 {
   struct worker *w = NULL;
@@ -133,12 +134,12 @@
 
   if (way != WAY_CITRONLB)
     {
-      w = baseline (pl, all, n, way, &spec->need);
+      w = baseline (pool, all, n, way, &spec->need);
       if (w)
         clb_res_add (&w->used, &spec->need, 1);
       return w;
     }
-  reason = pl_pick (pl, spec, "", 0, &w, &looked_at);
+  reason = pool_pick (pool, spec, "", 0, &w, &looked_at);
   return reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS ? NULL : w;
 }
 
@@ -162,7 +163,7 @@
 speed (int workers, int accels, int running, int way)
 {
   static int64_t times[DECISIONS];
-  struct pl pl;
+  struct pool pool;
   struct worker **all = calloc ((size_t)workers, sizeof *all);
   struct load *loads = calloc ((size_t)running, sizeof *loads);
   struct worker *w;
@@ -173,9 +174,9 @@
   if (!all || !loads)
     abort ();
   rng = 88172645463325252u;
-  pl_init (&pl);
-  add_workers (&pl, workers, accels);
-  RB_FOREACH (w, worker_tree, &pl.workers)
+  pool_init (&pool);
+  add_workers (&pool, workers, accels);
+  RB_FOREACH (w, worker_tree, &pool.workers)
     all[n++] = w;
   for (int i = 0; i < DECISIONS; i++)
     {
@@ -185,7 +186,7 @@
       l->w = NULL;
       struct spec spec = random_spec ();
       int64_t t0 = now_ns ();
-      w = choose (&pl, all, n, way, &spec);
+      w = choose (&pool, all, n, way, &spec);
       times[i] = now_ns () - t0;
       total += times[i];
       if (!w)
@@ -203,7 +204,7 @@
           way_names[way], workers, running,
           (double)DECISIONS * 1e9 / (double)total, (double)times[median] / 1e3,
           (double)times[late] / 1e3, placed, DECISIONS);
-  pl_clear (&pl);
+  pool_clear (&pool);
   free (all);
   free (loads);
 }
@@ -212,7 +213,7 @@
 static void
 packing (int workers, int accels, int way)
 {
-  struct pl pl;
+  struct pool pool;
   struct worker **all = calloc ((size_t)workers, sizeof *all);
   struct worker *w;
   int n = 0;
@@ -223,14 +224,14 @@
   if (!all)
     abort ();
   rng = 88172645463325252u;
-  pl_init (&pl);
-  add_workers (&pl, workers, accels);
-  RB_FOREACH (w, worker_tree, &pl.workers)
+  pool_init (&pool);
+  add_workers (&pool, workers, accels);
+  RB_FOREACH (w, worker_tree, &pool.workers)
     all[n++] = w;
   while (misses < WAITING_MISSES)
     {
       struct spec spec = random_spec ();
-      misses = choose (&pl, all, n, way, &spec) ? 0 : misses + 1;
+      misses = choose (&pool, all, n, way, &spec) ? 0 : misses + 1;
     }
   for (int i = 0; i < n; i++)
     {
@@ -241,7 +242,7 @@
           "\"cores_used\":%.4f,\"mem_used\":%.4f}\n",
           way_names[way], workers, (double)cores / (CORES * (double)workers),
           (double)mem / (MEM_MB * (double)workers));
-  pl_clear (&pl);
+  pool_clear (&pool);
   free (all);
 }
 
--- a/citronctl/citronctl.h
+++ b/citronctl/citronctl.h
@@ -30,9 +30,9 @@
   const char *key;
   const char *cacert;
   bool json;
-  const char *change; /* id of an apply */
-  long base;          /* version that it is made from; -1: the current */
-  const char *id;     /* filter of watch */
+  const char *change_id; /* id of an apply */
+  long base_version;     /* version that it is made from; -1: the current */
+  const char *watch_id;  /* filter of watch */
 };
 
 struct answer
@@ -55,8 +55,8 @@
 int rpc_stream (const struct options *opt, const char *path,
                 void (*line) (const char *text, size_t len));
 void rpc_free (struct answer *a);
-/** rpc_exit() - The exit code that an answer calls for. */
-int rpc_exit (const struct answer *a);
+/** rpc_exit_code() - The exit code that an answer calls for. */
+int rpc_exit_code (const struct answer *a);
 
 /* manifest.c */
 
--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -68,14 +68,14 @@
       cl->opt.cacert = arg;
       break;
     case OPT_CHANGE:
-      cl->opt.change = arg;
+      cl->opt.change_id = arg;
       break;
     case OPT_ID:
-      cl->opt.id = arg;
+      cl->opt.watch_id = arg;
       break;
     case OPT_BASE:
-      cl->opt.base = strtol (arg, &end, 10);
-      if (*end || cl->opt.base < 0)
+      cl->opt.base_version = strtol (arg, &end, 10);
+      if (*end || cl->opt.base_version < 0)
         argp_error (state, "--base: '%s' is no version", arg);
       break;
     case ARGP_KEY_ARG:
@@ -105,7 +105,7 @@
 static int
 print_answer (const struct options *opt, const struct answer *a)
 {
-  int code = rpc_exit (a);
+  int code = rpc_exit_code (a);
   json_auto_t *json = a->body ? json_loadb (a->body, a->len, 0, NULL) : NULL;
 
   if (a->status == 0)
@@ -183,7 +183,7 @@
       ended = good || strcmp (state, "failed") == 0
               || strcmp (state, "cancelled") == 0
               || strcmp (state, "unknown") == 0;
-      code = rpc_exit (&a);
+      code = rpc_exit_code (&a);
       if (ended || code)
         print_answer (opt, &a);
       json_decref (json);
@@ -266,8 +266,8 @@
 {
   char path[PATH_SIZE] = "/v1/watch";
 
-  if (opt->id)
-    snprintf (path, sizeof path, "/v1/watch?id=%.100s", opt->id);
+  if (opt->watch_id)
+    snprintf (path, sizeof path, "/v1/watch?id=%.100s", opt->watch_id);
   return rpc_stream (opt, path, opt->json ? print_raw : print_line);
 }
 
@@ -278,7 +278,7 @@
   int code;
 
   rpc (opt, "GET", path, NULL, 0, &a);
-  code = rpc_exit (&a);
+  code = rpc_exit_code (&a);
   if (code)
     print_answer (opt, &a);
   else
@@ -348,7 +348,7 @@
   if (opt->json)
     return cmd_raw (opt, "/v1/status");
   rpc (opt, "GET", "/v1/status", NULL, 0, &a);
-  code = rpc_exit (&a);
+  code = rpc_exit_code (&a);
   json = code ? NULL : json_loadb (a.body, a.len, 0, NULL);
   if (!json)
     {
@@ -465,7 +465,7 @@
                              .parser = parse_opt,
                              .args_doc = "COMMAND [ARGUMENT...]",
                              .doc = doc };
-  struct command_line cl = { .opt = { .base = -1 } };
+  struct command_line cl = { .opt = { .base_version = -1 } };
   int verb;
   int code;
 
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -92,7 +92,7 @@
   int code;
 
   rpc (opt, "GET", "/v1/config", NULL, 0, &a);
-  code = rpc_exit (&a);
+  code = rpc_exit_code (&a);
   if (code)
     fprintf (stderr, "citronctl: config: %s\n", a.body ? a.body : "no server");
   else
@@ -112,7 +112,7 @@
   char url[PATH_SIZE];
   char uuid[UUID_STR_LEN];
   uuid_t u;
-  long base = opt->base;
+  long base = opt->base_version;
   int code = load (path, &text, &len, &c);
 
   if (code)
@@ -129,9 +129,9 @@
   uuid_generate (u);
   uuid_unparse (u, uuid);
   snprintf (url, sizeof url, "/v1/config?base=%ld&change=%s", base,
-            opt->change ? opt->change : uuid);
+            opt->change_id ? opt->change_id : uuid);
   rpc (opt, "PUT", url, text, len, &a);
-  code = rpc_exit (&a);
+  code = rpc_exit_code (&a);
   if (code)
     fprintf (stderr, "citronctl: apply: %s\n", a.body ? a.body : "no server");
   else
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -108,7 +108,7 @@
 }
 
 int
-rpc_exit (const struct answer *a)
+rpc_exit_code (const struct answer *a)
 {
   if (a->status == 0)
     return a->sent ? EXIT_UNKNOWN : EXIT_NOT_RUN;
@@ -194,7 +194,7 @@
           curl_easy_getinfo (msg->easy_handle, CURLINFO_RESPONSE_CODE,
                              &a.status);
           if (a.status && code != EXIT_DONE)
-            code = rpc_exit (&a);
+            code = rpc_exit_code (&a);
         }
       if (running)
         curl_multi_poll (multi, NULL, 0, CONNECT_MS, NULL);
--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -33,7 +33,7 @@
   node_sync (&c->d->node, now_ms (), c->worker, c->seq, good ? &rep : NULL);
   if (good)
     codec_free (&sync_rep_desc, &rep);
-  pump (c->d);
+  process_outputs (c->d);
   free (c);
 }
 
@@ -50,7 +50,7 @@
     .timeout_ms = SYNC_TIMEOUT_MS,
     .connect_ms = SYNC_CONNECT_MS,
     /* A start is never sent again behind our back on another connection. */
-    .fresh = req->n_starts > 0,
+    .new_connection = req->n_starts > 0,
     .on_end = on_end,
   };
 
--- a/citronlbd/citronlbd.h
+++ b/citronlbd/citronlbd.h
@@ -1,6 +1,6 @@
 /**
  * DOC: The daemon's tasks.  Each owns its sockets and state; they meet in the
- * node, whose typed messages pump() carries from one to the other.
+ * node, whose typed messages process_outputs() carries from one to the other.
  */
 #ifndef CITRONLBD_H
 #define CITRONLBD_H
@@ -32,8 +32,8 @@
   char peer_secret[KEY_Z85_SIZE];
   char permitted[PERMITTED_MAX][KEY_Z85_SIZE];
   int n_permitted;
-  const char *fleet;     /* settings of the fleet's platform, or NULL */
-  const char *addr_file; /* where the bound addresses are written */
+  const char *fleet_file; /* settings of the fleet's platform, or NULL */
+  const char *addr_file;  /* where the bound addresses are written */
 };
 
 /**
@@ -61,13 +61,13 @@
   struct links *peers;
   uint64_t damaged_messages; /* of peers, passed over */
   struct serve *serve;
-  bool pumping;
+  bool processing_outputs;
   bool stopping;
 };
 
 int64_t now_ms (void);
 /** pump() - Carry out what the node wants done. */
-void pump (struct daemon *d);
+void process_outputs (struct daemon *d);
 
 /* peers.c: links between entry instances */
 
@@ -88,13 +88,13 @@
 struct serve *serve_new (struct daemon *d);
 const char *serve_addr (const struct serve *s);
 int serve_reload (struct serve *s);
-void serve_out (struct serve *s, const struct out *o);
+void serve_output (struct serve *s, const struct out *o);
 /** serve_stop() - True once no answer is in hand. */
 bool serve_stop (struct serve *s);
 
 /* log.c */
 void log_open (void);
-void log_state (const char *fmt, ...) __attribute__ ((format (printf, 1, 2)));
+void log_info (const char *fmt, ...) __attribute__ ((format (printf, 1, 2)));
 void log_event (const struct event *e);
 void log_close (void);
 
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -141,7 +141,7 @@
 {
   struct fleetd *d = arg;
 
-  fleet_store (&d->fleet, boot_ms (), token, rep);
+  fleet_store_reply (&d->fleet, boot_ms (), token, rep);
   pump (d);
 }
 
@@ -166,7 +166,7 @@
       log_line ("event=bad-message");
       return;
     }
-  fleet_mesh (&d->fleet, boot_ms (), &m);
+  fleet_mesh_msg (&d->fleet, boot_ms (), &m);
   mesh_clear (&m);
 }
 
@@ -177,7 +177,7 @@
 }
 
 static void
-on_caller (void *arg, const struct hreq *rq)
+on_caller (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   struct fleet_request req;
@@ -192,22 +192,22 @@
 {
   struct fleetd *d = arg;
 
-  fleet_caller_gone (&d->fleet, no);
+  fleet_request_aborted (&d->fleet, no);
 }
 
 static void
-on_ready (void *arg, const struct hreq *rq)
+on_ready (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   int status = 404;
 
   if (pf_is_ready_path (rq->path))
     status = fleet_ready (&d->fleet, boot_ms ()) ? 200 : 503;
-  httpd_answer (d->ready, rq->no, status, "text/plain", "", 0, 0);
+  httpd_answer (d->ready, rq->id, status, "text/plain", "", 0, 0);
 }
 
 static void
-on_metrics (void *arg, const struct hreq *rq)
+on_metrics (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   clb_auto char *fleet = fleet_metrics (&d->fleet);
@@ -220,7 +220,7 @@
                 (unsigned long long)logline_stats ()->dropped)
       < 0)
     abort ();
-  httpd_answer (d->metrics, rq->no, 200, "text/plain; version=0.0.4", text,
+  httpd_answer (d->metrics, rq->id, 200, "text/plain; version=0.0.4", text,
                 strlen (text), 0);
 }
 
@@ -233,7 +233,7 @@
 
 static struct httpd *
 serve (struct fleetd *d, const char *addr,
-       void (*on_request) (void *arg, const struct hreq *rq),
+       void (*on_request) (void *arg, const struct httpd_req *rq),
        void (*on_gone) (void *arg, uint64_t no))
 {
   struct httpd_conf conf = {
@@ -241,7 +241,7 @@
     .body_max = BODY_MAX,
     .arg = d,
     .on_request = on_request,
-    .on_gone = on_gone,
+    .on_disconnect = on_gone,
   };
   int err;
   struct httpd *h = httpd_new (d->loop, &conf, &err);
@@ -264,7 +264,7 @@
       d->closed = true;
       httpd_stop (d->callers);
     }
-  if (httpd_in_hand (d->callers) == 0
+  if (httpd_n_pending (d->callers) == 0
       || since > d->set.grace_ms - KILL_MARGIN_MS)
     uv_stop (d->loop);
 }
@@ -283,7 +283,7 @@
 log_load (struct fleetd *d)
 {
   const struct fleet *f = &d->fleet;
-  const struct cell_stats *s = &f->stats.cell;
+  const struct fsched_stats *s = &f->stats.fsched;
   char line[256];
   int64_t now = boot_ms ();
   int64_t cpu = cpu_ms ();
@@ -295,9 +295,9 @@
       "event=load over_ms=%lld cpu_ms=%lld callers=%d leading=%d "
       "jobs=%d starts=%llu questions=%llu passes=%llu dropped_lines=%llu",
       (long long)(now - d->load_ms), (long long)(cpu - d->load_cpu_ms),
-      f->n_callers, f->lead.state == LEAD_HOLD, f->cell ? f->cell->n_jobs : 0,
-      (unsigned long long)s->starts, (unsigned long long)s->questions,
-      (unsigned long long)s->passes,
+      f->n_requests, f->leader.state == LEADER_LEADING,
+      f->fsched ? f->fsched->n_jobs : 0, (unsigned long long)s->starts,
+      (unsigned long long)s->queries, (unsigned long long)s->passes,
       (unsigned long long)logline_stats ()->dropped);
   log_line (line);
   d->load_ms = now;
@@ -314,7 +314,7 @@
   pump (d);
   log_load (d);
   logline_flush ();
-  pause = d->fleet.cell ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
+  pause = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
   uv_timer_start (t, on_timer, (uint64_t)pause, 0);
   stop_when_done (d);
 }
@@ -332,7 +332,7 @@
     }
   /* Addresses are those of the boot; the bounds may change. */
   d->set.grace_ms = set.grace_ms;
-  d->fleet.set.revoke_ms = set.revoke_ms;
+  d->fleet.settings.revoke_ms = set.revoke_ms;
   log_line ("event=settings-reloaded");
 }
 
--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -22,7 +22,7 @@
 }
 
 void
-log_state (const char *fmt, ...)
+log_info (const char *fmt, ...)
 {
   char line[256];
   va_list ap;
@@ -49,10 +49,10 @@
     case WHY_WORKER_BACK:
     case WHY_WORKER_LOST:
     case WHY_WORKER_REBOOTED:
-      log_state ("%s: %s", clb_reason_name (e->reason), e->where);
+      log_info ("%s: %s", clb_reason_name (e->reason), e->where);
       break;
     case WHY_CONFIG:
-      log_state ("config: version %lld", (long long)e->looked_at);
+      log_info ("config: version %lld", (long long)e->detail);
       break;
     default:
       break;
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -52,26 +52,26 @@
       backend_sync (d, o->u.sync.worker, o->u.sync.addr, &o->u.sync.req);
       break;
     default:
-      serve_out (d->serve, o);
+      serve_output (d->serve, o);
       break;
     }
 }
 
 void
-pump (struct daemon *d)
+process_outputs (struct daemon *d)
 {
   struct out *o;
 
   /* What is carried out may call back in here: the outer loop goes on. */
-  if (d->pumping)
+  if (d->processing_outputs)
     return;
-  d->pumping = true;
+  d->processing_outputs = true;
   while ((o = node_next_out (&d->node)))
     {
       carry_out (d, o);
       out_free (o);
     }
-  d->pumping = false;
+  d->processing_outputs = false;
 }
 
 static void
@@ -95,7 +95,7 @@
   bool busy;
 
   node_tick (&d->node, now_ms ());
-  pump (d);
+  process_outputs (d);
   s = d->node.sched;
   busy = s && !sched_idle (s);
   uv_timer_start (t, on_timer, busy ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
@@ -110,17 +110,17 @@
   if (signum == SIGHUP)
     {
       if (serve_reload (d->serve))
-        log_state ("tls: %s cannot be used, the old one stays", d->opt.cert);
+        log_info ("tls: %s cannot be used, the old one stays", d->opt.cert);
       else
-        log_state ("tls: reloaded");
+        log_info ("tls: reloaded");
       return;
     }
   if (d->stopping)
     return;
   d->stopping = true;
-  log_state ("stopping");
+  log_info ("stopping");
   node_stop (&d->node, now_ms ());
-  pump (d);
+  process_outputs (d);
 }
 
 static void
@@ -166,8 +166,8 @@
   static struct daemon d;
 
   options_read (argc, argv, &d.opt);
-  if (d.opt.fleet)
-    return fleetd_run (d.opt.fleet);
+  if (d.opt.fleet_file)
+    return fleetd_run (d.opt.fleet_file);
   signal (SIGPIPE, SIG_IGN);
   log_open ();
   curl_global_init (CURL_GLOBAL_DEFAULT);
@@ -187,10 +187,10 @@
   uv_timer_init (d.loop, &d.timer);
   d.timer.data = &d;
   uv_timer_start (&d.timer, on_timer, 0, 0);
-  log_state ("%s in %s: callers %s, peers %s", d.opt.node.id,
-             d.opt.node.domain, serve_addr (d.serve), links_addr (d.peers));
+  log_info ("%s in %s: callers %s, peers %s", d.opt.node.id, d.opt.node.domain,
+            serve_addr (d.serve), links_addr (d.peers));
   uv_run (d.loop, UV_RUN_DEFAULT);
-  log_state ("stopped");
+  log_info ("stopped");
   links_free (d.peers);
   node_fini (&d.node);
   log_close ();
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -241,8 +241,8 @@
     settings[i].value = getenv (settings[i].env);
   argp_err_exit_status = EX_USAGE;
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
-  opt->fleet = value_of (OPT_FLEET);
-  if (opt->fleet)
+  opt->fleet_file = value_of (OPT_FLEET);
+  if (opt->fleet_file)
     return;
   take_name (OPT_ID, opt->node.id, sizeof opt->node.id);
   take_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -22,7 +22,7 @@
 static void
 on_received (void *arg)
 {
-  pump (arg);
+  process_outputs (arg);
 }
 
 struct links *
@@ -32,9 +32,9 @@
   struct links_conf conf = {
     .loop = d->loop,
     .listen = opt->peer_listen,
-    .public = opt->insecure_peers ? NULL : opt->peer_public,
-    .secret = opt->peer_secret,
-    .permitted = opt->permitted,
+    .public_key = opt->insecure_peers ? NULL : opt->peer_public,
+    .secret_key = opt->peer_secret,
+    .permitted_keys = opt->permitted,
     .n_permitted = opt->n_permitted,
     .arg = d,
     .on_message = on_message,
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -51,7 +51,7 @@
   read_rep (&rep, end, status, body, len);
   node_store (&c->d->node, now_ms (), c->token, &rep);
   codec_free (&store_rep_desc, &rep);
-  pump (c->d);
+  process_outputs (c->d);
   free (c);
 }
 
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -77,14 +77,14 @@
 
 /* Kept until it is answered: the caller's connection may go before. */
 static void
-forward_keep (struct serve *s, const struct hreq *rq)
+forward_keep (struct serve *s, const struct httpd_req *rq)
 {
   struct forward *f = calloc (1, sizeof *f);
 
   if (!f)
     abort ();
   f->s = s;
-  f->call = rq->no;
+  f->call = rq->id;
   f->path = strdup (rq->path);
   f->type = rq->type ? strdup (rq->type) : NULL;
   f->body = malloc (rq->body_len + 1);
@@ -124,7 +124,7 @@
 }
 
 static void
-watch_begin (struct serve *s, const struct hreq *rq)
+watch_begin (struct serve *s, const struct httpd_req *rq)
 {
   struct watcher *w;
   char team[CLB_NAME_MAX];
@@ -136,19 +136,19 @@
       int len = snprintf (body, sizeof body,
                           "{\"error\":\"%s\",\"outcome\":\"not-run\"}",
                           clb_err_name (err));
-      httpd_answer (s->http, rq->no, clb_err_http (err), "application/json",
+      httpd_answer (s->http, rq->id, clb_err_http (err), "application/json",
                     body, (size_t)len, 0);
       return;
     }
   w = calloc (1, sizeof *w);
   if (!w)
     abort ();
-  w->call = rq->no;
+  w->call = rq->id;
   clb_copy (w->team, team, sizeof w->team);
   watch_query (w, rq->path);
   TAILQ_INSERT_TAIL (&s->watchers, w, link);
-  httpd_begin (s->http, rq->no, 200, "application/x-ndjson");
-  httpd_chunk (s->http, rq->no, "\n", 1);
+  httpd_begin (s->http, rq->id, 200, "application/x-ndjson");
+  httpd_chunk (s->http, rq->id, "\n", 1);
 }
 
 static char *
@@ -222,11 +222,11 @@
 /* Requests. */
 
 static void
-on_request (void *arg, const struct hreq *rq)
+on_request (void *arg, const struct httpd_req *rq)
 {
   struct serve *s = arg;
   struct request r = {
-    .call = rq->no,
+    .http_call = rq->id,
     .method = method_of (rq->method),
     .path = rq->path,
     .bearer = rq->bearer,
@@ -243,7 +243,7 @@
   if (strncmp (rq->path, "/v1/service/", strlen ("/v1/service/")) == 0)
     forward_keep (s, rq);
   node_request (&s->d->node, now_ms (), &r);
-  pump (s->d);
+  process_outputs (s->d);
 }
 
 static void
@@ -263,7 +263,7 @@
   node_caller_gone (&s->d->node, now_ms (), no);
   if (f)
     forward_free (f);
-  pump (s->d);
+  process_outputs (s->d);
 }
 
 static void
@@ -301,7 +301,7 @@
   if (end == HTTPC_OK)
     return status >= 500 ? FORWARD_ERROR : FORWARD_OK;
   if (f->begun || f->caller_gone)
-    return FORWARD_CUT;
+    return FORWARD_ABORTED;
   return end == HTTPC_UNREACHED ? FORWARD_UNREACHED : FORWARD_FAILED;
 }
 
@@ -320,7 +320,7 @@
   node_forwarded (&s->d->node, now_ms (), f->call, result);
   if (f->begun || f->caller_gone)
     forward_free (f);
-  pump (s->d);
+  process_outputs (s->d);
 }
 
 static void
@@ -332,7 +332,7 @@
     .method = "POST",
     .timeout_ms = o->u.forward.max_run_ms,
     .connect_ms = EXECUTOR_CONNECT_MS,
-    .fresh = true,
+    .new_connection = true,
     .arg = f,
     .on_head = on_head,
     .on_data = on_data,
@@ -370,7 +370,7 @@
 }
 
 void
-serve_out (struct serve *s, const struct out *o)
+serve_output (struct serve *s, const struct out *o)
 {
   switch (o->kind)
     {
@@ -399,7 +399,7 @@
     .key = d->opt.key,
     .arg = s,
     .on_request = on_request,
-    .on_gone = on_gone,
+    .on_disconnect = on_gone,
     .on_drained = on_drained,
   };
   int err;
@@ -443,5 +443,5 @@
       TAILQ_REMOVE (&s->watchers, w, link);
       free (w);
     }
-  return httpd_in_hand (s->http) == 0;
+  return httpd_n_pending (s->http) == 0;
 }
--- a/core/api.c
+++ b/core/api.c
@@ -30,17 +30,18 @@
         401, 400, 410, 503, 504, 503, 503, 503 };
 
 int
-caller_cmp (const struct caller *a, const struct caller *b)
+api_request_cmp (const struct api_request *a, const struct api_request *b)
 {
   return a->call < b->call ? -1 : a->call > b->call;
 }
 
-RB_GENERATE (caller_tree_f, caller, by_no, caller_cmp)
+RB_GENERATE (api_request_tree, api_request, by_call, api_request_cmp)
 
 static void
 job_key (const char *id, const char *suffix, char out[CLB_NAME_MAX])
 {
-  snprintf (out, CLB_NAME_MAX, "job:%d/%s%s", cell_job_part (id), id, suffix);
+  snprintf (out, CLB_NAME_MAX, "job:%d/%s%s", fsched_job_part (id), id,
+            suffix);
 }
 
 static void
@@ -51,25 +52,25 @@
 
   f->stats.answers[what]++;
   if (status >= 400 && !body)
-    body = f->set.codec.error_body (fleet_answer_names[what], "");
+    body = f->settings.codec.error_body (fleet_answer_names[what], "");
   o->u.answer.call = call;
   o->u.answer.status = status;
   o->u.answer.body = body;
   if (status == 503)
-    o->u.answer.retry_ms = FLEET_COME_BACK_MS;
+    o->u.answer.retry_ms = FLEET_RETRY_AFTER_MS;
 }
 
 static void
-caller_free (struct fleet *f, struct caller *c)
+caller_free (struct fleet *f, struct api_request *c)
 {
-  RB_REMOVE (caller_tree_f, &f->callers, c);
-  f->n_callers--;
+  RB_REMOVE (api_request_tree, &f->requests, c);
+  f->n_requests--;
   free (c->record);
   free (c);
 }
 
 static void
-finish (struct fleet *f, struct caller *c, int what, char *body)
+finish (struct fleet *f, struct api_request *c, int what, char *body)
 {
   out_line (&f->out,
             "event=answer call=%llu verb=%d job=%s queue=%s tenant=%s "
@@ -77,10 +78,10 @@
             "conf_age_ms=%lld leader=%s",
             (unsigned long long)c->call, c->verb, c->id, c->queue, c->tenant,
             fleet_answer_names[what], answer_status[what], c->tries,
-            (long long)(f->now_ms - c->came_ms),
+            (long long)(f->now_ms - c->arrival_ms),
             f->conf ? (long long)f->conf->version : 0,
-            (long long)(f->now_ms - f->proved_ms), f->lead.holder);
-  hist_add (&f->stats.request_ms[c->verb], f->now_ms - c->came_ms);
+            (long long)(f->now_ms - f->conf_current_ms), f->leader.holder);
+  hist_add (&f->stats.request_ms[c->verb], f->now_ms - c->arrival_ms);
   answer (f, c->call, what, body);
   caller_free (f, c);
 }
@@ -95,18 +96,18 @@
             "conf=%lld conf_age_ms=%lld detail=\"%.80s\"",
             (unsigned long long)rq->call, rq->path, fleet_answer_names[what],
             answer_status[what], f->conf ? (long long)f->conf->version : 0,
-            (long long)(f->now_ms - f->proved_ms), detail);
+            (long long)(f->now_ms - f->conf_current_ms), detail);
   answer (f, rq->call, what,
-          f->set.codec.error_body (fleet_answer_names[what], detail));
+          f->settings.codec.error_body (fleet_answer_names[what], detail));
 }
 
 static struct store_op *
-store_call (struct fleet *f, struct caller *c, int kind)
+store_call (struct fleet *f, struct api_request *c, int kind)
 {
   struct out *o = out_new (&f->out, OUT_STORE);
 
   c->token = ++f->tokens;
-  c->next_ms = 0;
+  c->retry_at_ms = 0;
   c->tries++;
   o->u.store.token = c->token;
   o->u.store.op.kind = kind;
@@ -115,52 +116,52 @@
 
 /* The first record of an id wins, wherever it was handed in. */
 static void
-send_submit (struct fleet *f, struct caller *c)
+send_submit (struct fleet *f, struct api_request *c)
 {
   struct store_op *op = store_call (f, c, STORE_TXN);
   char key[CLB_NAME_MAX];
 
-  c->step = CALLER_WRITING;
+  c->step = API_WRITING;
   job_key (c->id, "", key);
   store_cond (op, key, 0);
   store_put (op, key, c->record);
 }
 
 static void
-send_cancel (struct fleet *f, struct caller *c)
+send_cancel (struct fleet *f, struct api_request *c)
 {
   struct store_op *op = store_call (f, c, STORE_TXN);
   char key[CLB_NAME_MAX];
 
-  c->step = CALLER_WRITING;
+  c->step = API_WRITING;
   job_key (c->id, ".cancel", key);
   store_put (op, key, "{}");
 }
 
 static void
-read_row (struct fleet *f, struct caller *c, int step)
+read_row (struct fleet *f, struct api_request *c, int step)
 {
   struct store_op *op = store_call (f, c, STORE_GET);
   char key[CLB_NAME_MAX];
 
   c->step = step;
-  if (step == CALLER_READ_STATE)
-    snprintf (key, sizeof key, CELL_KEY_PROGRESS "%s", c->id);
+  if (step == API_READING_STATE)
+    snprintf (key, sizeof key, FSCHED_KEY_PROGRESS "%s", c->id);
   else
     job_key (c->id, "", key);
   op->key = strdup (key);
 }
 
 static void
-ask_leader (struct fleet *f, struct caller *c, int kind, const char *what)
+ask_leader (struct fleet *f, struct api_request *c, int kind, const char *what)
 {
   const char *addr = fleet_leader_addr (f);
   struct mesh_msg *m;
 
   if (!addr)
     {
-      if (kind == MESH_STATE_ASK)
-        read_row (f, c, CALLER_READ_STATE);
+      if (kind == MESH_STATE_QUERY)
+        read_row (f, c, API_READING_STATE);
       else
         finish (f, c, ANSWER_NO_LEADER, NULL);
       return;
@@ -169,23 +170,23 @@
   if (!m)
     abort ();
   m->kind = kind;
-  c->ask = (int64_t)++f->tokens;
-  m->no = c->ask;
+  c->query_seq = (int64_t)++f->tokens;
+  m->seq = c->query_seq;
   clb_copy (m->id, what, sizeof m->id);
-  c->step = CALLER_ASKING;
-  c->asked_ms = f->now_ms;
+  c->step = API_QUERYING;
+  c->query_ms = f->now_ms;
   c->tries++;
-  f->stats.asks++;
+  f->stats.queries++;
   fleet_send (f, addr, m);
 }
 
 static void
-begin_submit (struct fleet *f, struct caller *c,
+begin_submit (struct fleet *f, struct api_request *c,
               const struct fleet_request *rq, const struct fconf_queue *q)
 {
   struct job_spec spec;
   struct codec_err ce = { 0 };
-  int err = f->set.codec.job (rq->body, rq->body_len, &spec, &ce);
+  int err = f->settings.codec.job (rq->body, rq->body_len, &spec, &ce);
 
   if (!err)
     err = job_check (&spec, &ce);
@@ -218,24 +219,28 @@
 }
 
 static void
-begin_state (struct fleet *f, struct caller *c)
+begin_state (struct fleet *f, struct api_request *c)
 {
-  int state = f->cell && f->cell->going ? cell_state (f->cell, c->id) : -1;
+  int state = f->fsched && f->fsched->loaded
+                  ? fsched_job_state (f->fsched, c->id)
+                  : -1;
 
   if (state >= 0)
-    finish (f, c, ANSWER_STATE, f->set.codec.state_body (state));
+    finish (f, c, ANSWER_STATE, f->settings.codec.state_body (state));
   else
-    ask_leader (f, c, MESH_STATE_ASK, c->id);
+    ask_leader (f, c, MESH_STATE_QUERY, c->id);
 }
 
 static void
-begin_count (struct fleet *f, struct caller *c)
+begin_count (struct fleet *f, struct api_request *c)
 {
-  if (f->cell && f->cell->going && lead_may_admit (&f->lead, f->now_ms))
+  if (f->fsched && f->fsched->loaded
+      && leader_lease_valid (&f->leader, f->now_ms))
     finish (f, c, ANSWER_WAITING,
-            f->set.codec.count_body (cell_waiting (f->cell, c->queue)));
+            f->settings.codec.count_body (
+                fsched_jobs_waiting (f->fsched, c->queue)));
   else
-    ask_leader (f, c, MESH_WAITING_ASK, c->queue);
+    ask_leader (f, c, MESH_WAITING_QUERY, c->queue);
 }
 
 /* Whether a key may be taken at its word: the configuration is proved young
@@ -243,37 +248,40 @@
 static bool
 keys_fresh (const struct fleet *f)
 {
-  return f->now_ms - f->proved_ms < f->set.revoke_ms - FLEET_STALE_MARGIN_MS;
+  return f->now_ms - f->conf_current_ms
+         < f->settings.revoke_ms - FLEET_KEY_MARGIN_MS;
 }
 
 /* Neither this instance nor one that it hears reaches the table. */
 static bool
 table_lost (const struct fleet *f)
 {
-  return f->store_lost && f->now_ms - f->store_lost_ms > FLEET_LOST_MS
+  return f->conf_feed_failed
+         && f->now_ms - f->conf_feed_failed_since_ms > FLEET_REFUSE_WRITES_MS
          && !proxy_peer (f);
 }
 
-static struct caller *
+static struct api_request *
 caller_new (struct fleet *f, const struct fleet_request *rq,
             const struct fconf_queue *q, const struct fconf_tenant *t)
 {
-  struct caller *c = calloc (1, sizeof *c);
-  int64_t within = rq->within_ms > 0 ? rq->within_ms : FLEET_WAIT_MS;
+  struct api_request *c = calloc (1, sizeof *c);
+  int64_t within
+      = rq->timeout_ms > 0 ? rq->timeout_ms : FLEET_DEFAULT_TIMEOUT_MS;
 
   if (!c)
     abort ();
   c->call = rq->call;
   c->verb = rq->verb;
-  c->came_ms = f->now_ms;
+  c->arrival_ms = f->now_ms;
   if (q->timeout_ms > 0 && within > q->timeout_ms)
     within = q->timeout_ms;
-  c->until_ms = f->now_ms + within - FLEET_GIVE_UP_MS;
+  c->deadline_ms = f->now_ms + within - FLEET_ANSWER_MARGIN_MS;
   clb_copy (c->queue, q->name, sizeof c->queue);
   if (t)
     clb_copy (c->tenant, t->name, sizeof c->tenant);
-  RB_INSERT (caller_tree_f, &f->callers, c);
-  f->n_callers++;
+  RB_INSERT (api_request_tree, &f->requests, c);
+  f->n_requests++;
   return c;
 }
 
@@ -284,7 +292,7 @@
   const struct fconf_queue *q;
   const struct fconf_tenant *t = NULL;
   const char *rest;
-  struct caller *c;
+  struct api_request *c;
 
   f->now_ms = now_ms;
   f->wall_ms = wall_ms;
@@ -295,14 +303,15 @@
     return refuse (f, rq, ANSWER_NO_QUEUE, rq->host);
   if (rq->key)
     t = fconf_tenant_of_key (f->conf, rq->key);
-  if (!q->open && !t)
-    return refuse (f, rq, keys_fresh (f) ? ANSWER_BAD_KEY : ANSWER_STALE, "");
-  if (!q->open && !keys_fresh (f))
-    return refuse (f, rq, ANSWER_STALE, "");
-  if (f->n_callers >= FLEET_REQUESTS_MAX)
+  if (!q->is_public && !t)
+    return refuse (f, rq, keys_fresh (f) ? ANSWER_BAD_KEY : ANSWER_CONF_STALE,
+                   "");
+  if (!q->is_public && !keys_fresh (f))
+    return refuse (f, rq, ANSWER_CONF_STALE, "");
+  if (f->n_requests >= FLEET_REQUESTS_MAX)
     return refuse (f, rq, ANSWER_TOO_MANY, "");
   if (rq->verb != FLEET_STATE && table_lost (f))
-    return refuse (f, rq, ANSWER_STORE_LOST, "");
+    return refuse (f, rq, ANSWER_TABLE_UNREACHABLE, "");
   rest = rq->path + strlen (q->prefix);
   if (!*rest ? rq->verb != FLEET_STATE : !job_id_ok (rest))
     return refuse (f, rq, ANSWER_BAD_JOB, "not an id");
@@ -313,7 +322,7 @@
   if (rq->verb == FLEET_SUBMIT)
     begin_submit (f, c, rq, q);
   else if (rq->verb == FLEET_CANCEL)
-    read_row (f, c, CALLER_READ_JOB);
+    read_row (f, c, API_READING_JOB);
   else if (*rest)
     begin_state (f, c);
   else
@@ -321,10 +330,10 @@
 }
 
 void
-fleet_caller_gone (struct fleet *f, uint64_t call)
+fleet_request_aborted (struct fleet *f, uint64_t call)
 {
-  struct caller key = { .call = call };
-  struct caller *c = RB_FIND (caller_tree_f, &f->callers, &key);
+  struct api_request key = { .call = call };
+  struct api_request *c = RB_FIND (api_request_tree, &f->requests, &key);
 
   /* A write under way goes on; it is just not told to anybody. */
   if (c)
@@ -332,9 +341,9 @@
 }
 
 static void
-send_again (struct fleet *f, struct caller *c)
+send_again (struct fleet *f, struct api_request *c)
 {
-  if (c->step != CALLER_WRITING)
+  if (c->step != API_WRITING)
     read_row (f, c, c->step);
   else if (c->verb == FLEET_SUBMIT)
     send_submit (f, c);
@@ -344,9 +353,9 @@
 
 /* The table has refused it often enough, and it surely is not recorded. */
 static bool
-surely_refused (const struct caller *c)
+surely_refused (const struct api_request *c)
 {
-  return !c->maybe && !c->token && c->tries >= FLEET_REFUSED_TRIES;
+  return !c->outcome_unknown && !c->token && c->tries >= FLEET_TRIES_MAX;
 }
 
 static int64_t
@@ -360,35 +369,38 @@
 }
 
 static void
-store_failed (struct fleet *f, struct caller *c, int64_t err)
+store_failed (struct fleet *f, struct api_request *c, int64_t err)
 {
-  bool writing = c->step == CALLER_WRITING;
+  bool writing = c->step == API_WRITING;
 
   f->stats.store_errors++;
   c->token = 0;
   if (writing && err != CLB_EUNAVAIL)
-    c->maybe = true;
+    c->outcome_unknown = true;
   if (surely_refused (c))
     finish (f, c, ANSWER_STORE_REFUSED, NULL);
   else
     {
       int64_t pause = retry_pause (c->tries);
-      c->next_ms = f->now_ms + pause;
+      c->retry_at_ms = f->now_ms + pause;
       f->stats.retries++;
-      out_line (&f->out,
-                "event=retry call=%llu verb=%d job=%s tries=%d error=%s "
-                "maybe=%d pause_ms=%lld left_ms=%lld way_lost=%d",
-                (unsigned long long)c->call, c->verb, c->id, c->tries,
-                clb_err_name ((int)err), c->maybe, (long long)pause,
-                (long long)(c->until_ms - f->now_ms), proxy_way_lost (f));
+      out_line (
+          &f->out,
+          "event=retry call=%llu verb=%d job=%s tries=%d error=%s "
+          "outcome_unknown=%d pause_ms=%lld left_ms=%lld table_unreachable=%d",
+          (unsigned long long)c->call, c->verb, c->id, c->tries,
+          clb_err_name ((int)err), c->outcome_unknown, (long long)pause,
+          (long long)(c->deadline_ms - f->now_ms),
+          proxy_table_unreachable (f));
     }
 }
 
 static void
-write_done (struct fleet *f, struct caller *c, const struct store_rep *rep)
+write_done (struct fleet *f, struct api_request *c,
+            const struct store_rep *rep)
 {
   if (c->verb == FLEET_CANCEL || !rep->err)
-    fleet_tell_job (f, c->id, c->verb == FLEET_CANCEL ? NULL : c->record);
+    fleet_notify_job (f, c->id, c->verb == FLEET_CANCEL ? NULL : c->record);
   if (c->verb == FLEET_CANCEL)
     finish (f, c, ANSWER_CANCELLED, NULL);
   else
@@ -396,7 +408,8 @@
 }
 
 static void
-state_read (struct fleet *f, struct caller *c, const struct store_rep *rep)
+state_read (struct fleet *f, struct api_request *c,
+            const struct store_rep *rep)
 {
   struct job_progress p = { 0 };
   struct codec_err ce;
@@ -406,39 +419,39 @@
       || codec_parse (&job_progress_desc, value, strlen (value), CODEC_LENIENT,
                       &p, &ce))
     {
-      read_row (f, c, CALLER_READ_JOB);
+      read_row (f, c, API_READING_JOB);
       return;
     }
-  finish (f, c, ANSWER_STATE, f->set.codec.state_body (p.state));
+  finish (f, c, ANSWER_STATE, f->settings.codec.state_body (p.state));
   codec_free (&job_progress_desc, &p);
 }
 
 static void
-job_read (struct fleet *f, struct caller *c, const struct store_rep *rep)
+job_read (struct fleet *f, struct api_request *c, const struct store_rep *rep)
 {
   if (rep->err)
     finish (f, c, ANSWER_NO_JOB, NULL);
   else if (c->verb == FLEET_CANCEL)
     send_cancel (f, c);
   else
-    finish (f, c, ANSWER_STATE, f->set.codec.state_body (JOB_PENDING));
+    finish (f, c, ANSWER_STATE, f->settings.codec.state_body (JOB_PENDING));
 }
 
 bool
-gate_store (struct fleet *f, uint64_t token, const struct store_rep *rep)
+api_store_reply (struct fleet *f, uint64_t token, const struct store_rep *rep)
 {
-  struct caller *c;
+  struct api_request *c;
 
-  RB_FOREACH (c, caller_tree_f, &f->callers)
+  RB_FOREACH (c, api_request_tree, &f->requests)
     if (c->token == token)
       break;
   if (!c)
     return false;
   if (rep->err && rep->err != CLB_ECONFLICT && rep->err != CLB_ENOTFOUND)
     store_failed (f, c, rep->err);
-  else if (c->step == CALLER_WRITING)
+  else if (c->step == API_WRITING)
     write_done (f, c, rep);
-  else if (c->step == CALLER_READ_STATE)
+  else if (c->step == API_READING_STATE)
     state_read (f, c, rep);
   else
     job_read (f, c, rep);
@@ -455,11 +468,12 @@
 
   if (!r)
     abort ();
-  state = f->cell && f->cell->going && lead_may_admit (&f->lead, f->now_ms)
-              ? cell_state (f->cell, m->id)
+  state = f->fsched && f->fsched->loaded
+                  && leader_lease_valid (&f->leader, f->now_ms)
+              ? fsched_job_state (f->fsched, m->id)
               : -1;
-  r->kind = MESH_STATE;
-  r->no = m->no;
+  r->kind = MESH_STATE_REPLY;
+  r->seq = m->seq;
   r->known = state >= 0;
   r->state = state >= 0 ? state : 0;
   fleet_send (f, m->addr, r);
@@ -470,44 +484,45 @@
 {
   struct mesh_msg *r;
 
-  if (!f->cell || !f->cell->going || !lead_may_admit (&f->lead, f->now_ms))
+  if (!f->fsched || !f->fsched->loaded
+      || !leader_lease_valid (&f->leader, f->now_ms))
     return;
   r = calloc (1, sizeof *r);
   if (!r)
     abort ();
-  r->kind = MESH_WAITING;
-  r->no = m->no;
-  r->count = cell_waiting (f->cell, m->id);
+  r->kind = MESH_WAITING_REPLY;
+  r->seq = m->seq;
+  r->count = fsched_jobs_waiting (f->fsched, m->id);
   fleet_send (f, m->addr, r);
 }
 
 static void
 take_reply (struct fleet *f, const struct mesh_msg *m)
 {
-  struct caller *c;
+  struct api_request *c;
 
-  RB_FOREACH (c, caller_tree_f, &f->callers)
-    if (c->step == CALLER_ASKING && c->ask == m->no)
+  RB_FOREACH (c, api_request_tree, &f->requests)
+    if (c->step == API_QUERYING && c->query_seq == m->seq)
       break;
   if (!c)
     return;
-  if (m->kind == MESH_WAITING)
-    finish (f, c, ANSWER_WAITING, f->set.codec.count_body (m->count));
+  if (m->kind == MESH_WAITING_REPLY)
+    finish (f, c, ANSWER_WAITING, f->settings.codec.count_body (m->count));
   else if (m->known)
-    finish (f, c, ANSWER_STATE, f->set.codec.state_body ((int)m->state));
+    finish (f, c, ANSWER_STATE, f->settings.codec.state_body ((int)m->state));
   else
-    read_row (f, c, CALLER_READ_STATE);
+    read_row (f, c, API_READING_STATE);
 }
 
 void
-gate_mesh (struct fleet *f, const struct mesh_msg *m)
+api_mesh_msg (struct fleet *f, const struct mesh_msg *m)
 {
   switch (m->kind)
     {
-    case MESH_STATE_ASK:
+    case MESH_STATE_QUERY:
       reply_state (f, m);
       break;
-    case MESH_WAITING_ASK:
+    case MESH_WAITING_QUERY:
       reply_waiting (f, m);
       break;
     default:
@@ -517,40 +532,40 @@
 }
 
 static void
-caller_tick (struct fleet *f, struct caller *c)
+caller_tick (struct fleet *f, struct api_request *c)
 {
-  if (f->now_ms >= c->until_ms)
+  if (f->now_ms >= c->deadline_ms)
     {
-      bool wrote = c->step == CALLER_WRITING && (c->maybe || c->token);
+      bool wrote = c->step == API_WRITING && (c->outcome_unknown || c->token);
       finish (f, c, wrote ? ANSWER_UNKNOWN : ANSWER_STORE_REFUSED, NULL);
     }
-  else if (c->step == CALLER_ASKING && !c->token
-           && f->now_ms - c->asked_ms >= FLEET_ASK_MS)
+  else if (c->step == API_QUERYING && !c->token
+           && f->now_ms - c->query_ms >= FLEET_QUERY_TIMEOUT_MS)
     {
-      f->stats.asks_lost++;
+      f->stats.queries_lost++;
       if (*c->id)
-        read_row (f, c, CALLER_READ_STATE);
+        read_row (f, c, API_READING_STATE);
       else
         finish (f, c, ANSWER_NO_LEADER, NULL);
     }
-  else if (c->next_ms && f->now_ms >= c->next_ms)
+  else if (c->retry_at_ms && f->now_ms >= c->retry_at_ms)
     send_again (f, c);
 }
 
 void
-gate_tick (struct fleet *f)
+api_tick (struct fleet *f)
 {
-  struct caller *c, *next;
+  struct api_request *c, *next;
 
-  RB_FOREACH_SAFE (c, caller_tree_f, &f->callers, next)
+  RB_FOREACH_SAFE (c, api_request_tree, &f->requests, next)
     caller_tick (f, c);
 }
 
 void
-gate_fini (struct fleet *f)
+api_fini (struct fleet *f)
 {
-  struct caller *c, *next;
+  struct api_request *c, *next;
 
-  RB_FOREACH_SAFE (c, caller_tree_f, &f->callers, next)
+  RB_FOREACH_SAFE (c, api_request_tree, &f->requests, next)
     caller_free (f, c);
 }
--- a/core/apply.c
+++ b/core/apply.c
@@ -20,7 +20,7 @@
   strcat (name, p->head.hash);
   p->step = STEP_APPLY_OBJECT;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->tokens;
   o->u.store.op.kind = STORE_OBJ_PUT;
   o->u.store.op.key = strdup (name);
   o->u.store.op.value = strdup (p->manifest);
@@ -34,7 +34,7 @@
 
   p->step = STEP_APPLY_HEAD;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->tokens;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, "head", p->head_ver);
   store_put (&o->u.store.op, "head", text);
@@ -48,7 +48,7 @@
 
   p->step = STEP_APPLY_CHECK;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->tokens;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
 }
@@ -60,13 +60,15 @@
 
   if (p->head.version > n->head.version)
     {
-      node_take_conf (n, &p->head, ver, p->manifest);
-      n->fresh_ms = p->sent_ms > n->fresh_ms ? p->sent_ms : n->fresh_ms;
+      node_install_conf (n, &p->head, ver, p->manifest);
+      n->conf_verified_ms = p->sent_ms > n->conf_verified_ms
+                                ? p->sent_ms
+                                : n->conf_verified_ms;
     }
   json_object_set_new (json, "version", json_integer (p->head.version));
   json_object_set_new (json, "change_id", json_string (p->head.change_id));
-  entry_answer_json (n, p->caller, 200, json, 0);
-  n->stats.errors[0]++;
+  entry_answer_json (n, p->http_call, 200, json, 0);
+  n->stats.answers[0]++;
   entry_pending_free (n, p);
 }
 
@@ -77,7 +79,7 @@
 
   snprintf (field, sizeof field, "base: version %lld is current",
             (long long)version);
-  entry_answer_err (n, p->caller, CLB_ECONFLICT, field, NULL, 0);
+  entry_answer_err (n, p->http_call, CLB_ECONFLICT, field, NULL, 0);
   n->next_head_ms = n->now_ms;
   entry_pending_free (n, p);
 }
@@ -97,7 +99,7 @@
     apply_done (n, p, row->ver);
   else if (head.version <= p->base_version)
     apply_head (n, p);
-  else if (head.version == p->head.version || !p->maybe_done)
+  else if (head.version == p->head.version || !p->may_have_applied)
     apply_conflict (n, p, head.version);
   else
     entry_finish_err (n, p, CLB_EUNKNOWN,
@@ -112,10 +114,10 @@
     apply_done (n, p, rep->n_rows ? rep->rows[0].ver : 0);
   else if (rep->err == CLB_ECONFLICT)
     apply_seen (n, p, rep->n_rows ? &rep->rows[0] : NULL);
-  else if (rep->err == CLB_EUNAVAIL && !p->maybe_done)
+  else if (rep->err == CLB_EUNAVAIL && !p->may_have_applied)
     entry_finish_err (n, p, CLB_EUNAVAIL, RETRY_HINT_MS);
   else
-    p->maybe_done = true;
+    p->may_have_applied = true;
 }
 
 bool
@@ -124,11 +126,11 @@
   struct pending *p;
 
   RB_FOREACH (p, pending_tree, &n->pending)
-    if (p->token == token)
+    if (p->store_token == token)
       break;
   if (!p)
     return false;
-  p->token = 0;
+  p->store_token = 0;
   switch (p->step)
     {
     case STEP_APPLY_OBJECT:
@@ -154,10 +156,11 @@
   char hash[CONF_HASH_HEX];
   int err;
 
-  if (n->head.version == 0 && *n->set.first_hash)
+  if (n->head.version == 0 && *n->settings.first_hash)
     {
-      conf_key_hash (n->set.first_salt, rq->bearer ? rq->bearer : "", hash);
-      return strcmp (hash, n->set.first_hash) == 0 ? 0 : CLB_EKEY;
+      conf_key_hash (n->settings.first_salt, rq->bearer ? rq->bearer : "",
+                     hash);
+      return strcmp (hash, n->settings.first_hash) == 0 ? 0 : CLB_EKEY;
     }
   err = node_authorize (n, n->now_ms, rq->bearer, team);
   return err ? err : *team ? CLB_EDENIED : 0;
@@ -200,16 +203,16 @@
     err = conf_parse (rq->body ? rq->body : "", rq->body_len, &c, &ce);
   if (err)
     {
-      entry_refuse (n, rq->call, err, ce.path);
+      entry_refuse (n, rq->http_call, err, ce.path);
       return;
     }
   conf_free (&c);
-  p = entry_pending_new (n, rq->call, CALL_N);
+  p = entry_pending_new (n, rq->http_call, CALL_N);
   p->base_version = entry_query_number (query, "base=");
   p->head_ver = n->head_ver;
   p->head.version = p->base_version + 1;
   clb_copy (p->head.change_id, change, sizeof p->head.change_id);
-  p->until_ms = n->now_ms + APPLY_WAIT_MS;
+  p->deadline_ms = n->now_ms + APPLY_WAIT_MS;
   if (p->base_version != n->head.version)
     {
       apply_conflict (n, p, n->head.version);
@@ -233,7 +236,7 @@
     err = may_apply (n, rq);
   if (err)
     {
-      entry_refuse (n, rq->call, err, NULL);
+      entry_refuse (n, rq->http_call, err, NULL);
       return;
     }
   json = json_object ();
@@ -242,7 +245,7 @@
   json_object_set_new (json, "hash", json_string (n->head.hash));
   if (!*team)
     json_object_set_new (json, "manifest", codec_write (&conf_desc, n->conf));
-  entry_answer_json (n, rq->call, 200, json, 0);
+  entry_answer_json (n, rq->http_call, 200, json, 0);
 }
 
 /* An operation without an answer is tried again, or found out about. */
@@ -256,6 +259,6 @@
       apply_object (n, p);
       return;
     }
-  p->maybe_done |= p->step == STEP_APPLY_HEAD;
+  p->may_have_applied |= p->step == STEP_APPLY_HEAD;
   apply_check (n, p);
 }
--- a/core/calls.c
+++ b/core/calls.c
@@ -14,7 +14,7 @@
 reply_err (struct sched *s, const char *entry, int64_t no, int err, int reason)
 {
   struct reply r = {
-    .no = no,
+    .call_seq = no,
     .err = err,
     .reason = reason,
     .retry_ms = clb_err_http (err) == 503 ? RETRY_HINT_MS : 0,
@@ -62,16 +62,16 @@
 {
   if (!same_request (t, c))
     {
-      reply_err (s, entry, c->no, CLB_EDUP, WHY_DUPLICATE);
+      reply_err (s, entry, c->seq, CLB_EDUP, WHY_DUPLICATE);
       return;
     }
   s->stats.reasons[WHY_DUPLICATE]++;
-  struct reply r = task_reply_now (t, c->no);
+  struct reply r = task_reply_now (t, c->seq);
   r.reason = WHY_DUPLICATE;
   if (c->verb == CALL_ACQUIRE)
     r.err = CLB_EDONE;
   /* Its accept may still be on the way to the table. */
-  if (t->durable)
+  if (t->accept_durable)
     sched_reply (s, entry, &r);
   else
     {
@@ -105,7 +105,7 @@
   t->state = TASK_PENDING;
   t->reason = WHY_ACCEPTED;
   RB_INSERT (request_tree, &s->requests, t);
-  task_record (s, t, REC_ACCEPT);
+  task_journal (s, t, REC_ACCEPT);
   journal_effect (s, EFFECT_ACCEPT, t->id);
   return t;
 }
@@ -124,7 +124,7 @@
     }
   err = call_refused (s, c);
   if (err)
-    reply_err (s, entry, c->no, err, WHY_NO_ROOM);
+    reply_err (s, entry, c->seq, err, WHY_NO_ROOM);
   return err != 0;
 }
 
@@ -140,29 +140,29 @@
             (long long)++s->next_id);
   t = accept_recorded (s, id, c);
   if (c->spec.deadline_ms > 0)
-    t->until_ms = s->now_ms + c->spec.deadline_ms;
-  task_reply_durable (s, t, entry, c->no);
+    t->expires_ms = s->now_ms + c->spec.deadline_ms;
+  task_reply_durable (s, t, entry, c->seq);
 }
 
 static void
 add_asker (struct sched *s, struct task *t, const char *entry,
            const struct call *c)
 {
-  struct asker *a;
+  struct waiter *a;
 
   /* The same call sent again. */
-  TAILQ_FOREACH (a, &t->askers, link)
-    if (a->no == c->no && strcmp (a->entry, entry) == 0)
+  TAILQ_FOREACH (a, &t->waiters, link)
+    if (a->call_seq == c->seq && strcmp (a->entry, entry) == 0)
       return;
   a = calloc (1, sizeof *a);
   if (!a)
     abort ();
   clb_copy (a->entry, entry, sizeof a->entry);
-  a->no = c->no;
-  a->stamp = c->stamp;
-  a->until_ms
+  a->call_seq = c->seq;
+  a->stamp = c->sent_ms;
+  a->expires_ms
       = s->now_ms + (c->wait_ms < ASKER_MAX_MS ? c->wait_ms : ASKER_MAX_MS);
-  TAILQ_INSERT_TAIL (&t->askers, a, link);
+  TAILQ_INSERT_TAIL (&t->waiters, a, link);
 }
 
 void
@@ -174,7 +174,7 @@
 
   clb_copy (r.executor, w->inst.id, sizeof r.executor);
   clb_copy (r.addr, w->inst.addr, sizeof r.addr);
-  r.stamp = stamp;
+  r.call_sent_ms = stamp;
   if (!t->recorded)
     {
       sched_reply (s, entry, &r);
@@ -191,13 +191,13 @@
                struct task *t)
 {
   if (task_state_final (t->state))
-    reply_err (s, entry, c->no, CLB_EDONE, t->reason);
+    reply_err (s, entry, c->seq, CLB_EDONE, t->reason);
   else if (t->n_members > 0 && t->members[0].worker)
-    service_reply (s, t, entry, c->no, c->stamp);
-  else if (TAILQ_EMPTY (&t->askers))
+    service_reply (s, t, entry, c->seq, c->sent_ms);
+  else if (TAILQ_EMPTY (&t->waiters))
     add_asker (s, t, entry, c);
   else
-    TAILQ_FIRST (&t->askers)->stamp = c->stamp;
+    TAILQ_FIRST (&t->waiters)->stamp = c->sent_ms;
 }
 
 /* A service request asks for a slot; the answer comes when one is free. */
@@ -220,10 +220,10 @@
   else
     {
       t = task_from_call (s, c->id, c);
-      t->durable = true;
+      t->accept_durable = true;
       task_enqueue (s, t);
     }
-  t->until_ms = s->now_ms + c->wait_ms;
+  t->expires_ms = s->now_ms + c->wait_ms;
   add_asker (s, t, entry, c);
 }
 
@@ -231,22 +231,22 @@
 void
 service_release (struct sched *s, struct task *t, int state)
 {
-  int end = END_OK;
+  int end = MEMBER_END_OK;
 
   if (state == TASK_CANCELLED)
-    end = END_NEVER;
+    end = MEMBER_END_NOT_STARTED;
   else if (state == TASK_FAILED)
-    end = END_FAILED;
+    end = MEMBER_END_FAILED;
   else if (state == TASK_UNKNOWN)
-    end = END_LOST;
+    end = MEMBER_END_LOST;
   if (t->n_members == 0)
     {
       task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
       return;
     }
   for (int64_t i = 0; i < t->n_members; i++)
-    member_clear (s, &t->members[i], end);
-  task_settle (s, t);
+    member_ended (s, &t->members[i], end);
+  task_evaluate (s, t);
 }
 
 static void
@@ -261,7 +261,7 @@
     service_release (s, t, c->state);
   e = journal_effect (s, EFFECT_REPLY, c->id);
   clb_copy (e->entry, entry, sizeof e->entry);
-  e->reply.no = c->no;
+  e->reply.call_seq = c->seq;
 }
 
 static void
@@ -270,32 +270,32 @@
 {
   if (task_state_final (t->state) || t->cancelled)
     {
-      task_reply_durable (s, t, entry, c->no);
+      task_reply_durable (s, t, entry, c->seq);
       return;
     }
-  if (!t->durable)
+  if (!t->accept_durable)
     {
-      reply_err (s, entry, c->no, CLB_ENOTFOUND, WHY_NONE);
+      reply_err (s, entry, c->seq, CLB_ENOTFOUND, WHY_NONE);
       return;
     }
   t->cancelled = true;
-  task_record (s, t, REC_CANCEL);
+  task_journal (s, t, REC_CANCEL);
   if (t->n_members == 0)
     task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else
     {
       t->state = TASK_STOPPING;
       task_stop_members (s, t);
-      task_settle (s, t);
+      task_evaluate (s, t);
     }
-  task_reply_durable (s, t, entry, c->no);
+  task_reply_durable (s, t, entry, c->seq);
 }
 
 static void
 call_why (struct sched *s, const char *entry, const struct call *c,
           const struct task *t)
 {
-  struct reply r = task_reply_now (t, c->no);
+  struct reply r = task_reply_now (t, c->seq);
 
   r.text = sched_why (s, t->id);
   sched_reply (s, entry, &r);
@@ -318,7 +318,7 @@
   struct task *t = sched_task (s, c->id);
 
   if (!t || !may_ask (s, c, t))
-    reply_err (s, entry, c->no, CLB_ENOTFOUND, WHY_NONE);
+    reply_err (s, entry, c->seq, CLB_ENOTFOUND, WHY_NONE);
   else if (c->verb == CALL_CANCEL)
     call_cancel (s, entry, c, t);
   else if (c->verb == CALL_WHY)
@@ -326,10 +326,10 @@
   else if (c->wait_ms > 0 && !task_state_final (t->state))
     add_asker (s, t, entry, c);
   else if (c->wait_ms > 0 && !t->end_durable)
-    task_reply_durable (s, t, entry, c->no);
+    task_reply_durable (s, t, entry, c->seq);
   else
     {
-      struct reply r = task_reply_now (t, c->no);
+      struct reply r = task_reply_now (t, c->seq);
       sched_reply (s, entry, &r);
     }
 }
@@ -343,7 +343,7 @@
      new work to its successor. */
   if (s->phase != SCHED_READY || !s->may_start || (s->stopping && new_work))
     {
-      reply_err (s, entry, c->no, CLB_ENOHOLDER, WHY_NONE);
+      reply_err (s, entry, c->seq, CLB_ENOHOLDER, WHY_NONE);
       return;
     }
   switch (c->verb)
@@ -366,24 +366,24 @@
 /* Service slots across a change of holder or entry instance. */
 
 void
-sched_held (struct sched *s, const struct held_list *held)
+sched_used_slots (struct sched *s, const struct held_list *held)
 {
   for (size_t i = 0; i < held->n_items; i++)
     {
-      const struct held *h = &held->items[i];
-      struct worker *w = pl_worker (&s->pl, h->executor);
+      const struct held_slot *h = &held->items[i];
+      struct worker *w = pool_worker (&s->pool, h->executor);
       if (sched_task (s, h->id) || !w)
         continue;
       struct task *t = task_new (s, h->id, h->team);
       t->lane = LANE_SERVICE;
       t->idempotent = true;
-      t->durable = true;
+      t->accept_durable = true;
       t->spec.members = 1;
       t->spec.need.slots = 1;
       t->spec.duration_ms = h->run_ms;
       clb_res_add (&w->used, &t->spec.need, 1);
       task_place (s, t, &w);
       t->state = TASK_RUNNING;
-      t->until_ms = task_slot_until (s, t);
+      t->expires_ms = task_slot_expiry_ms (s, t);
     }
 }
--- a/core/clb.c
+++ b/core/clb.c
@@ -79,8 +79,8 @@
   [WHY_ENTRY_LOST] = { "entry-lost", "the entry instance serving it is gone" },
   [WHY_GANG_MEMBER_FAILED]
   = { "member-failed", "another member of the gang failed" },
-  [WHY_GAVE_WAY] = { "gave-way", "stopped to make room for urgent work" },
-  [WHY_MAKES_ROOM] = { "makes-room", "the cheapest others are being stopped" },
+  [WHY_PREEMPTED] = { "gave-way", "stopped to make room for urgent work" },
+  [WHY_PREEMPTING] = { "makes-room", "the cheapest others are being stopped" },
 };
 
 const char *const task_state_names[TASK_STATE_N + 1]
--- a/core/clb.h
+++ b/core/clb.h
@@ -148,8 +148,8 @@
   WHY_DEADLINE,
   WHY_ENTRY_LOST,
   WHY_GANG_MEMBER_FAILED,
-  WHY_GAVE_WAY,   /* stopped to make room for urgent work */
-  WHY_MAKES_ROOM, /* urgent work has others stopped */
+  WHY_PREEMPTED,  /* stopped to make room for urgent work */
+  WHY_PREEMPTING, /* urgent work has others stopped */
   WHY_N
 };
 
--- a/core/entry.c
+++ b/core/entry.c
@@ -16,19 +16,19 @@
 };
 
 int
-pending_no_cmp (const struct pending *a, const struct pending *b)
+pending_seq_cmp (const struct pending *a, const struct pending *b)
 {
-  return a->call.no < b->call.no ? -1 : a->call.no > b->call.no;
+  return a->call.seq < b->call.seq ? -1 : a->call.seq > b->call.seq;
 }
 
 int
-pending_caller_cmp (const struct pending *a, const struct pending *b)
+pending_http_call_cmp (const struct pending *a, const struct pending *b)
 {
-  return a->caller < b->caller ? -1 : a->caller > b->caller;
+  return a->http_call < b->http_call ? -1 : a->http_call > b->http_call;
 }
 
-RB_GENERATE (pending_tree, pending, by_no, pending_no_cmp)
-RB_GENERATE (caller_tree, pending, by_call, pending_caller_cmp)
+RB_GENERATE (pending_tree, pending, by_no, pending_seq_cmp)
+RB_GENERATE (caller_tree, pending, by_call, pending_http_call_cmp)
 
 /* Answers. */
 
@@ -65,7 +65,7 @@
 {
   json_t *json = json_object ();
 
-  n->stats.errors[-err]++;
+  n->stats.answers[-err]++;
   json_object_set_new (json, "error", json_string (clb_err_name (err)));
   json_object_set_new (json, "outcome",
                        json_string (clb_outcome_name (clb_err_outcome (err))));
@@ -110,10 +110,10 @@
 
   if (!p)
     abort ();
-  p->caller = caller;
+  p->http_call = caller;
   p->call.verb = verb;
-  p->call.no = ++n->next_no;
-  p->began_ms = n->now_ms;
+  p->call.seq = ++n->last_call_seq;
+  p->arrival_ms = n->now_ms;
   RB_INSERT (pending_tree, &n->pending, p);
   if (caller)
     RB_INSERT (caller_tree, &n->callers, p);
@@ -122,17 +122,17 @@
 }
 
 void
-entry_pending_uncall (struct node *n, struct pending *p)
+entry_pending_detach (struct node *n, struct pending *p)
 {
-  if (p->caller)
+  if (p->http_call)
     RB_REMOVE (caller_tree, &n->callers, p);
-  p->caller = 0;
+  p->http_call = 0;
 }
 
 void
 entry_pending_free (struct node *n, struct pending *p)
 {
-  entry_pending_uncall (n, p);
+  entry_pending_detach (n, p);
   RB_REMOVE (pending_tree, &n->pending, p);
   n->n_pending--;
   free (p->manifest);
@@ -149,7 +149,7 @@
 }
 
 bool
-entry_apply_open (struct node *n)
+entry_apply_in_progress (struct node *n)
 {
   struct pending *p;
 
@@ -162,15 +162,15 @@
 static struct pending *
 pending_by_no (struct node *n, int64_t no)
 {
-  struct pending key = { .call = { .no = no } };
+  struct pending key = { .call = { .seq = no } };
 
   return RB_FIND (pending_tree, &n->pending, &key);
 }
 
 struct pending *
-entry_pending_by_caller (struct node *n, uint64_t caller)
+entry_pending_by_http_call (struct node *n, uint64_t caller)
 {
-  struct pending key = { .caller = caller };
+  struct pending key = { .http_call = caller };
 
   return caller ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
@@ -188,7 +188,7 @@
     n->stats.retries++;
   clb_copy (p->holder, holder, sizeof p->holder);
   p->sent_ms = n->now_ms;
-  p->call.stamp = n->now_ms;
+  p->call.sent_ms = n->now_ms;
   m.u.call = p->call;
   node_send (n, holder, &m);
 }
@@ -196,7 +196,7 @@
 void
 entry_finish_err (struct node *n, struct pending *p, int err, int64_t retry_ms)
 {
-  entry_answer_err (n, p->caller, err, NULL, p->call.id, retry_ms);
+  entry_answer_err (n, p->http_call, err, NULL, p->call.id, retry_ms);
   entry_pending_free (n, p);
 }
 
@@ -204,13 +204,13 @@
 void
 entry_pending_release (struct node *n, struct pending *p, int state, bool bad)
 {
-  entry_pending_uncall (n, p);
+  entry_pending_detach (n, p);
   p->step = STEP_RELEASING;
   p->holder[0] = '\0';
   p->call.verb = CALL_RELEASE;
   p->call.state = state;
   p->call.bad_server = bad;
-  p->until_ms = n->now_ms + RELEASE_WAIT_MS;
+  p->deadline_ms = n->now_ms + RELEASE_WAIT_MS;
   entry_pending_send (n, p);
 }
 
@@ -224,7 +224,7 @@
   int err;
 
   n->now_ms = now_ms;
-  if (!node_fresh (n))
+  if (!node_conf_fresh (n))
     return CLB_ESTALE;
   err = conf_key_check (n->conf, bearer, &key);
   if (err)
@@ -266,13 +266,14 @@
 {
   const char *holder = node_holder (n, domain);
   const struct peer *p = holder ? node_find_peer (n, holder) : NULL;
-  struct pl_sum sum = n->sum;
+  struct pool_sum sum = n->capacity;
   struct clb_res need = { 0 };
 
   if (!holder)
     return FIT_NO_HOLDER;
   if (p)
-    sum = (struct pl_sum){ p->hello.room, p->hello.size, p->hello.largest };
+    sum = (struct pool_sum){ p->hello.free_capacity, p->hello.total_capacity,
+                             p->hello.largest_worker };
   clb_res_add (&need, &spec->need, spec->members);
   if (!clb_res_fits (&spec->need, &sum.largest)
       || !clb_res_fits (&need, &sum.size))
@@ -284,7 +285,7 @@
 const char *
 entry_pick_domain (struct node *n, const struct spec *spec)
 {
-  const char *best = n->set.domain;
+  const char *best = n->settings.domain;
   int best_fit = domain_fit (n, best, spec);
 
   for (int i = 0; i < n->n_peers; i++)
@@ -351,20 +352,20 @@
 
   if (rq->body_len > BODY_MAX)
     {
-      entry_refuse (n, rq->call, CLB_ETOOBIG, "body");
+      entry_refuse (n, rq->http_call, CLB_ETOOBIG, "body");
       return;
     }
   err = codec_parse (&spec_desc, rq->body, rq->body_len, CODEC_STRICT, &spec,
                      &ce);
   if (err)
     {
-      entry_refuse (n, rq->call, err, ce.path);
+      entry_refuse (n, rq->http_call, err, ce.path);
       return;
     }
   q = conf_queue (n->conf, spec.queue);
   if (!q || q->lane != LANE_TASK)
     {
-      entry_refuse (n, rq->call, n->head.version ? CLB_EREF : CLB_ESTALE,
+      entry_refuse (n, rq->http_call, n->head.version ? CLB_EREF : CLB_ESTALE,
                     "queue");
       return;
     }
@@ -376,17 +377,17 @@
     err = CLB_ENOHOLDER;
   if (err)
     {
-      entry_refuse (n, rq->call, err, field);
+      entry_refuse (n, rq->http_call, err, field);
       return;
     }
-  struct pending *p = entry_pending_new (n, rq->call, CALL_SUBMIT);
+  struct pending *p = entry_pending_new (n, rq->http_call, CALL_SUBMIT);
   p->call.spec = spec;
   p->call.class = q->class;
   p->call.idempotent = q->idempotent;
   p->call.max_waiting = q->max_waiting;
   clb_copy (p->call.team, team, sizeof p->call.team);
   clb_copy (p->domain, domain, sizeof p->domain);
-  p->until_ms = n->now_ms + SUBMIT_WAIT_MS;
+  p->deadline_ms = n->now_ms + SUBMIT_WAIT_MS;
   entry_pending_send (n, p);
 }
 
@@ -417,10 +418,10 @@
     err = CLB_ENOTFOUND;
   if (err)
     {
-      entry_refuse (n, rq->call, err, "id");
+      entry_refuse (n, rq->http_call, err, "id");
       return;
     }
-  p = entry_pending_new (n, rq->call, verb);
+  p = entry_pending_new (n, rq->http_call, verb);
   memcpy (p->call.id, id, len);
   memcpy (p->domain, id, (size_t)(dot - id));
   clb_copy (p->call.team, team, sizeof p->call.team);
@@ -428,7 +429,7 @@
   p->call.wait_ms = entry_query_number (query, "wait_ms=");
   if (p->call.wait_ms < 0 || p->call.wait_ms > LONG_WAIT_MAX_MS)
     p->call.wait_ms = LONG_WAIT_MAX_MS;
-  p->until_ms = n->now_ms + ABOUT_WAIT_MS + p->call.wait_ms;
+  p->deadline_ms = n->now_ms + ABOUT_WAIT_MS + p->call.wait_ms;
   entry_pending_send (n, p);
   if (!*p->holder)
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
@@ -437,15 +438,15 @@
 void
 node_caller_gone (struct node *n, int64_t now_ms, uint64_t call)
 {
-  struct pending *p = entry_pending_by_caller (n, call);
+  struct pending *p = entry_pending_by_http_call (n, call);
 
   n->now_ms = now_ms;
   if (!p || p->step == STEP_FORWARDED)
     return;
   if (p->call.verb == CALL_ACQUIRE)
     entry_pending_release (n, p, TASK_CANCELLED, false);
-  else if (p->step != STEP_ASKING)
-    entry_pending_uncall (n, p); /* an apply goes on */
+  else if (p->step != STEP_AWAIT_REPLY)
+    entry_pending_detach (n, p); /* an apply goes on */
   else
     entry_pending_free (n, p);
 }
@@ -455,13 +456,14 @@
 static void
 reply_acquire (struct node *n, struct pending *p, const struct reply *r)
 {
-  if (p->step != STEP_ASKING)
+  if (p->step != STEP_AWAIT_REPLY)
     return;
   if (*r->executor)
     service_forward (n, p, r);
   else
     {
-      entry_answer_err (n, p->caller, (int)r->err, NULL, r->id, r->retry_ms);
+      entry_answer_err (n, p->http_call, (int)r->err, NULL, r->id,
+                        r->retry_ms);
       entry_pending_free (n, p);
     }
 }
@@ -474,8 +476,8 @@
 
   if (p->call.verb == CALL_WHY && r->text)
     json_object_set_new (json, "history", json_loads (r->text, 0, NULL));
-  entry_answer_json (n, p->caller, status, json, 0);
-  n->stats.errors[0]++;
+  entry_answer_json (n, p->http_call, status, json, 0);
+  n->stats.answers[0]++;
   entry_pending_free (n, p);
 }
 
@@ -498,7 +500,7 @@
 void
 entry_reply (struct node *n, const struct reply *r)
 {
-  struct pending *p = pending_by_no (n, r->no);
+  struct pending *p = pending_by_no (n, r->call_seq);
 
   if (!p)
     {
@@ -529,9 +531,9 @@
   int err = node_authorize (n, n->now_ms, rq->bearer, team);
 
   if (err)
-    entry_refuse (n, rq->call, err, NULL);
+    entry_refuse (n, rq->http_call, err, NULL);
   else
-    entry_answer (n, rq->call, 200, view_status (n), 0);
+    entry_answer (n, rq->http_call, 200, view_status (n), 0);
 }
 
 /* The part of @path behind @prefix, or NULL. */
@@ -568,9 +570,9 @@
   else if (strcmp (rq->path, "/v1/status") == 0 && get)
     show_status (n, rq);
   else if (strcmp (rq->path, "/metrics") == 0 && get)
-    entry_answer (n, rq->call, 200, view_metrics (n), 0);
+    entry_answer (n, rq->http_call, 200, view_metrics (n), 0);
   else
-    entry_refuse (n, rq->call, CLB_ENOTFOUND, "path");
+    entry_refuse (n, rq->http_call, CLB_ENOTFOUND, "path");
 }
 
 void
@@ -579,9 +581,9 @@
   n->now_ms = now_ms;
   n->stats.requests++;
   if (n->stopping)
-    entry_refuse (n, rq->call, CLB_ESTOPPING, NULL);
+    entry_refuse (n, rq->http_call, CLB_ESTOPPING, NULL);
   else if (n->n_pending >= PENDING_MAX)
-    entry_refuse (n, rq->call, CLB_EFULL, NULL);
+    entry_refuse (n, rq->http_call, CLB_EFULL, NULL);
   else
     route (n, rq);
 }
@@ -601,7 +603,7 @@
     case STEP_APPLY_OBJECT:
       entry_finish_err (n, p, CLB_EUNAVAIL, RETRY_HINT_MS);
       return;
-    case STEP_ASKING:
+    case STEP_AWAIT_REPLY:
       break;
     default:
       entry_finish_err (n, p, CLB_EUNKNOWN, 0);
@@ -610,7 +612,8 @@
   if (p->call.verb == CALL_ACQUIRE)
     {
       /* Nothing has left for an executor, and nothing will. */
-      entry_answer_err (n, p->caller, CLB_ETIMEOUT, NULL, NULL, RETRY_HINT_MS);
+      entry_answer_err (n, p->http_call, CLB_ETIMEOUT, NULL, NULL,
+                        RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, false);
     }
   else if (p->call.verb == CALL_SUBMIT || p->call.verb == CALL_CANCEL)
@@ -625,9 +628,9 @@
   const char *holder;
 
   if (n->stopping && p->step == STEP_RELEASING
-      && p->until_ms > n->stopping_ms + RELEASE_STOP_MS)
-    p->until_ms = n->stopping_ms + RELEASE_STOP_MS;
-  if (n->now_ms >= p->until_ms)
+      && p->deadline_ms > n->stopping_ms + RELEASE_STOP_MS)
+    p->deadline_ms = n->stopping_ms + RELEASE_STOP_MS;
+  if (n->now_ms >= p->deadline_ms)
     {
       give_up (n, p);
       return;
@@ -637,7 +640,7 @@
       apply_tick (n, p);
       return;
     }
-  if (p->step != STEP_ASKING && p->step != STEP_RELEASING)
+  if (p->step != STEP_AWAIT_REPLY && p->step != STEP_RELEASING)
     return;
   holder = node_holder (n, p->domain);
   if (holder
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -20,9 +20,9 @@
 };
 
 static void
-grant_key (const struct team *team, char out[KEY_SIZE])
+grant_key (const struct team *team, char out[ROW_KEY_SIZE])
 {
-  snprintf (out, KEY_SIZE, "grant/%s", team->name);
+  snprintf (out, ROW_KEY_SIZE, "grant/%s", team->name);
 }
 
 static struct grant *
@@ -53,7 +53,7 @@
       if (strcmp (g->domain, s->domain) == 0)
         continue;
       clb_res_add (&sum, &g->amount, 1);
-      *want |= g->want;
+      *want |= g->wants_more;
     }
   return sum;
 }
@@ -69,15 +69,15 @@
 }
 
 bool
-escrow_room (struct sched *s, struct team *team, const struct clb_res *need,
-             int64_t n)
+escrow_allows (struct sched *s, struct team *team, const struct clb_res *need,
+               int64_t n)
 {
   struct clb_res total = team->used;
 
   clb_res_add (&total, need, n);
   if (!team->frozen && clb_res_fits (&total, &team->granted))
     return true;
-  team->want = true;
+  team->wants_more = true;
   team->idle_since_ms = s->now_ms;
   return false;
 }
@@ -106,7 +106,7 @@
   struct clb_res part;
 
   for (int k = 0; k < RES_N; k++)
-    clb_res_set (&part, k, clb_res_get (&team->limit, k) / s->domains);
+    clb_res_set (&part, k, clb_res_get (&team->limit, k) / s->n_domains);
   return part;
 }
 
@@ -134,7 +134,7 @@
   for (int k = 0; k < RES_N; k++)
     {
       int64_t have = clb_res_get (&team->granted, k);
-      int64_t aim = clb_res_get (&team->wanted, k);
+      int64_t aim = clb_res_get (&team->demand, k);
       /* Beyond its even part a domain goes only while nobody else waits. */
       if (want)
         aim = min64 (aim, clb_res_get (&base, k));
@@ -162,15 +162,16 @@
   return part;
 }
 
-/* The team is acted on again @wait_ms after now, and not before the answer. */
+/* The team is acted on again @wait_ms after now, and not before the
+ * answer. */
 static void
 read_row (struct sched *s, struct team *team, int64_t wait_ms)
 {
   struct out *o = out_new (s->out, OUT_STORE);
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   grant_key (team, key);
-  o->u.store.token = team->op = ++*s->tokens;
+  o->u.store.token = team->op_token = ++*s->tokens;
   o->u.store.op.kind = team->op_kind = STORE_GET;
   o->u.store.op.key = strdup (key);
   team->next_op_ms = s->now_ms + wait_ms;
@@ -183,15 +184,15 @@
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
   struct grant *g = row_part (&team->row, s->domain);
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   g->amount = *part;
-  g->want = want;
-  team->told_want = want;
+  g->wants_more = want;
+  team->want_written = want;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
-  o->u.store.token = team->op = ++*s->tokens;
+  o->u.store.token = team->op_token = ++*s->tokens;
   op->kind = team->op_kind = STORE_TXN;
   store_cond (op, s->journal.epoch_key, s->journal.epoch_ver);
   store_cond (op, key, team->row_ver);
@@ -243,17 +244,17 @@
 
   RB_FOREACH (team, team_tree, &s->teams)
     {
-      bool rose = team->limit.cores >= team->limit_seen.cores
-                  && team->limit.mem_mb >= team->limit_seen.mem_mb
-                  && team->limit.accels >= team->limit_seen.accels
-                  && team->limit.slots >= team->limit_seen.slots;
+      bool rose = team->limit.cores >= team->last_limit.cores
+                  && team->limit.mem_mb >= team->last_limit.mem_mb
+                  && team->limit.accels >= team->last_limit.accels
+                  && team->limit.slots >= team->last_limit.slots;
       if (!rose || over_limit (s, team))
         {
           team->frozen = true;
           team->row_known = false;
-          team->restamp = true;
+          team->rewrite_due = true;
         }
-      team->limit_seen = team->limit;
+      team->last_limit = team->limit;
       team->next_op_ms = 0;
     }
 }
@@ -264,7 +265,7 @@
   struct team *team;
 
   RB_FOREACH (team, team_tree, &s->teams)
-    if (team->op == token)
+    if (team->op_token == token)
       return team;
   return NULL;
 }
@@ -273,7 +274,7 @@
 wrote (struct sched *s, struct team *team, const struct store_rep *rep)
 {
   bool raised = !clb_res_fits (&team->op_granted, &team->granted);
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   grant_key (team, key);
   team->granted = team->op_granted;
@@ -298,7 +299,7 @@
   if (!row.teams)
     abort ();
   RB_FOREACH (team, team_tree, &s->teams)
-    if (team->told_want && row.n_teams < CONF_TEAMS_MAX)
+    if (team->want_written && row.n_teams < CONF_TEAMS_MAX)
       clb_copy (row.teams[row.n_teams++].team, team->name, CLB_NAME_MAX);
   text = codec_text (&want_row_desc, &row);
   free (row.teams);
@@ -309,22 +310,22 @@
 want_write (struct sched *s)
 {
   char *text = want_text (s);
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
   struct out *o;
 
-  if (s->want_told && strcmp (s->want_told, text) == 0)
+  if (s->want_written && strcmp (s->want_written, text) == 0)
     {
       free (text);
       return;
     }
   o = out_new (s->out, OUT_STORE);
   snprintf (key, sizeof key, "want/%s", s->domain);
-  o->u.store.token = s->want_put = ++*s->tokens;
+  o->u.store.token = s->want_write_token = ++*s->tokens;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_ver);
   store_put (&o->u.store.op, key, text);
-  free (s->want_told);
-  s->want_told = text;
+  free (s->want_written);
+  s->want_written = text;
 }
 
 static void
@@ -332,10 +333,10 @@
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
-  o->u.store.token = s->want_token = ++*s->tokens;
+  o->u.store.token = s->want_read_token = ++*s->tokens;
   o->u.store.op.kind = STORE_LIST;
   o->u.store.op.key = strdup ("want/");
-  s->want_sent_ms = s->now_ms;
+  s->want_read_ms = s->now_ms;
 }
 
 static void
@@ -357,19 +358,19 @@
 static bool
 want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
-  if (token == s->want_put)
+  if (token == s->want_write_token)
     {
-      s->want_put = 0;
+      s->want_write_token = 0;
       if (rep->err)
         {
-          free (s->want_told);
-          s->want_told = NULL;
+          free (s->want_written);
+          s->want_written = NULL;
         }
       return true;
     }
-  if (token != s->want_token)
+  if (token != s->want_read_token)
     return false;
-  s->want_token = 0;
+  s->want_read_token = 0;
   for (size_t i = 0; rep->err == 0 && i < rep->n_rows; i++)
     want_row (s, &rep->rows[i]);
   return true;
@@ -378,13 +379,13 @@
 static void
 want_tick (struct sched *s)
 {
-  if (s->now_ms - s->want_sent_ms > WANT_TIMEOUT_MS)
-    s->want_token = 0;
-  if (s->now_ms < s->next_want_ms || s->want_token)
+  if (s->now_ms - s->want_read_ms > WANT_TIMEOUT_MS)
+    s->want_read_token = 0;
+  if (s->now_ms < s->next_want_ms || s->want_read_token)
     return;
   s->next_want_ms = s->now_ms + WANT_PERIOD_MS;
   want_read (s);
-  if (!s->want_put)
+  if (!s->want_write_token)
     want_write (s);
 }
 
@@ -393,12 +394,12 @@
 {
   struct team *team = token ? team_of_op (s, token) : NULL;
   bool write;
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   if (!team)
     return token && want_store (s, token, rep);
   write = team->op_kind == STORE_TXN;
-  team->op = 0;
+  team->op_token = 0;
   grant_key (team, key);
   if (rep->err == 0 && write)
     wrote (s, team, rep);
@@ -412,7 +413,7 @@
   for (size_t i = 0; rep->err == CLB_ECONFLICT && i < rep->n_rows; i++)
     {
       if (strcmp (rep->rows[i].key, s->journal.epoch_key) == 0)
-        s->phase = SCHED_LOST;
+        s->phase = SCHED_SUPERSEDED;
       if (strcmp (rep->rows[i].key, key) != 0)
         continue;
       take_row (s, team, &rep->rows[i]);
@@ -451,11 +452,11 @@
 {
   struct clb_res part = raised_part (s, team);
   struct grant *mine = row_part (&team->row, s->domain);
-  bool short_of = team->want && !clb_res_fits (&team->wanted, &part);
+  bool short_of = team->wants_more && !clb_res_fits (&team->demand, &part);
 
-  if (!same_res (&part, &team->granted) || mine->want != short_of)
+  if (!same_res (&part, &team->granted) || mine->wants_more != short_of)
     write_part (s, team, &part, short_of);
-  else if (team->want)
+  else if (team->wants_more)
     read_row (s, team, READ_PERIOD_MS);
 }
 
@@ -473,7 +474,7 @@
   part = lowered_part (s, team, want && idle);
   if (same_res (&part, &team->granted))
     return false;
-  write_part (s, team, &part, team->want);
+  write_part (s, team, &part, team->wants_more);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
@@ -481,28 +482,28 @@
 static void
 team_act (struct sched *s, struct team *team)
 {
-  bool idle = s->now_ms - team->idle_since_ms >= IDLE_MS && !team->want;
+  bool idle = s->now_ms - team->idle_since_ms >= IDLE_MS && !team->wants_more;
   bool want;
 
   others_sum (s, team, &want);
-  team->wanted = wanted_part (team);
+  team->demand = wanted_part (team);
   team->frozen = over_limit (s, team);
   if (team->frozen)
     shrink (s, team);
-  else if (team->restamp)
+  else if (team->rewrite_due)
     {
       /* Domains that go by an older limit may not raise past this row. */
-      write_part (s, team, &team->granted, team->want);
-      team->restamp = false;
+      write_part (s, team, &team->granted, team->wants_more);
+      team->rewrite_due = false;
     }
-  else if (!give_back (s, team, idle) && (team->want || !want))
+  else if (!give_back (s, team, idle) && (team->wants_more || !want))
     raise_part (s, team);
 }
 
 static void
 team_tick (struct sched *s, struct team *team)
 {
-  if (team->op || s->now_ms < team->next_op_ms)
+  if (team->op_token || s->now_ms < team->next_op_ms)
     return;
   if (team->row_known && team->row.conf_version > s->conf->version)
     {
@@ -515,9 +516,9 @@
       return;
     }
   team_act (s, team);
-  if (!team->op)
+  if (!team->op_token)
     team->next_op_ms = s->now_ms + GIVE_PERIOD_MS;
-  team->want = false;
+  team->wants_more = false;
   s->dirty |= team->waiting > 0;
 }
 
--- a/core/fconf.h
+++ b/core/fconf.h
@@ -21,7 +21,7 @@
   char host[FCONF_HOST_SIZE];
   char prefix[FCONF_PREFIX_SIZE];
   char service[CLB_NAME_MAX];
-  bool open; /* no key is asked for */
+  bool is_public; /* no key is asked for */
   int64_t timeout_ms;
   int64_t priority; /* 0 goes first */
   int64_t attempts;
@@ -48,7 +48,7 @@
 {
   char name[CLB_NAME_MAX];
   char health_path[FCONF_PREFIX_SIZE];
-  bool guards; /* its executors refuse what does not fit */
+  bool enforces_capacity; /* its executors refuse what does not fit */
 };
 
 struct fconf
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -7,10 +7,10 @@
 enum
 {
   /* A silent executor's lease, on a clock 2% slow, after the earlier leader
-     has surely stopped giving orders: it may order for LEAD_ORDER_MS, of
-     which LEAD_STILL_MS had passed before the claim. */
-  WAIT_OUT_MS
-  = LEAD_ORDER_MS - LEAD_STILL_MS + CELL_LEASE_MS * 102 / 100 + 300,
+     has surely stopped giving orders: it may order for LEADER_ORDER_MS, of
+     which LEADER_CLAIM_AFTER_MS had passed before the claim. */
+  WAIT_OUT_MS = LEADER_ORDER_MS - LEADER_CLAIM_AFTER_MS
+                + FSCHED_LEASE_MS * 102 / 100 + 300,
   AGE_MAX_MS = 86400000,
   TOKEN_BITS = 20, /* of a call's number, below its boot's time: the next
                       life's numbers begin beyond all that this one may use */
@@ -22,23 +22,23 @@
 fleet_init (struct fleet *f, const struct fleet_settings *set, int64_t now_ms)
 {
   memset (f, 0, sizeof *f);
-  f->set = *set;
+  f->settings = *set;
   f->now_ms = now_ms;
   /* An answer to an earlier life of this instance matches nothing. */
   f->tokens = (uint64_t)set->boot << TOKEN_BITS;
   TAILQ_INIT (&f->out);
-  RB_INIT (&f->callers);
-  lead_init (&f->lead, now_ms, set->id, set->mesh_addr, set->boot,
-             set->millicores, &f->out, &f->tokens);
+  RB_INIT (&f->requests);
+  leader_init (&f->leader, now_ms, set->id, set->mesh_addr, set->boot,
+               set->millicores, &f->out, &f->tokens);
   follow_init (&f->conf_feed, set->codec.conf_table, 0, FLEET_FEED_WAIT_MS,
                &f->out, &f->tokens);
   follow_init (&f->exec_feed, set->codec.exec_table, 0, FLEET_FEED_WAIT_MS,
                &f->out, &f->tokens);
-  follow_init (&f->job_feed, "job", CELL_JOB_PARTS, FLEET_FEED_WAIT_MS,
+  follow_init (&f->job_feed, "job", FSCHED_JOB_PARTS, FLEET_FEED_WAIT_MS,
                &f->out, &f->tokens);
-  f->job_feed.pause_ms = FLEET_JOBS_GAP_MS;
-  f->proved_ms = INT64_MIN / 2;
-  f->peer_fresh_ms = INT64_MIN / 2;
+  f->job_feed.batch_ms = FLEET_JOBS_BATCH_MS;
+  f->conf_current_ms = INT64_MIN / 2;
+  f->table_peer_fresh_ms = INT64_MIN / 2;
   proxy_init (f);
   follow_start (&f->conf_feed, now_ms);
 }
@@ -46,11 +46,11 @@
 static void
 drop_cell (struct fleet *f)
 {
-  cell_free (f->cell);
-  f->cell = NULL;
+  fsched_free (f->fsched);
+  f->fsched = NULL;
   follow_stop (&f->exec_feed);
   follow_stop (&f->job_feed);
-  load_stop (f);
+  fleet_load_stop (f);
 }
 
 void
@@ -58,10 +58,10 @@
 {
   struct out *o;
 
-  gate_fini (f);
+  api_fini (f);
   proxy_fini (f);
   drop_cell (f);
-  lead_fini (&f->lead);
+  leader_fini (&f->leader);
   follow_stop (&f->conf_feed);
   fconf_free (f->conf);
   while ((o = out_take (&f->out)))
@@ -73,9 +73,9 @@
 {
   struct out *o = out_new (&f->out, OUT_MESH);
 
-  clb_copy (m->from, f->set.id, sizeof m->from);
-  clb_copy (m->addr, f->set.mesh_addr, sizeof m->addr);
-  m->epoch = f->lead.epoch;
+  clb_copy (m->from, f->settings.id, sizeof m->from);
+  clb_copy (m->addr, f->settings.mesh_addr, sizeof m->addr);
+  m->epoch = f->leader.epoch;
   clb_copy (o->u.mesh.addr, addr, sizeof o->u.mesh.addr);
   o->u.mesh.msg = m;
 }
@@ -88,18 +88,18 @@
 
   if (!m)
     abort ();
-  m->kind = MESH_ADVISE_ASK;
-  m->no = (int64_t)o->no;
+  m->kind = MESH_ADVICE_QUERY;
+  m->seq = (int64_t)o->id;
   m->valid_ms = o->timeout_ms;
   clb_copy (m->id, o->task.job, sizeof m->id);
   m->occurrence = o->task.occurrence;
   m->step = o->task.step;
-  m->names = calloc (o->n_names ? o->n_names : 1, sizeof *m->names);
-  if (!m->names)
+  m->execs = calloc (o->n_execs ? o->n_execs : 1, sizeof *m->execs);
+  if (!m->execs)
     abort ();
-  m->n_names = o->n_names;
-  for (size_t i = 0; i < o->n_names; i++)
-    clb_copy (m->names[i].exec, o->names[i], CLB_ID_MAX);
+  m->n_execs = o->n_execs;
+  for (size_t i = 0; i < o->n_execs; i++)
+    clb_copy (m->execs[i].exec, o->execs[i], CLB_ID_MAX);
   fleet_send (f, o->addr, m);
 }
 
@@ -124,11 +124,11 @@
 const char *
 fleet_leader_addr (const struct fleet *f)
 {
-  if (f->lead.state == LEAD_HOLD || !*f->lead.holder_addr
-      || strcmp (f->lead.holder, f->set.id) == 0
-      || f->now_ms - f->leader_heard_ms > LEAD_SILENT_MS)
+  if (f->leader.state == LEADER_LEADING || !*f->leader.holder_addr
+      || strcmp (f->leader.holder, f->settings.id) == 0
+      || f->now_ms - f->leader_last_contact_ms > LEADER_UNREACHABLE_MS)
     return NULL;
-  return f->lead.holder_addr;
+  return f->leader.holder_addr;
 }
 
 /* Configuration. */
@@ -136,8 +136,8 @@
 static void
 proved (struct fleet *f, int64_t at_ms)
 {
-  if (f->conf && at_ms > f->proved_ms)
-    f->proved_ms = at_ms;
+  if (f->conf && at_ms > f->conf_current_ms)
+    f->conf_current_ms = at_ms;
 }
 
 static void
@@ -147,9 +147,9 @@
   struct codec_err ce = { 0 };
   int err;
 
-  if (strcmp (row->key, f->set.codec.conf_key) != 0 || !row->value)
+  if (strcmp (row->key, f->settings.codec.conf_key) != 0 || !row->value)
     return;
-  err = f->set.codec.conf (row->value, &conf, &ce);
+  err = f->settings.codec.conf (row->value, &conf, &ce);
   if (err)
     {
       f->stats.bad_rows++;
@@ -169,26 +169,27 @@
             conf->n_tenants);
   fconf_free (f->conf);
   f->conf = conf;
-  if (f->cell)
-    cell_conf (f->cell, conf);
+  if (f->fsched)
+    fsched_set_conf (f->fsched, conf);
 }
 
 static bool
 config_store (struct fleet *f, uint64_t token, const struct store_rep *rep)
 {
   bool mine;
-  int event = follow_store (&f->conf_feed, f->now_ms, token, rep, true, &mine);
+  int event
+      = follow_store_reply (&f->conf_feed, f->now_ms, token, rep, true, &mine);
 
   if (!mine)
     return false;
-  if (rep->err && !f->store_lost)
+  if (rep->err && !f->conf_feed_failed)
     {
-      f->store_lost_ms = f->now_ms;
+      f->conf_feed_failed_since_ms = f->now_ms;
       out_line (&f->out, "event=store-lost error=%s", clb_err_name (rep->err));
     }
-  else if (!rep->err && f->store_lost)
+  else if (!rep->err && f->conf_feed_failed)
     out_line (&f->out, "event=store-regained");
-  f->store_lost = rep->err != 0;
+  f->conf_feed_failed = rep->err != 0;
   if (event == FOLLOW_NONE)
     return true;
   for (size_t i = 0; i < rep->n_rows; i++)
@@ -205,7 +206,8 @@
   struct codec_err ce;
   int64_t age = 0;
 
-  if (cell_state (f->cell, id) >= 0 || strcmp (text, CELL_TRIMMED) == 0)
+  if (fsched_job_state (f->fsched, id) >= 0
+      || strcmp (text, FSCHED_TRIMMED) == 0)
     return;
   if (codec_parse (&job_spec_desc, text, strlen (text), CODEC_LENIENT, &spec,
                    &ce)
@@ -218,9 +220,9 @@
     }
   /* Of a job that has just come, only wall clocks could tell, and instances'
      differ by seconds. */
-  if (!f->cell->going && f->wall_ms > spec.accepted_ms)
+  if (!f->fsched->loaded && f->wall_ms > spec.accepted_ms)
     age = f->wall_ms - spec.accepted_ms;
-  cell_job (f->cell, &spec, !f->cell->going, age);
+  fsched_add_job (f->fsched, &spec, !f->fsched->loaded, age);
 }
 
 static void
@@ -235,7 +237,7 @@
   if (!slash[JOB_ID_SIZE])
     take_job (f, id, row->value);
   else if (strcmp (slash + JOB_ID_SIZE, SUFFIX_CANCEL) == 0)
-    cell_cancel (f->cell, id);
+    fsched_cancel (f->fsched, id);
 }
 
 /* The same as through the feed, sooner.  The rule is the same too: what is
@@ -243,17 +245,17 @@
 static void
 hear_job (struct fleet *f, const char *id, const char *record)
 {
-  if (!f->cell || !f->cell->going || !lead_may_admit (&f->lead, f->now_ms)
-      || !job_id_ok (id))
+  if (!f->fsched || !f->fsched->loaded
+      || !leader_lease_valid (&f->leader, f->now_ms) || !job_id_ok (id))
     return;
   if (record)
     take_job (f, id, record);
   else
-    cell_cancel (f->cell, id);
+    fsched_cancel (f->fsched, id);
 }
 
 void
-fleet_tell_job (struct fleet *f, const char *id, const char *record)
+fleet_notify_job (struct fleet *f, const char *id, const char *record)
 {
   const char *addr = fleet_leader_addr (f);
   struct mesh_msg *m;
@@ -264,9 +266,9 @@
   m = calloc (1, sizeof *m);
   if (!m)
     abort ();
-  m->kind = MESH_JOB;
+  m->kind = MESH_JOB_NOTICE;
   clb_copy (m->id, id, sizeof m->id);
-  m->text = record ? strdup (record) : NULL;
+  m->record = record ? strdup (record) : NULL;
   fleet_send (f, addr, m);
 }
 
@@ -275,15 +277,16 @@
 {
   bool mine;
   /* An earlier leader could not have read what follows a claim. */
-  int event = follow_store (&f->job_feed, f->now_ms, token, rep,
-                            lead_may_admit (&f->lead, f->now_ms), &mine);
+  int event
+      = follow_store_reply (&f->job_feed, f->now_ms, token, rep,
+                            leader_lease_valid (&f->leader, f->now_ms), &mine);
 
   if (!mine)
     return false;
   if (event != FOLLOW_NONE)
     for (size_t i = 0; i < rep->n_rows; i++)
       take_job_row (f, &rep->rows[i]);
-  load_finish (f);
+  fleet_load_finish (f);
   return true;
 }
 
@@ -296,9 +299,9 @@
 
   if (!*id)
     return;
-  if (row->value && !f->set.codec.exec (id, row->value, &rep))
+  if (row->value && !f->settings.codec.exec (id, row->value, &rep))
     {
-      cell_exec (f->cell, &rep);
+      fsched_exec_report (f->fsched, &rep);
       return;
     }
   if (row->value)
@@ -307,7 +310,7 @@
       out_line (&f->out, "event=bad-row key=%s error=not-an-executor",
                 row->key);
     }
-  cell_exec_gone (f->cell, id);
+  fsched_exec_unlisted (f->fsched, id);
 }
 
 static bool
@@ -315,7 +318,8 @@
 {
   bool mine;
   bool listed = f->exec_feed.listed;
-  int event = follow_store (&f->exec_feed, f->now_ms, token, rep, true, &mine);
+  int event
+      = follow_store_reply (&f->exec_feed, f->now_ms, token, rep, true, &mine);
 
   if (!mine)
     return false;
@@ -323,25 +327,26 @@
     for (size_t i = 0; i < rep->n_rows; i++)
       take_exec_row (f, &rep->rows[i]);
   if (event == FOLLOW_LISTED)
-    cell_exec_list (f->cell, false);
+    fsched_exec_list (f->fsched, false);
   else if (listed && !f->exec_feed.listed)
-    cell_exec_list (f->cell, true);
-  load_finish (f);
+    fsched_exec_list (f->fsched, true);
+  fleet_load_finish (f);
   return true;
 }
 
 static void
 begin_term (struct fleet *f)
 {
-  out_line (&f->out, "event=lead-taken epoch=%lld", (long long)f->lead.epoch);
+  out_line (&f->out, "event=lead-taken epoch=%lld",
+            (long long)f->leader.epoch);
   f->stats.terms++;
   drop_cell (f);
-  f->cell = cell_new (&f->out, &f->tokens, f->now_ms, f->lead.epoch,
-                      WAIT_OUT_MS, &f->stats.cell);
-  cell_adviser (f->cell, "", "", 0, 0);
+  f->fsched = fsched_new (&f->out, &f->tokens, f->now_ms, f->leader.epoch,
+                          WAIT_OUT_MS, &f->stats.fsched);
+  fsched_adviser_seen (f->fsched, "", "", 0, 0);
   if (f->conf)
-    cell_conf (f->cell, f->conf);
-  load_start (f);
+    fsched_set_conf (f->fsched, f->conf);
+  fleet_load_start (f);
 }
 
 static bool
@@ -349,23 +354,23 @@
 {
   bool mine;
 
-  switch (lead_store (&f->lead, f->now_ms, token, rep, &mine))
+  switch (leader_store_reply (&f->leader, f->now_ms, token, rep, &mine))
     {
-    case LEAD_TAKEN:
+    case LEADER_ELECTED:
       begin_term (f);
       break;
-    case LEAD_RECORDED:
-      hist_add (&f->stats.record_ms, f->now_ms - f->lead.renewed_ms);
-      if (f->cell)
+    case LEADER_RECORDED:
+      hist_add (&f->stats.record_ms, f->now_ms - f->leader.renewed_ms);
+      if (f->fsched)
         {
-          f->cell->fenced = false;
-          cell_recorded (f->cell);
+          f->fsched->fenced = false;
+          fsched_recorded (f->fsched);
         }
       break;
-    case LEAD_LOST:
+    case LEADER_SUPERSEDED:
       out_line (&f->out, "event=lead-lost epoch=%lld renewed_ms_ago=%lld",
-                (long long)f->lead.epoch,
-                (long long)(f->now_ms - f->lead.renewed_ms));
+                (long long)f->leader.epoch,
+                (long long)(f->now_ms - f->leader.renewed_ms));
       drop_cell (f);
       break;
     default:
@@ -379,20 +384,22 @@
 {
   struct store_op *op;
 
-  if (!lead_can_write (&f->lead, f->now_ms))
+  if (!leader_can_write (&f->leader, f->now_ms))
     return;
-  if (!lead_beat_due (&f->lead, f->now_ms)
-      && !(f->cell && f->cell->plan_due && f->now_ms >= f->next_plan_ms)
-      && !(f->cell && f->cell->record_due && f->now_ms >= f->next_write_ms))
+  if (!leader_heartbeat_due (&f->leader, f->now_ms)
+      && !(f->fsched && f->fsched->intents_due
+           && f->now_ms >= f->next_intents_ms)
+      && !(f->fsched && f->fsched->record_due
+           && f->now_ms >= f->next_record_ms))
     return;
   op = calloc (1, sizeof *op);
   if (!op)
     abort ();
-  if (f->cell)
-    cell_collect (f->cell, op, LEAD_ROWS_MAX);
-  f->next_write_ms = f->now_ms + FLEET_WRITE_GAP_MS;
-  f->next_plan_ms = f->now_ms + FLEET_PLAN_GAP_MS;
-  lead_write (&f->lead, f->now_ms, op);
+  if (f->fsched)
+    fsched_collect (f->fsched, op, LEADER_ROWS_MAX);
+  f->next_record_ms = f->now_ms + FLEET_RECORD_BATCH_MS;
+  f->next_intents_ms = f->now_ms + FLEET_INTENT_BATCH_MS;
+  leader_write (&f->leader, f->now_ms, op);
 }
 
 /* For messages. */
@@ -409,62 +416,65 @@
 {
   struct mesh_msg *m;
 
-  if (f->now_ms < f->next_hello_ms || f->lead.state == LEAD_HOLD
-      || !*f->lead.holder_addr || strcmp (f->lead.holder, f->set.id) == 0)
+  if (f->now_ms < f->next_hello_ms || f->leader.state == LEADER_LEADING
+      || !*f->leader.holder_addr
+      || strcmp (f->leader.holder, f->settings.id) == 0)
     return;
   f->next_hello_ms = f->now_ms + FLEET_HELLO_MS;
   m = calloc (1, sizeof *m);
   if (!m)
     abort ();
   m->kind = MESH_HELLO;
-  m->no = f->now_ms;
-  m->millicores = f->set.millicores;
-  m->table_age_ms = age (f, f->store_heard_ms);
-  fleet_send (f, f->lead.holder_addr, m);
+  m->seq = f->now_ms;
+  m->millicores = f->settings.millicores;
+  m->table_age_ms = age (f, f->store_last_contact_ms);
+  fleet_send (f, f->leader.holder_addr, m);
 }
 
 static void
 work (struct fleet *f)
 {
-  lead_tick (&f->lead, f->now_ms);
+  leader_tick (&f->leader, f->now_ms);
   follow_tick (&f->conf_feed, f->now_ms);
-  if (f->cell)
+  if (f->fsched)
     {
-      load_tick (f);
+      fleet_load_tick (f);
       follow_tick (&f->exec_feed, f->now_ms);
       follow_tick (&f->job_feed, f->now_ms);
-      cell_tick (f->cell, f->now_ms,
-                 lead_may_order (&f->lead, f->now_ms) && !f->cell->fenced);
+      fsched_tick (f->fsched, f->now_ms,
+                   leader_may_order (&f->leader, f->now_ms)
+                       && !f->fsched->fenced);
     }
   write_records (f);
 }
 
 void
-fleet_answered (struct fleet *f, uint64_t token, const struct store_rep *rep)
+fleet_dispatch_reply (struct fleet *f, uint64_t token,
+                      const struct store_rep *rep)
 {
-  if (f->cell)
-    f->cell->now_ms = f->now_ms;
+  if (f->fsched)
+    f->fsched->now_ms = f->now_ms;
   if (!lead_reply (f, token, rep) && !config_store (f, token, rep))
-    if (!f->cell
-        || (!load_store (f, token, rep) && !job_store (f, token, rep)
-            && !exec_store (f, token, rep)))
-      gate_store (f, token, rep);
+    if (!f->fsched
+        || (!fleet_load_store_reply (f, token, rep)
+            && !job_store (f, token, rep) && !exec_store (f, token, rep)))
+      api_store_reply (f, token, rep);
 }
 
 void
-fleet_store (struct fleet *f, int64_t now_ms, uint64_t token,
-             const struct store_rep *rep)
+fleet_store_reply (struct fleet *f, int64_t now_ms, uint64_t token,
+                   const struct store_rep *rep)
 {
   f->now_ms = now_ms;
   if (rep->err == 0 || rep->err == CLB_ECONFLICT || rep->err == CLB_ENOTFOUND)
     {
-      f->store_heard_ms = now_ms;
+      f->store_last_contact_ms = now_ms;
       f->store_failures = 0;
     }
   else
     f->store_failures++;
-  if (!proxy_store (f, token, rep))
-    fleet_answered (f, token, rep);
+  if (!proxy_store_reply (f, token, rep))
+    fleet_dispatch_reply (f, token, rep);
   work (f);
 }
 
@@ -476,18 +486,20 @@
 
   if (!m)
     abort ();
-  m->kind = MESH_ADVICE;
-  m->no = (int64_t)o->no;
+  m->kind = MESH_ADVICE_REPLY;
+  m->seq = (int64_t)o->id;
   m->outcome = res->outcome;
   m->valid_ms = res->valid_ms;
-  m->names = calloc (res->n_good ? res->n_good : 1, sizeof *m->names);
-  if (!m->names)
+  m->execs
+      = calloc (res->n_permitted ? res->n_permitted : 1, sizeof *m->execs);
+  if (!m->execs)
     abort ();
-  m->n_names = res->n_good;
-  for (size_t i = 0; i < res->n_good; i++)
+  m->n_execs = res->n_permitted;
+  for (size_t i = 0; i < res->n_permitted; i++)
     {
-      clb_copy (m->names[i].exec, res->good[i].exec, CLB_ID_MAX);
-      clb_copy (m->names[i].ticket, res->good[i].ticket, ORDER_TICKET_SIZE);
+      clb_copy (m->execs[i].exec, res->permitted[i].exec, CLB_ID_MAX);
+      clb_copy (m->execs[i].ticket, res->permitted[i].ticket,
+                ORDER_TICKET_SIZE);
     }
   fleet_send (f, o->reply_to, m);
 }
@@ -499,8 +511,8 @@
   f->now_ms = now_ms;
   if (*o->reply_to)
     send_advice (f, o, res);
-  else if (f->cell)
-    cell_result (f->cell, now_ms, o->no, res);
+  else if (f->fsched)
+    fsched_order_result (f->fsched, now_ms, o->id, res);
   work (f);
 }
 
@@ -511,12 +523,13 @@
 static void
 point_to_peer (const struct fleet *f, struct mesh_msg *r)
 {
-  const struct adviser *a = f->cell ? cell_adviser_fresh (f->cell) : NULL;
+  const struct adviser *a
+      = f->fsched ? fsched_adviser_freshest (f->fsched) : NULL;
 
-  if (!proxy_way_lost (f) || !a)
+  if (!proxy_table_unreachable (f) || !a)
     return;
   clb_copy (r->via, a->addr, sizeof r->via);
-  r->table_age_ms = f->now_ms - a->fresh_ms;
+  r->table_age_ms = f->now_ms - a->table_contact_ms;
 }
 
 static void
@@ -525,24 +538,24 @@
   struct mesh_msg *r;
   int rank = -1;
 
-  if (f->lead.state != LEAD_HOLD)
+  if (f->leader.state != LEADER_LEADING)
     return;
-  if (f->cell)
+  if (f->fsched)
     {
-      cell_adviser (f->cell, m->from, m->addr, m->millicores,
-                    f->now_ms - m->table_age_ms);
+      fsched_adviser_seen (f->fsched, m->from, m->addr, m->millicores,
+                           f->now_ms - m->table_age_ms);
       /* Until all have greeted it, a new leader knows no order among them. */
-      if (f->now_ms - f->cell->claimed_ms >= FLEET_ACQUAINTED_MS)
-        rank = cell_adviser_rank (f->cell, m->from);
+      if (f->now_ms - f->fsched->claimed_ms >= FLEET_RANK_AFTER_MS)
+        rank = fsched_adviser_rank (f->fsched, m->from);
     }
   r = calloc (1, sizeof *r);
   if (!r)
     abort ();
-  r->kind = MESH_LEADER;
-  r->no = m->no;
+  r->kind = MESH_HELLO_REPLY;
+  r->seq = m->seq;
   r->conf_version = f->conf ? f->conf->version : 0;
-  r->conf_age_ms = age (f, f->proved_ms);
-  r->table_age_ms = age (f, f->store_heard_ms);
+  r->conf_age_ms = age (f, f->conf_current_ms);
+  r->table_age_ms = age (f, f->store_last_contact_ms);
   point_to_peer (f, r);
   r->rank = rank + 1;
   fleet_send (f, m->addr, r);
@@ -557,18 +570,18 @@
   if (!o)
     abort ();
   o->kind = ORDER_ADVISE;
-  o->no = (uint64_t)m->no;
+  o->id = (uint64_t)m->seq;
   o->timeout_ms = m->valid_ms;
   clb_copy (o->reply_to, m->addr, sizeof o->reply_to);
   clb_copy (o->task.job, m->id, sizeof o->task.job);
   o->task.occurrence = m->occurrence;
   o->task.step = m->step;
-  o->names = calloc (m->n_names ? m->n_names : 1, sizeof *o->names);
-  if (!o->names)
+  o->execs = calloc (m->n_execs ? m->n_execs : 1, sizeof *o->execs);
+  if (!o->execs)
     abort ();
-  for (size_t i = 0; i < m->n_names; i++)
-    clb_copy (o->names[i], m->names[i].exec, CLB_ID_MAX);
-  o->n_names = m->n_names;
+  for (size_t i = 0; i < m->n_execs; i++)
+    clb_copy (o->execs[i], m->execs[i].exec, CLB_ID_MAX);
+  o->n_execs = m->n_execs;
   out_new (&f->out, OUT_ORDER)->u.order = o;
 }
 
@@ -577,19 +590,20 @@
 {
   struct order_result res = { .outcome = (int)m->outcome };
 
-  if (!f->cell)
+  if (!f->fsched)
     return;
   res.valid_ms = m->valid_ms;
-  res.good = calloc (m->n_names ? m->n_names : 1, sizeof *res.good);
-  if (!res.good)
+  res.permitted = calloc (m->n_execs ? m->n_execs : 1, sizeof *res.permitted);
+  if (!res.permitted)
     abort ();
-  res.n_good = m->n_names;
-  for (size_t i = 0; i < m->n_names; i++)
+  res.n_permitted = m->n_execs;
+  for (size_t i = 0; i < m->n_execs; i++)
     {
-      clb_copy (res.good[i].exec, m->names[i].exec, CLB_ID_MAX);
-      clb_copy (res.good[i].ticket, m->names[i].ticket, ORDER_TICKET_SIZE);
+      clb_copy (res.permitted[i].exec, m->execs[i].exec, CLB_ID_MAX);
+      clb_copy (res.permitted[i].ticket, m->execs[i].ticket,
+                ORDER_TICKET_SIZE);
     }
-  cell_result (f->cell, f->now_ms, (uint64_t)m->no, &res);
+  fsched_order_result (f->fsched, f->now_ms, (uint64_t)m->seq, &res);
   order_result_clear (&res);
 }
 
@@ -597,18 +611,18 @@
 static void
 hear_leader (struct fleet *f, const struct mesh_msg *m)
 {
-  lead_heard (&f->lead, f->now_ms, m->epoch, m->rank - 1);
-  if (strcmp (m->from, f->lead.holder) != 0)
+  leader_contact (&f->leader, f->now_ms, m->epoch, m->rank - 1);
+  if (strcmp (m->from, f->leader.holder) != 0)
     return;
-  f->leader_heard_ms = f->now_ms;
-  f->peer_fresh_ms = m->no - m->table_age_ms;
-  clb_copy (f->peer, *m->via ? m->via : m->addr, sizeof f->peer);
+  f->leader_last_contact_ms = f->now_ms;
+  f->table_peer_fresh_ms = m->seq - m->table_age_ms;
+  clb_copy (f->table_peer, *m->via ? m->via : m->addr, sizeof f->table_peer);
   if (f->conf && m->conf_version == f->conf->version)
-    proved (f, m->no - m->conf_age_ms);
+    proved (f, m->seq - m->conf_age_ms);
 }
 
 void
-fleet_mesh (struct fleet *f, int64_t now_ms, struct mesh_msg *m)
+fleet_mesh_msg (struct fleet *f, int64_t now_ms, struct mesh_msg *m)
 {
   f->now_ms = now_ms;
   switch (m->kind)
@@ -616,26 +630,26 @@
     case MESH_HELLO:
       greet (f, m);
       break;
-    case MESH_LEADER:
+    case MESH_HELLO_REPLY:
       hear_leader (f, m);
       break;
-    case MESH_ADVISE_ASK:
+    case MESH_ADVICE_QUERY:
       forward_question (f, m);
       break;
-    case MESH_ADVICE:
+    case MESH_ADVICE_REPLY:
       take_advice (f, m);
       break;
-    case MESH_STORE_ASK:
-      proxy_ask (f, m);
+    case MESH_STORE_REQUEST:
+      proxy_serve (f, m);
       break;
-    case MESH_STORE:
-      proxy_reply (f, m);
+    case MESH_STORE_REPLY:
+      proxy_peer_reply (f, m);
       break;
-    case MESH_JOB:
-      hear_job (f, m->id, m->text);
+    case MESH_JOB_NOTICE:
+      hear_job (f, m->id, m->record);
       break;
     default:
-      gate_mesh (f, m);
+      api_mesh_msg (f, m);
       break;
     }
   work (f);
@@ -648,7 +662,7 @@
   f->wall_ms = wall_ms;
   say_hello (f);
   proxy_tick (f);
-  gate_tick (f);
+  api_tick (f);
   work (f);
 }
 
@@ -657,21 +671,22 @@
 {
   f->now_ms = now_ms;
   f->stopping = true;
-  if (f->lead.state == LEAD_HOLD)
+  if (f->leader.state == LEADER_LEADING)
     out_line (&f->out, "event=lead-released epoch=%lld",
-              (long long)f->lead.epoch);
-  lead_release (&f->lead, now_ms);
+              (long long)f->leader.epoch);
+  leader_release (&f->leader, now_ms);
   drop_cell (f);
 }
 
 bool
 fleet_idle (const struct fleet *f)
 {
-  return f->n_callers == 0;
+  return f->n_requests == 0;
 }
 
 bool
 fleet_ready (const struct fleet *f, int64_t now_ms)
 {
-  return f->conf && !f->stopping && now_ms - f->proved_ms < FLEET_READY_MS;
+  return f->conf && !f->stopping
+         && now_ms - f->conf_current_ms < FLEET_READY_AGE_MS;
 }
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -18,32 +18,34 @@
 {
   FLEET_FEED_WAIT_MS = 500, /* so often is the configuration proved fresh */
   FLEET_HELLO_MS = 400,
-  FLEET_ACQUAINTED_MS = 1500, /* after its claim a leader has heard all: three
+  FLEET_RANK_AFTER_MS = 1500, /* after its claim a leader has heard all: three
                                  hellos */
-  FLEET_ASK_MS = 250,         /* a leader that doesn't answer by then is passed
-                                 over and the table is read */
-  FLEET_GIVE_UP_MS = 150,     /* before the caller does */
-  FLEET_WAIT_MS = 2500,       /* callers that don't say how long they wait */
+  FLEET_QUERY_TIMEOUT_MS = 250, /* a leader that doesn't answer by then is
+                         passed over and the table is read */
+  FLEET_ANSWER_MARGIN_MS = 150, /* before the caller does */
+  FLEET_DEFAULT_TIMEOUT_MS
+  = 2500,                   /* callers that don't say how long they wait */
   FLEET_RETRY_MS = 20,      /* after a call to the table failed; doubled ... */
   FLEET_RETRY_MAX_MS = 160, /* ... up to this */
-  FLEET_REFUSED_TRIES = 4,  /* then the caller is refused */
-  FLEET_LOST_MS = 500,  /* the table is silent so long: new writes are refused
-                           at once, as none can be told from one that is done */
-  FLEET_PEER_MS = 1700, /* an instance with an older proof that it reaches the
-                           table is not called through: proofs come every
-                           FLEET_FEED_WAIT_MS, and are told every
+  FLEET_TRIES_MAX = 4,      /* then the caller is refused */
+  FLEET_REFUSE_WRITES_MS
+  = 500, /* the table is silent so long: new writes are refused
+   at once, as none can be told from one that is done */
+  FLEET_PEER_FRESH_MS = 1700, /* an instance with an older proof that it
+                           reaches the table is not called through: proofs come
+                           every FLEET_FEED_WAIT_MS, and are told every
                            FLEET_HELLO_MS */
-  FLEET_STALE_MARGIN_MS = 500, /* keyed work stops so long before a withdrawn
-                                  key must not work any more */
-  FLEET_READY_MS = 1400,     /* not ready once the table is silent so long: two
-                                waits of the configuration's feed, and slow
-                                answers */
-  FLEET_WRITE_GAP_MS = 25,   /* records of this long share a write */
-  FLEET_PLAN_GAP_MS = 2,     /* the same, of starts: each waits for it */
-  FLEET_JOBS_GAP_MS = 200,   /* jobs that no instance has told of are found by
-                                then */
-  FLEET_COME_BACK_MS = 1000, /* Retry-After where nothing better is known */
-  FLEET_REQUESTS_MAX = 2000, /* in hand; more are refused */
+  FLEET_KEY_MARGIN_MS = 500,  /* keyed work stops so long before a withdrawn
+                                   key must not work any more */
+  FLEET_READY_AGE_MS = 1400, /* not ready once the table is silent so long: two
+                            waits of the configuration's feed, and slow
+                            answers */
+  FLEET_RECORD_BATCH_MS = 25, /* records of this long share a write */
+  FLEET_INTENT_BATCH_MS = 2,  /* the same, of starts: each waits for it */
+  FLEET_JOBS_BATCH_MS = 200,  /* jobs that no instance has told of are found by
+                               then */
+  FLEET_RETRY_AFTER_MS = 1000, /* Retry-After where nothing better is known */
+  FLEET_REQUESTS_MAX = 2000,   /* in hand; more are refused */
 };
 
 /** enum fleet_verb - what a caller asks */
@@ -64,8 +66,8 @@
   int verb;      /* enum fleet_verb */
   const char *host;
   const char *path;
-  const char *key;   /* or NULL */
-  int64_t within_ms; /* the caller waits so long; 0: not said */
+  const char *key;    /* or NULL */
+  int64_t timeout_ms; /* the caller waits so long; 0: not said */
   const char *body;
   size_t body_len;
 };
@@ -101,35 +103,35 @@
   struct fleet_codec codec;
 };
 
-enum caller_step
+enum api_step
 {
-  CALLER_WRITING, /* the job or its cancellation */
-  CALLER_ASKING,  /* the leader */
-  CALLER_READ_STATE,
-  CALLER_READ_JOB,
+  API_WRITING,  /* the job or its cancellation */
+  API_QUERYING, /* the leader */
+  API_READING_STATE,
+  API_READING_JOB,
 };
 
-/** struct caller - a request in hand */
-struct caller
+/** struct api_request - a request in hand */
+struct api_request
 {
-  RB_ENTRY (caller) by_no;
+  RB_ENTRY (api_request) by_call;
   uint64_t call;
   int verb;
-  int step;       /* enum caller_step */
+  int step;       /* enum api_step */
   uint64_t token; /* of the call to the table, or the question's number */
   char id[JOB_ID_SIZE];
   char queue[CLB_NAME_MAX];
   char tenant[CLB_NAME_MAX];
   char *record; /* the job, to be written */
-  int64_t came_ms;
-  int64_t until_ms;
-  int64_t next_ms; /* the call is sent again then; 0: one is under way */
-  int64_t asked_ms;
-  int64_t ask; /* number of the question to the leader */
+  int64_t arrival_ms;
+  int64_t deadline_ms;
+  int64_t retry_at_ms; /* the call is sent again then; 0: one is under way */
+  int64_t query_ms;
+  int64_t query_seq; /* number of the question to the leader */
   int tries;
-  bool maybe; /* a write's answer was lost: it may take effect */
+  bool outcome_unknown; /* a write's answer was lost: it may take effect */
 };
-RB_HEAD (caller_tree_f, caller);
+RB_HEAD (api_request_tree, api_request);
 
 /** enum fleet_answer - what callers were told, one counter each */
 enum fleet_answer
@@ -140,7 +142,7 @@
   ANSWER_CANCELLED,
   ANSWER_WAITING,
   ANSWER_NO_CONFIG,
-  ANSWER_STALE,
+  ANSWER_CONF_STALE,
   ANSWER_NO_QUEUE,
   ANSWER_BAD_KEY,
   ANSWER_BAD_JOB,
@@ -149,7 +151,7 @@
   ANSWER_UNKNOWN,
   ANSWER_NO_LEADER,
   ANSWER_TOO_MANY,
-  ANSWER_STORE_LOST, /* the table was known to be away */
+  ANSWER_TABLE_UNREACHABLE, /* the table was known to be away */
   ANSWER_N
 };
 extern const char *const fleet_answer_names[ANSWER_N + 1];
@@ -158,30 +160,30 @@
 {
   uint64_t answers[ANSWER_N];
   uint64_t store_errors;
-  uint64_t terms; /* times that this instance began to lead */
-  uint64_t asks;  /* questions to the leader */
-  uint64_t asks_lost;
+  uint64_t terms;   /* times that this instance began to lead */
+  uint64_t queries; /* questions to the leader */
+  uint64_t queries_lost;
   uint64_t retries;  /* calls to the table for callers, sent again */
   uint64_t proxied;  /* calls to the table through another instance */
   uint64_t bad_rows; /* of the platform's tables */
   struct hist request_ms[FLEET_VERB_N]; /* from arrival to the answer */
   struct hist record_ms; /* from a leader's write to its success */
-  struct cell_stats cell;
+  struct fsched_stats fsched;
 };
 
 TAILQ_HEAD (proxy_callq, proxy_call);
 
-/** enum load_what - what a new leader reads first */
-enum load_what
+/** enum fleet_load_kind - what a new leader reads first */
+enum fleet_load_kind
 {
-  LOAD_ROSTER,
-  LOAD_PLAN,
-  LOAD_PROGRESS,
-  LOAD_N
+  FLEET_LOAD_ROSTER,
+  FLEET_LOAD_INTENTS,
+  FLEET_LOAD_PROGRESS,
+  FLEET_LOAD_N
 };
 
-/** struct load - one of them */
-struct load
+/** struct fleet_load - one of them */
+struct fleet_load
 {
   uint64_t token; /* outstanding call; 0: none */
   char *after;    /* last key of the list under way */
@@ -190,43 +192,44 @@
 
 struct fleet
 {
-  struct fleet_settings set;
+  struct fleet_settings settings;
   int64_t now_ms;
   int64_t wall_ms; /* wall clock, as last told */
   struct outq out;
   uint64_t tokens;
-  struct lead lead;
-  struct cell *cell; /* NULL unless leading */
+  struct leader leader;
+  struct fsched *fsched; /* NULL unless leading */
   struct fconf *conf;
   struct follow conf_feed;
   struct follow exec_feed;
   struct follow job_feed;
-  int64_t store_heard_ms; /* the last answer of the table itself, no failure */
-  int store_failures;     /* of calls to it since then */
-  bool store_lost;        /* the configuration's feed has failed */
-  int64_t store_lost_ms;  /* since then */
-  bool loading;           /* what is on record is being read */
-  struct load loads[LOAD_N];
-  int64_t load_next_ms;
-  int64_t next_write_ms;
-  int64_t next_plan_ms;
-  struct caller_tree_f callers;
-  int n_callers;
+  int64_t store_last_contact_ms;     /* the last answer of the table itself, no
+                                        failure */
+  int store_failures;                /* of calls to it since then */
+  bool conf_feed_failed;             /* the configuration's feed has failed */
+  int64_t conf_feed_failed_since_ms; /* since then */
+  bool loading;                      /* what is on record is being read */
+  struct fleet_load loads[FLEET_LOAD_N];
+  int64_t load_retry_ms;
+  int64_t next_record_ms;
+  int64_t next_intents_ms;
+  struct api_request_tree requests;
+  int n_requests;
   int64_t next_hello_ms;
-  int64_t leader_heard_ms;
-  char peer[CLB_ADDR_MAX];     /* an instance that the leader says reaches the
-                                  table, often itself; empty: unknown */
-  int64_t peer_fresh_ms;       /* it surely did then */
-  struct proxy_callq proxied;  /* calls that it makes for this instance */
-  struct proxy_callq proxying; /* calls that this one makes for others */
-  int n_proxying;
-  int64_t proved_ms; /* the configuration was proved current then */
+  int64_t leader_last_contact_ms;
+  char table_peer[CLB_ADDR_MAX];    /* an instance that the leader says reaches
+                                 the table, often itself; empty: unknown */
+  int64_t table_peer_fresh_ms;      /* it surely did then */
+  struct proxy_callq proxy_sent;    /* calls that it makes for this instance */
+  struct proxy_callq proxy_serving; /* calls that this one makes for others */
+  int n_proxy_serving;
+  int64_t conf_current_ms; /* the configuration was proved current then */
   bool stopping;
   struct fleet_stats stats;
 };
 
-RB_PROTOTYPE (caller_tree_f, caller, by_no, caller_cmp)
-int caller_cmp (const struct caller *a, const struct caller *b);
+RB_PROTOTYPE (api_request_tree, api_request, by_call, api_request_cmp)
+int api_request_cmp (const struct api_request *a, const struct api_request *b);
 
 void fleet_init (struct fleet *f, const struct fleet_settings *set,
                  int64_t now_ms);
@@ -235,15 +238,16 @@
 /* Inputs. */
 void fleet_request (struct fleet *f, int64_t now_ms, int64_t wall_ms,
                     const struct fleet_request *rq);
-void fleet_caller_gone (struct fleet *f, uint64_t call);
-void fleet_store (struct fleet *f, int64_t now_ms, uint64_t token,
-                  const struct store_rep *rep);
+void fleet_request_aborted (struct fleet *f, uint64_t call);
+void fleet_store_reply (struct fleet *f, int64_t now_ms, uint64_t token,
+                        const struct store_rep *rep);
 void fleet_order_result (struct fleet *f, int64_t now_ms,
                          const struct order *o,
                          const struct order_result *res);
-/** fleet_mesh() - A message of another instance; its operation may be taken.
+/** fleet_mesh_msg() - A message of another instance; its operation may be
+ * taken.
  */
-void fleet_mesh (struct fleet *f, int64_t now_ms, struct mesh_msg *m);
+void fleet_mesh_msg (struct fleet *f, int64_t now_ms, struct mesh_msg *m);
 void fleet_tick (struct fleet *f, int64_t now_ms, int64_t wall_ms);
 struct out *fleet_next_out (struct fleet *f);
 
@@ -257,42 +261,45 @@
 char *fleet_metrics (struct fleet *f);
 
 /* api.c, used by fleet.c */
-void gate_tick (struct fleet *f);
-bool gate_store (struct fleet *f, uint64_t token, const struct store_rep *rep);
-void gate_mesh (struct fleet *f, const struct mesh_msg *m);
-void gate_fini (struct fleet *f);
+void api_tick (struct fleet *f);
+bool api_store_reply (struct fleet *f, uint64_t token,
+                      const struct store_rep *rep);
+void api_mesh_msg (struct fleet *f, const struct mesh_msg *m);
+void api_fini (struct fleet *f);
 
 /* fleet_load.c, used by fleet.c */
-void load_start (struct fleet *f);
-void load_stop (struct fleet *f);
-void load_tick (struct fleet *f);
-bool load_store (struct fleet *f, uint64_t token, const struct store_rep *rep);
-/** load_finish() - Begin to schedule once all is read. */
-void load_finish (struct fleet *f);
+void fleet_load_start (struct fleet *f);
+void fleet_load_stop (struct fleet *f);
+void fleet_load_tick (struct fleet *f);
+bool fleet_load_store_reply (struct fleet *f, uint64_t token,
+                             const struct store_rep *rep);
+/** fleet_load_finish() - Begin to schedule once all is read. */
+void fleet_load_finish (struct fleet *f);
 
 /* proxy.c, used by fleet.c and api.c */
 void proxy_init (struct fleet *f);
 void proxy_fini (struct fleet *f);
-/** proxy_way_lost() - Whether the table does not answer this instance. */
-bool proxy_way_lost (const struct fleet *f);
+/** proxy_table_unreachable() - Whether the table does not answer this
+ * instance. */
+bool proxy_table_unreachable (const struct fleet *f);
 /** proxy_peer() - Address of an instance that reaches the table, or NULL. */
 const char *proxy_peer (const struct fleet *f);
 /** proxy_route() - Whether the call @o goes through another instance. */
 bool proxy_route (struct fleet *f, struct out *o);
-/** proxy_ask() - Make a call for another instance; takes its operation. */
-void proxy_ask (struct fleet *f, struct mesh_msg *m);
-/** proxy_store() - Whether @token was such a call. */
-bool proxy_store (struct fleet *f, uint64_t token,
-                  const struct store_rep *rep);
-void proxy_reply (struct fleet *f, const struct mesh_msg *m);
+/** proxy_serve() - Make a call for another instance; takes its operation. */
+void proxy_serve (struct fleet *f, struct mesh_msg *m);
+/** proxy_store_reply() - Whether @token was such a call. */
+bool proxy_store_reply (struct fleet *f, uint64_t token,
+                        const struct store_rep *rep);
+void proxy_peer_reply (struct fleet *f, const struct mesh_msg *m);
 void proxy_tick (struct fleet *f);
 
 /* fleet.c, used by api.c and proxy.c */
-/** fleet_answered() - A call to the table has ended, whoever made it. */
-void fleet_answered (struct fleet *f, uint64_t token,
-                     const struct store_rep *rep);
-/** fleet_tell_job() - Tell the leader of a job; @record NULL: cancelled. */
-void fleet_tell_job (struct fleet *f, const char *id, const char *record);
+/** fleet_dispatch_reply() - A call to the table has ended, whoever made it. */
+void fleet_dispatch_reply (struct fleet *f, uint64_t token,
+                           const struct store_rep *rep);
+/** fleet_notify_job() - Tell the leader of a job; @record NULL: cancelled. */
+void fleet_notify_job (struct fleet *f, const char *id, const char *record);
 void fleet_send (struct fleet *f, const char *addr, struct mesh_msg *m);
 /** fleet_leader_addr() - NULL if none is heard or it is this instance. */
 const char *fleet_leader_addr (const struct fleet *f);
--- a/core/fleet_load.c
+++ b/core/fleet_load.c
@@ -12,47 +12,47 @@
   RETRY_MS = 100,
 };
 
-static const char *const prefixes[LOAD_N]
-    = { LEAD_KEY_ROSTER, CELL_KEY_PLAN, CELL_KEY_PROGRESS };
+static const char *const prefixes[FLEET_LOAD_N]
+    = { LEADER_KEY_ROSTER, FSCHED_KEY_INTENTS, FSCHED_KEY_PROGRESS };
 
 void
-load_stop (struct fleet *f)
+fleet_load_stop (struct fleet *f)
 {
-  for (int i = 0; i < LOAD_N; i++)
+  for (int i = 0; i < FLEET_LOAD_N; i++)
     {
       free (f->loads[i].after);
-      f->loads[i] = (struct load){ 0 };
+      f->loads[i] = (struct fleet_load){ 0 };
     }
   f->loading = false;
 }
 
 void
-load_start (struct fleet *f)
+fleet_load_start (struct fleet *f)
 {
-  load_stop (f);
+  fleet_load_stop (f);
   f->loading = true;
-  f->load_next_ms = f->now_ms;
+  f->load_retry_ms = f->now_ms;
 }
 
 static void
 send (struct fleet *f, int what)
 {
-  struct load *l = &f->loads[what];
+  struct fleet_load *l = &f->loads[what];
   struct out *o = out_new (&f->out, OUT_STORE);
 
   l->token = ++f->tokens;
   o->u.store.token = l->token;
-  o->u.store.op.kind = what == LOAD_ROSTER ? STORE_GET : STORE_LIST;
+  o->u.store.op.kind = what == FLEET_LOAD_ROSTER ? STORE_GET : STORE_LIST;
   o->u.store.op.key = strdup (prefixes[what]);
   o->u.store.op.after = l->after ? strdup (l->after) : NULL;
 }
 
 void
-load_tick (struct fleet *f)
+fleet_load_tick (struct fleet *f)
 {
-  if (!f->loading || f->now_ms < f->load_next_ms)
+  if (!f->loading || f->now_ms < f->load_retry_ms)
     return;
-  for (int i = 0; i < LOAD_N; i++)
+  for (int i = 0; i < FLEET_LOAD_N; i++)
     if (!f->loads[i].done && !f->loads[i].token)
       send (f, i);
 }
@@ -71,13 +71,15 @@
                 clb_err_name (ce.err), ce.path);
       return;
     }
-  cell_progress (f->cell, row->key + strlen (CELL_KEY_PROGRESS), &p);
+  fsched_load_progress (f->fsched, row->key + strlen (FSCHED_KEY_PROGRESS),
+                        &p);
 }
 
 static void
 take_plan (struct fleet *f, const struct row *row)
 {
-  int bad = cell_plan (f->cell, row->key + strlen (CELL_KEY_PLAN), row->value);
+  int bad = fsched_load_intents (
+      f->fsched, row->key + strlen (FSCHED_KEY_INTENTS), row->value);
 
   if (!bad)
     return;
@@ -94,9 +96,9 @@
       const struct row *row = &rep->rows[i];
       if (!row->value)
         continue;
-      if (what == LOAD_ROSTER)
-        cell_roster (f->cell, row->value);
-      else if (what == LOAD_PLAN)
+      if (what == FLEET_LOAD_ROSTER)
+        fsched_load_roster (f->fsched, row->value);
+      else if (what == FLEET_LOAD_INTENTS)
         take_plan (f, row);
       else
         take_progress (f, row);
@@ -106,7 +108,7 @@
 static void
 take_page (struct fleet *f, int what, const struct store_rep *rep)
 {
-  struct load *l = &f->loads[what];
+  struct fleet_load *l = &f->loads[what];
 
   take_rows (f, what, rep);
   free (l->after);
@@ -114,27 +116,28 @@
   l->done = !rep->more || !rep->n_rows;
   if (!l->done)
     l->after = strdup (rep->rows[rep->n_rows - 1].key);
-  for (int i = 0; i < LOAD_N; i++)
+  for (int i = 0; i < FLEET_LOAD_N; i++)
     if (!f->loads[i].done)
       return;
   /* Executors that the roster lacks have not been used, and jobs take what
      was read of their progress. */
   f->loading = false;
   follow_start (&f->exec_feed, f->now_ms);
-  cell_exec_list (f->cell, true);
+  fsched_exec_list (f->fsched, true);
   follow_start (&f->job_feed, f->now_ms);
 }
 
 bool
-load_store (struct fleet *f, uint64_t token, const struct store_rep *rep)
+fleet_load_store_reply (struct fleet *f, uint64_t token,
+                        const struct store_rep *rep)
 {
-  for (int i = 0; i < LOAD_N; i++)
+  for (int i = 0; i < FLEET_LOAD_N; i++)
     {
       if (!token || f->loads[i].token != token)
         continue;
       f->loads[i].token = 0;
       if (rep->err && rep->err != CLB_ENOTFOUND)
-        f->load_next_ms = f->now_ms + RETRY_MS;
+        f->load_retry_ms = f->now_ms + RETRY_MS;
       else
         take_page (f, i, rep);
       return true;
@@ -143,10 +146,10 @@
 }
 
 void
-load_finish (struct fleet *f)
+fleet_load_finish (struct fleet *f)
 {
   if (f->loading || !f->job_feed.listed || !f->exec_feed.listed
-      || f->cell->going)
+      || f->fsched->loaded)
     return;
-  cell_go (f->cell);
+  fsched_load_done (f->fsched);
 }
--- a/core/fleet_metrics.c
+++ b/core/fleet_metrics.c
@@ -10,17 +10,16 @@
 static void
 cell_metrics (const struct fleet *f, FILE *out)
 {
-  const struct cell_stats *s = &f->stats.cell;
+  const struct fsched_stats *s = &f->stats.fsched;
 
   metric_print (out, "starts_total", NULL, NULL, s->starts);
   metric_print (out, "stops_total", NULL, NULL, s->stops);
-  metric_print (out, "lapsed_total", NULL, NULL, s->lapsed);
-  metric_print (out, "executors_aside_total", NULL, NULL, s->aside);
-  metric_print (out, "questions_total", NULL, NULL, s->questions);
-  metric_print (out, "questions_failed_total", NULL, NULL,
-                s->questions_failed);
-  for (int i = 0; i < END_N; i++)
-    metric_print (out, "ends_total", "how", end_names[i], s->ends[i]);
+  metric_print (out, "lapsed_total", NULL, NULL, s->runs_lapsed);
+  metric_print (out, "executors_aside_total", NULL, NULL, s->quarantines);
+  metric_print (out, "questions_total", NULL, NULL, s->queries);
+  metric_print (out, "questions_failed_total", NULL, NULL, s->queries_failed);
+  for (int i = 0; i < RUN_END_N; i++)
+    metric_print (out, "ends_total", "how", run_end_names[i], s->ends[i]);
   for (int i = 0; i < REFUSED_N; i++)
     metric_print (out, "starts_refused_total", "reason",
                   order_refusal_names[i], s->refusals[i]);
@@ -36,7 +35,7 @@
   for (int i = 0; i < JOB_STATE_N; i++)
     hist_print (out, "job_ms", "state", job_state_names[i], &s->job_ms[i]);
   metric_print (out, "jobs_in_hand", NULL, NULL,
-                f->cell ? (uint64_t)f->cell->n_jobs : 0);
+                f->fsched ? (uint64_t)f->fsched->n_jobs : 0);
 }
 
 char *
@@ -53,14 +52,14 @@
                   f->stats.answers[i]);
   metric_print (out, "store_errors_total", NULL, NULL, f->stats.store_errors);
   metric_print (out, "terms_total", NULL, NULL, f->stats.terms);
-  metric_print (out, "asks_total", NULL, NULL, f->stats.asks);
-  metric_print (out, "asks_lost_total", NULL, NULL, f->stats.asks_lost);
+  metric_print (out, "asks_total", NULL, NULL, f->stats.queries);
+  metric_print (out, "asks_lost_total", NULL, NULL, f->stats.queries_lost);
   metric_print (out, "retries_total", NULL, NULL, f->stats.retries);
   metric_print (out, "proxied_total", NULL, NULL, f->stats.proxied);
   metric_print (out, "bad_rows_total", NULL, NULL, f->stats.bad_rows);
   metric_print (out, "config_version", NULL, NULL,
                 f->conf ? (uint64_t)f->conf->version : 0);
-  metric_print (out, "leading", NULL, NULL, f->lead.state == LEAD_HOLD);
+  metric_print (out, "leading", NULL, NULL, f->leader.state == LEADER_LEADING);
   for (int i = 0; i < FLEET_VERB_N; i++)
     hist_print (out, "request_ms", "verb", fleet_verb_names[i],
                 &f->stats.request_ms[i]);
--- a/core/follow.c
+++ b/core/follow.c
@@ -38,7 +38,7 @@
 follow_start (struct follow *f, int64_t now_ms)
 {
   relist (f);
-  f->on = true;
+  f->active = true;
   f->token = 0;
   f->next_ms = now_ms;
 }
@@ -47,7 +47,7 @@
 follow_stop (struct follow *f)
 {
   relist (f);
-  f->on = false;
+  f->active = false;
   f->token = 0;
 }
 
@@ -92,7 +92,7 @@
 void
 follow_tick (struct follow *f, int64_t now_ms)
 {
-  if (!f->on || now_ms < f->next_ms)
+  if (!f->active || now_ms < f->next_ms)
     return;
   if (f->listed && !f->token)
     send_feed (f, now_ms);
@@ -113,7 +113,7 @@
 bool
 follow_owns (const struct follow *f, uint64_t token)
 {
-  return f->on && token
+  return f->active && token
          && (token == f->token || list_of ((struct follow *)f, token));
 }
 
@@ -145,13 +145,13 @@
 {
   if (rep->ver > f->ver)
     f->ver = rep->ver;
-  f->next_ms = now_ms + f->pause_ms;
+  f->next_ms = now_ms + f->batch_ms;
   return FOLLOW_CHANGES;
 }
 
 int
-follow_store (struct follow *f, int64_t now_ms, uint64_t token,
-              const struct store_rep *rep, bool take, bool *mine)
+follow_store_reply (struct follow *f, int64_t now_ms, uint64_t token,
+                    const struct store_rep *rep, bool take, bool *mine)
 {
   struct follow_list *l = NULL;
 
--- a/core/follow.h
+++ b/core/follow.h
@@ -36,10 +36,10 @@
   char table[CLB_NAME_MAX];
   int parts;        /* numbered from 0; 0: the table has one unnamed part */
   int64_t wait_ms;  /* a feed's answer waits so long for a change */
-  int64_t pause_ms; /* changes of this long are fetched together */
+  int64_t batch_ms; /* changes of this long are fetched together */
   struct outq *out;
   uint64_t *tokens;
-  bool on;
+  bool active;
   bool listed;
   struct follow_list lists[FOLLOW_PARTS_MAX];
   int64_t list_ver; /* the feed goes on from here once listed */
@@ -59,13 +59,13 @@
 /** follow_owns() - Whether @token is a call of this module under way. */
 bool follow_owns (const struct follow *f, uint64_t token);
 /**
- * follow_store() - The answer to a call of this module.
+ * follow_store_reply() - The answer to a call of this module.
  * @mine: whether @token was one
  * @take: whether the rows may be used; else they are asked for again
  *
  * Return: enum follow_event; @rep's rows are then to be used.
  */
-int follow_store (struct follow *f, int64_t now_ms, uint64_t token,
-                  const struct store_rep *rep, bool take, bool *mine);
+int follow_store_reply (struct follow *f, int64_t now_ms, uint64_t token,
+                        const struct store_rep *rep, bool take, bool *mine);
 
 #endif
--- a/core/fsched.c
+++ b/core/fsched.c
@@ -16,7 +16,7 @@
 }
 
 int
-final_cmp (const struct final *a, const struct final *b)
+ended_job_cmp (const struct ended_job *a, const struct ended_job *b)
 {
   return strcmp (a->id, b->id);
 }
@@ -25,7 +25,7 @@
 pending_order_cmp (const struct pending_order *a,
                    const struct pending_order *b)
 {
-  return a->no < b->no ? -1 : a->no > b->no;
+  return a->id < b->id ? -1 : a->id > b->id;
 }
 
 RB_GENERATE (job_tree, job, by_id, job_cmp)
@@ -36,11 +36,11 @@
 }
 
 RB_GENERATE (early_tree, early_progress, by_id, early_cmp)
-RB_GENERATE (final_tree, final, by_id, final_cmp)
-RB_GENERATE (pending_order_tree, pending_order, by_no, pending_order_cmp)
+RB_GENERATE (ended_job_tree, ended_job, by_id, ended_job_cmp)
+RB_GENERATE (pending_order_tree, pending_order, by_id, pending_order_cmp)
 
 void *
-cell_zalloc (size_t n, size_t size)
+fsched_zalloc (size_t n, size_t size)
 {
   void *p = calloc (n ? n : 1, size);
 
@@ -49,45 +49,45 @@
   return p;
 }
 
-struct cell *
-cell_new (struct outq *out, uint64_t *tokens, int64_t now_ms, int64_t epoch,
-          int64_t wait_ms, struct cell_stats *stats)
+struct fsched *
+fsched_new (struct outq *out, uint64_t *tokens, int64_t now_ms, int64_t epoch,
+            int64_t wait_ms, struct fsched_stats *stats)
 {
-  struct cell *c = cell_zalloc (1, sizeof *c);
+  struct fsched *c = fsched_zalloc (1, sizeof *c);
 
   c->out = out;
   c->tokens = tokens;
   c->now_ms = now_ms;
   c->epoch = epoch;
   c->claimed_ms = now_ms;
-  c->wait_ms = now_ms + wait_ms;
+  c->old_leases_end_ms = now_ms + wait_ms;
   c->stats = stats;
   TAILQ_INIT (&c->queues);
   RB_INIT (&c->jobs);
-  RB_INIT (&c->exec_ids);
-  RB_INIT (&c->finals);
+  RB_INIT (&c->execs_by_id);
+  RB_INIT (&c->ended_jobs);
   RB_INIT (&c->orders);
-  RB_INIT (&c->early);
+  RB_INIT (&c->early_progress);
   TAILQ_INIT (&c->queue);
   TAILQ_INIT (&c->execs);
   TAILQ_INIT (&c->tenants);
-  plan_init (&c->plan);
+  intents_init (&c->intents);
   return c;
 }
 
 static void
-job_free (struct cell *c, struct job *j)
+job_free (struct fsched *c, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
       struct jstep *s = &j->steps[i];
       for (int t = 0; t < s->n_tasks; t++)
         {
-          free (s->tasks[t].saved);
-          free (s->tasks[t].failed);
+          free (s->tasks[t].checkpoint);
+          free (s->tasks[t].failed_runs);
         }
       free (s->tasks);
-      advice_forget (s);
+      advice_free (s);
     }
   free (j->steps);
   RB_REMOVE (job_tree, &c->jobs, j);
@@ -104,7 +104,7 @@
 
   while ((r = TAILQ_FIRST (&e->runs)))
     {
-      TAILQ_REMOVE (&e->runs, r, on_exec);
+      TAILQ_REMOVE (&e->runs, r, exec_link);
       free (r);
     }
   free (e);
@@ -118,14 +118,14 @@
 }
 
 void
-cell_free (struct cell *c)
+fsched_free (struct fsched *c)
 {
   struct job *j;
   struct exec *e;
-  struct cell_tenant *t;
-  struct cell_queue *q;
+  struct fsched_tenant *t;
+  struct fsched_queue *q;
   struct early_progress *y, *next_y;
-  struct final *f, *next_f;
+  struct ended_job *f, *next_f;
   struct pending_order *p, *next_p;
 
   if (!c)
@@ -142,9 +142,9 @@
       TAILQ_REMOVE (&c->tenants, t, link);
       free (t);
     }
-  RB_FOREACH_SAFE (y, early_tree, &c->early, next_y)
+  RB_FOREACH_SAFE (y, early_tree, &c->early_progress, next_y)
     {
-      RB_REMOVE (early_tree, &c->early, y);
+      RB_REMOVE (early_tree, &c->early_progress, y);
       early_free (y);
     }
   while ((q = TAILQ_FIRST (&c->queues)))
@@ -152,9 +152,9 @@
       TAILQ_REMOVE (&c->queues, q, link);
       free (q);
     }
-  RB_FOREACH_SAFE (f, final_tree, &c->finals, next_f)
+  RB_FOREACH_SAFE (f, ended_job_tree, &c->ended_jobs, next_f)
     {
-      RB_REMOVE (final_tree, &c->finals, f);
+      RB_REMOVE (ended_job_tree, &c->ended_jobs, f);
       free (f);
     }
   RB_FOREACH_SAFE (p, pending_order_tree, &c->orders, next_p)
@@ -162,24 +162,24 @@
       RB_REMOVE (pending_order_tree, &c->orders, p);
       free (p);
     }
-  plan_fini (&c->plan);
-  cell_names_free (&c->services);
-  cell_names_free (&c->racks);
-  cell_names_free (&c->labels);
-  free (c->open);
-  free (c->ready);
+  intents_fini (&c->intents);
+  fsched_intern_free (&c->services);
+  fsched_intern_free (&c->racks);
+  fsched_intern_free (&c->labels);
+  free (c->eligible);
+  free (c->ready_jobs);
   free (c);
 }
 
 void
-cell_conf (struct cell *c, const struct fconf *conf)
+fsched_set_conf (struct fsched *c, const struct fconf *conf)
 {
   c->conf = conf;
   c->pass_due = true;
 }
 
 struct job *
-cell_find_job (const struct cell *c, const char *id)
+fsched_find_job (const struct fsched *c, const char *id)
 {
   struct job key;
 
@@ -188,9 +188,9 @@
 }
 
 struct job *
-cell_job_of (const struct cell *c, const struct task_ref *t)
+fsched_task_job (const struct fsched *c, const struct task_ref *t)
 {
-  struct job *j = cell_find_job (c, t->job);
+  struct job *j = fsched_find_job (c, t->job);
 
   if (!j || t->occurrence != 0 || t->step < 0
       || t->step >= (int64_t)j->spec.n_steps || t->index < 0
@@ -205,61 +205,61 @@
   return &r->job->steps[r->step].tasks[r->index];
 }
 
-struct cell_tenant *
-cell_tenant (struct cell *c, const char *name)
+struct fsched_tenant *
+fsched_tenant (struct fsched *c, const char *name)
 {
-  struct cell_tenant *t;
+  struct fsched_tenant *t;
 
   TAILQ_FOREACH (t, &c->tenants, link)
     if (strcmp (t->name, name) == 0)
       return t;
-  t = cell_zalloc (1, sizeof *t);
+  t = fsched_zalloc (1, sizeof *t);
   clb_copy (t->name, name, sizeof t->name);
-  t->owed_ms = c->now_ms;
-  t->owed = 1e9;
+  t->credited_ms = c->now_ms;
+  t->share_credit = 1e9;
   TAILQ_INSERT_TAIL (&c->tenants, t, link);
   return t;
 }
 
-struct cell_queue *
-cell_queue (struct cell *c, const char *name)
+struct fsched_queue *
+fsched_queue (struct fsched *c, const char *name)
 {
-  struct cell_queue *q;
+  struct fsched_queue *q;
 
   TAILQ_FOREACH (q, &c->queues, link)
     if (strcmp (q->name, name) == 0)
       return q;
-  q = cell_zalloc (1, sizeof *q);
+  q = fsched_zalloc (1, sizeof *q);
   clb_copy (q->name, name, sizeof q->name);
-  q->good_share = 0.5;
+  q->permitted_share = 0.5;
   TAILQ_INSERT_TAIL (&c->queues, q, link);
   return q;
 }
 
 void
-cell_touch (struct cell *c, struct job *j)
+fsched_mark_dirty (struct fsched *c, struct job *j)
 {
   j->dirty = true;
   c->record_due = true;
 }
 
 struct order *
-cell_order (struct cell *c, int kind, const struct exec *e,
-            struct pending_order **pend)
+fsched_order_new (struct fsched *c, int kind, const struct exec *e,
+                  struct pending_order **pend)
 {
-  struct order *o = cell_zalloc (1, sizeof *o);
-  struct pending_order *p = cell_zalloc (1, sizeof *p);
+  struct order *o = fsched_zalloc (1, sizeof *o);
+  struct pending_order *p = fsched_zalloc (1, sizeof *p);
 
   o->kind = kind;
-  o->no = ++*c->tokens;
-  o->fence = c->epoch;
-  o->timeout_ms = CELL_CALL_MS;
+  o->id = ++*c->tokens;
+  o->fencing_token = c->epoch;
+  o->timeout_ms = FSCHED_CALL_TIMEOUT_MS;
   if (e)
     {
       clb_copy (o->exec, e->rep.id, sizeof o->exec);
       clb_copy (o->addr, e->rep.addr, sizeof o->addr);
     }
-  p->no = o->no;
+  p->id = o->id;
   p->kind = kind;
   p->sent_ms = c->now_ms;
   RB_INSERT (pending_order_tree, &c->orders, p);
@@ -270,7 +270,7 @@
 
 /* Steps whose predecessors are done may be placed. */
 static void
-find_ready (struct cell *c, struct job *j)
+find_ready (struct fsched *c, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
@@ -291,39 +291,39 @@
 /* Whether a client account sends more than it is owed; see docs/OPERATIONS.md.
    The allowance is refilled by its weight, up to four seconds of it. */
 static bool
-beyond_owed (struct cell *c, const char *tenant)
+beyond_owed (struct fsched *c, const char *tenant)
 {
   const struct fconf_tenant *ft
       = c->conf ? fconf_tenant (c->conf, tenant) : NULL;
-  struct cell_tenant *t = cell_tenant (c, tenant);
+  struct fsched_tenant *t = fsched_tenant (c, tenant);
 
   if (!ft || ft->weight <= 0)
     return false;
-  t->owed += ft->weight * (double)(c->now_ms - t->owed_ms) / 1000;
-  t->owed_ms = c->now_ms;
-  if (t->owed > 4 * ft->weight)
-    t->owed = 4 * ft->weight;
-  t->owed -= 1;
-  if (t->owed >= 0)
+  t->share_credit += ft->weight * (double)(c->now_ms - t->credited_ms) / 1000;
+  t->credited_ms = c->now_ms;
+  if (t->share_credit > 4 * ft->weight)
+    t->share_credit = 4 * ft->weight;
+  t->share_credit -= 1;
+  if (t->share_credit >= 0)
     return false;
-  t->owed = 0;
+  t->share_credit = 0;
   return true;
 }
 
 static void
-add_final (struct cell *c, const char *id, int state, bool trim)
+add_final (struct fsched *c, const char *id, int state, bool trim)
 {
-  struct final *f = cell_zalloc (1, sizeof *f);
+  struct ended_job *f = fsched_zalloc (1, sizeof *f);
 
   clb_copy (f->id, id, sizeof f->id);
   f->state = state;
-  f->trim = trim;
-  if (RB_INSERT (final_tree, &c->finals, f))
+  f->trim_due = trim;
+  if (RB_INSERT (ended_job_tree, &c->ended_jobs, f))
     free (f);
 }
 
 static void
-stop_all (struct cell *c, struct job *j)
+stop_all (struct fsched *c, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     for (int t = 0; t < j->steps[i].n_tasks; t++)
@@ -332,19 +332,19 @@
 }
 
 static void
-finish (struct cell *c, struct job *j, int state, const char *why)
+finish (struct fsched *c, struct job *j, int state, const char *why)
 {
   if (job_state_final (j->state))
     return;
   j->state = state;
   c->stats->jobs_ended[state]++;
-  hist_add (&c->stats->job_ms[state], c->now_ms - j->come_ms);
-  cell_touch (c, j);
+  hist_add (&c->stats->job_ms[state], c->now_ms - j->arrival_ms);
+  fsched_mark_dirty (c, j);
   out_line (c->out,
             "event=job-%s job=%s queue=%s after_ms=%lld late_ms=%lld "
             "why=%s",
             job_state_names[state], j->spec.id, j->spec.queue,
-            (long long)(c->now_ms - j->come_ms),
+            (long long)(c->now_ms - j->arrival_ms),
             (long long)(c->now_ms - j->due_ms), why);
   if (state != JOB_COMPLETED)
     stop_all (c, j);
@@ -352,7 +352,7 @@
 
 /* Once recorded and with nothing running, only its state is kept. */
 bool
-cell_forget_job (struct cell *c, struct job *j)
+fsched_forget_job (struct fsched *c, struct job *j)
 {
   if (!j->recorded || j->n_runs > 0 || j->dirty || j->writing)
     return false;
@@ -362,16 +362,16 @@
 }
 
 void
-cell_cancel (struct cell *c, const char *id)
+fsched_cancel (struct fsched *c, const char *id)
 {
-  struct job *j = cell_find_job (c, id);
+  struct job *j = fsched_find_job (c, id);
 
   if (j)
     finish (c, j, JOB_CANCELLED, "cancelled");
 }
 
 static void
-mark_done (struct cell *c, struct job *j, int step, int index)
+mark_done (struct fsched *c, struct job *j, int step, int index)
 {
   struct jstep *s = &j->steps[step];
   struct jtask *t = &s->tasks[index];
@@ -380,21 +380,21 @@
     return;
   t->done = true;
   s->n_done++;
-  cell_touch (c, j);
+  fsched_mark_dirty (c, j);
   if (t->run && !j->spec.steps[step].gang)
     start_stop (c, t->run);
   if (s->n_done < s->n_tasks)
     return;
-  j->n_left--;
+  j->n_steps_left--;
   find_ready (c, j);
-  if (j->n_left == 0)
+  if (j->n_steps_left == 0)
     finish (c, j, JOB_COMPLETED, "all-tasks-done");
 }
 
 /* The members of a gang end together: one that is done stands for all, and
    the others' ends are on their way. */
 static void
-gang_done (struct cell *c, struct job *j, int step)
+gang_done (struct fsched *c, struct job *j, int step)
 {
   for (int t = 0; t < j->steps[step].n_tasks; t++)
     mark_done (c, j, step, t);
@@ -405,61 +405,62 @@
 add_failed (struct jtask *t, int64_t run)
 {
   for (int i = 0; i < t->n_failed; i++)
-    if (t->failed[i].no == run)
+    if (t->failed_runs[i].id == run)
       return false;
   if (t->n_failed == JOB_FAILURES_MAX)
     return false;
-  t->failed
-      = realloc (t->failed, (size_t)(t->n_failed + 1) * sizeof *t->failed);
-  if (!t->failed)
+  t->failed_runs = realloc (t->failed_runs, (size_t)(t->n_failed + 1)
+                                                * sizeof *t->failed_runs);
+  if (!t->failed_runs)
     abort ();
-  t->failed[t->n_failed++].no = run;
+  t->failed_runs[t->n_failed++].id = run;
   return true;
 }
 
 static void
-count_failure (struct cell *c, struct job *j, int step, int index, int64_t run)
+count_failure (struct fsched *c, struct job *j, int step, int index,
+               int64_t run)
 {
   bool gang = j->spec.steps[step].gang;
   struct jtask *t = &j->steps[step].tasks[gang ? 0 : index];
 
   if (!add_failed (t, run))
     return;
-  cell_touch (c, j);
+  fsched_mark_dirty (c, j);
   if (t->n_failed >= j->spec.attempts)
     finish (c, j, JOB_FAILED, "attempts-used-up");
 }
 
 void
-cell_task_ended (struct cell *c, struct job *j, int step, int index,
-                 int64_t run, int how)
+fsched_task_ended (struct fsched *c, struct job *j, int step, int index,
+                   int64_t run, int how)
 {
   bool gang = j->spec.steps[step].gang;
 
   c->pass_due = true;
-  if (how == END_DONE && gang)
+  if (how == RUN_END_DONE && gang)
     gang_done (c, j, step);
-  else if (how == END_DONE)
+  else if (how == RUN_END_DONE)
     mark_done (c, j, step, index);
-  else if (how == END_FAILED && !job_state_final (j->state))
+  else if (how == RUN_END_FAILED && !job_state_final (j->state))
     count_failure (c, j, step, index, run);
 }
 
 void
-cell_keep_saved (struct job *j, int step, int index, const char *saved)
+fsched_keep_checkpoint (struct job *j, int step, int index, const char *saved)
 {
   struct jtask *t = &j->steps[step].tasks[index];
 
-  if (!*saved || (t->saved && strcmp (t->saved, saved) == 0))
+  if (!*saved || (t->checkpoint && strcmp (t->checkpoint, saved) == 0))
     return;
-  free (t->saved);
-  t->saved = strdup (saved);
+  free (t->checkpoint);
+  t->checkpoint = strdup (saved);
 }
 
 /* Records. */
 
 static void
-take_marks (struct cell *c, struct job *j, const struct job_step_marks *m)
+take_marks (struct fsched *c, struct job *j, const struct job_step_marks *m)
 {
   if (m->step < 0 || m->step >= (int64_t)j->spec.n_steps)
     return;
@@ -471,59 +472,60 @@
         continue;
       struct jtask *t = &s->tasks[k->index];
       for (size_t r = 0; r < k->n_failed; r++)
-        add_failed (t, k->failed[r].no);
+        add_failed (t, k->failed[r].id);
       if (k->done)
         mark_done (c, j, (int)m->step, (int)k->index);
     }
 }
 
 static void
-take_early (struct cell *c, struct job *j)
+take_early (struct fsched *c, struct job *j)
 {
   struct early_progress key;
   struct early_progress *e;
 
   clb_copy (key.id, j->spec.id, sizeof key.id);
-  e = RB_FIND (early_tree, &c->early, &key);
+  e = RB_FIND (early_tree, &c->early_progress, &key);
   if (!e)
     return;
-  RB_REMOVE (early_tree, &c->early, e);
+  RB_REMOVE (early_tree, &c->early_progress, e);
   for (size_t i = 0; i < e->progress.n_steps; i++)
     take_marks (c, j, &e->progress.steps[i]);
   early_free (e);
 }
 
 void
-cell_job (struct cell *c, struct job_spec *spec, bool old, int64_t age_ms)
+fsched_add_job (struct fsched *c, struct job_spec *spec, bool old,
+                int64_t age_ms)
 {
   struct job *j;
 
-  if (cell_find_job (c, spec->id) || cell_state (c, spec->id) >= 0)
+  if (fsched_find_job (c, spec->id) || fsched_job_state (c, spec->id) >= 0)
     {
       codec_free (&job_spec_desc, spec);
       return;
     }
-  j = cell_zalloc (1, sizeof *j);
+  j = fsched_zalloc (1, sizeof *j);
   j->spec = *spec;
   memset (spec, 0, sizeof *spec);
-  j->old = old;
-  j->service = cell_name (&c->services, j->spec.service);
-  j->come_ms = c->now_ms - age_ms;
-  j->chain_ms = job_chain_ms (&j->spec);
-  j->due_ms = j->come_ms + j->spec.target_ms
-              + (int64_t)(j->spec.slack * (double)j->chain_ms);
-  j->excess = !old && beyond_owed (c, j->spec.tenant);
-  j->steps = cell_zalloc (j->spec.n_steps, sizeof *j->steps);
-  j->n_left = (int)j->spec.n_steps;
+  j->inherited = old;
+  j->service = fsched_intern (&c->services, j->spec.service);
+  j->arrival_ms = c->now_ms - age_ms;
+  j->critical_path_ms = job_critical_path_ms (&j->spec);
+  j->due_ms = j->arrival_ms + j->spec.target_ms
+              + (int64_t)(j->spec.slack * (double)j->critical_path_ms);
+  j->over_share = !old && beyond_owed (c, j->spec.tenant);
+  j->steps = fsched_zalloc (j->spec.n_steps, sizeof *j->steps);
+  j->n_steps_left = (int)j->spec.n_steps;
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
       struct jstep *s = &j->steps[i];
       s->n_tasks = (int)j->spec.steps[i].tasks;
-      s->label = cell_label (c, j->spec.steps[i].label);
-      s->data_rack = cell_name (&c->racks, j->spec.steps[i].data_rack);
-      s->tasks = cell_zalloc ((size_t)s->n_tasks, sizeof *s->tasks);
+      s->label = fsched_intern_label (c, j->spec.steps[i].label);
+      s->data_rack = fsched_intern (&c->racks, j->spec.steps[i].data_rack);
+      s->tasks = fsched_zalloc ((size_t)s->n_tasks, sizeof *s->tasks);
       for (int t = 0; t < s->n_tasks; t++)
-        s->tasks[t].next_run = old ? (int32_t)(c->epoch * RUNS_A_TERM) : 1;
+        s->tasks[t].next_run_id = old ? (int32_t)(c->epoch * RUNS_A_TERM) : 1;
     }
   RB_INSERT (job_tree, &c->jobs, j);
   TAILQ_INSERT_TAIL (&c->queue, j, link);
@@ -532,16 +534,16 @@
   find_ready (c, j);
   if (old)
     take_early (c, j);
-  if (c->going)
+  if (c->loaded)
     out_line (c->out,
               "event=job-taken job=%s queue=%s tenant=%s steps=%zu "
-              "due_in_ms=%lld excess=%d jobs=%d",
+              "due_in_ms=%lld over_share=%d jobs=%d",
               j->spec.id, j->spec.queue, j->spec.tenant, j->spec.n_steps,
-              (long long)(j->due_ms - c->now_ms), j->excess, c->n_jobs);
+              (long long)(j->due_ms - c->now_ms), j->over_share, c->n_jobs);
 }
 
 void
-cell_progress (struct cell *c, const char *id, struct job_progress *p)
+fsched_load_progress (struct fsched *c, const char *id, struct job_progress *p)
 {
   struct early_progress *e;
 
@@ -551,20 +553,20 @@
       codec_free (&job_progress_desc, p);
       return;
     }
-  e = cell_zalloc (1, sizeof *e);
+  e = fsched_zalloc (1, sizeof *e);
   clb_copy (e->id, id, sizeof e->id);
   e->progress = *p;
   memset (p, 0, sizeof *p);
-  if (RB_INSERT (early_tree, &c->early, e))
+  if (RB_INSERT (early_tree, &c->early_progress, e))
     early_free (e);
 }
 
 int
-cell_state (const struct cell *c, const char *id)
+fsched_job_state (const struct fsched *c, const char *id)
 {
-  struct final key;
-  struct final *f;
-  const struct job *j = cell_find_job (c, id);
+  struct ended_job key;
+  struct ended_job *f;
+  const struct job *j = fsched_find_job (c, id);
 
   if (j && j->state == JOB_CANCELLED)
     return JOB_CANCELLED;
@@ -572,31 +574,31 @@
     return JOB_RUNNING; /* not told before it is durable */
   if (j)
     return job_state_final (j->state) ? j->state
-           : j->begun                 ? JOB_RUNNING
+           : j->task_started          ? JOB_RUNNING
                                       : JOB_PENDING;
   clb_copy (key.id, id, sizeof key.id);
-  f = RB_FIND (final_tree, (struct final_tree *)&c->finals, &key);
+  f = RB_FIND (ended_job_tree, (struct ended_job_tree *)&c->ended_jobs, &key);
   return f ? f->state : -1;
 }
 
 int64_t
-cell_waiting (const struct cell *c, const char *queue)
+fsched_jobs_waiting (const struct fsched *c, const char *queue)
 {
   const struct job *j;
   int64_t n = 0;
 
   TAILQ_FOREACH (j, &c->queue, link)
-    if (!j->begun && !job_state_final (j->state)
+    if (!j->task_started && !job_state_final (j->state)
         && strcmp (j->spec.queue, queue) == 0)
       n++;
   return n;
 }
 
 void
-cell_go (struct cell *c)
+fsched_load_done (struct fsched *c)
 {
-  plan_go (c);
-  c->going = true;
+  intents_load_done (c);
+  c->loaded = true;
   c->pass_due = true;
   out_line (c->out,
             "event=scheduler-loaded epoch=%lld jobs=%d execs=%d "
@@ -606,10 +608,10 @@
 }
 
 void
-cell_result (struct cell *c, int64_t now_ms, uint64_t order,
-             const struct order_result *res)
+fsched_order_result (struct fsched *c, int64_t now_ms, uint64_t order,
+                     const struct order_result *res)
 {
-  struct pending_order key = { .no = order };
+  struct pending_order key = { .id = order };
   struct pending_order *p = RB_FIND (pending_order_tree, &c->orders, &key);
 
   c->now_ms = now_ms;
@@ -620,8 +622,8 @@
   hist_add (&c->stats->order_ms[p->kind], now_ms - p->sent_ms);
   switch (p->kind)
     {
-    case ORDER_HOLD:
-      exec_hold_result (c, p->exec, res);
+    case ORDER_POLL:
+      exec_poll_result (c, p->exec, res);
       break;
     case ORDER_ADVISE:
       advice_result (c, p, res);
@@ -636,40 +638,40 @@
 
 /* Questions whose answer got lost between the instances. */
 static void
-sweep_questions (struct cell *c)
+sweep_questions (struct fsched *c)
 {
   struct pending_order *p, *next;
   struct order_result lost = { .outcome = ORDER_LOST };
 
-  if (c->now_ms < c->next_sweep_ms)
+  if (c->now_ms < c->next_query_sweep_ms)
     return;
-  c->next_sweep_ms = c->now_ms + 50;
+  c->next_query_sweep_ms = c->now_ms + 50;
   RB_FOREACH_SAFE (p, pending_order_tree, &c->orders, next)
-    if (p->kind == ORDER_ADVISE && c->now_ms >= p->until_ms)
-      cell_result (c, c->now_ms, p->no, &lost);
+    if (p->kind == ORDER_ADVISE && c->now_ms >= p->deadline_ms)
+      fsched_order_result (c, c->now_ms, p->id, &lost);
 }
 
 void
-cell_tick (struct cell *c, int64_t now_ms, bool may_order)
+fsched_tick (struct fsched *c, int64_t now_ms, bool may_order)
 {
   struct exec *e;
   struct job *j, *next;
 
   c->now_ms = now_ms;
   c->may_order = may_order;
-  if (!c->going || !may_order)
+  if (!c->loaded || !may_order)
     return;
-  if (now_ms >= c->next_sweep_execs_ms)
+  if (now_ms >= c->next_exec_sweep_ms)
     {
-      c->next_sweep_execs_ms = now_ms + CELL_SWEEP_MS;
+      c->next_exec_sweep_ms = now_ms + FSCHED_EXEC_SWEEP_MS;
       TAILQ_FOREACH (e, &c->execs, link)
         exec_tick (c, e);
-      exec_settle (c);
+      exec_reconcile_check (c);
       sweep_questions (c);
-      cell_trim_jobs (c);
+      fsched_trim_jobs (c);
       TAILQ_FOREACH_SAFE (j, &c->queue, link, next)
         if (job_state_final (j->state))
-          cell_forget_job (c, j);
+          fsched_forget_job (c, j);
     }
   if (c->retry_pass_ms && now_ms >= c->retry_pass_ms)
     c->pass_due = true;
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -29,7 +29,7 @@
 };
 
 struct permit *
-permit_of (struct jstep *s, const struct exec *e)
+permit_get (struct jstep *s, const struct exec *e)
 {
   if (e->index >= s->n_permits)
     {
@@ -45,7 +45,7 @@
 }
 
 void
-advice_forget (struct jstep *s)
+advice_free (struct jstep *s)
 {
   for (int i = 0; i < s->n_permits; i++)
     free (s->permits[i].ticket);
@@ -55,7 +55,7 @@
 }
 
 bool
-permit_valid (const struct cell *c, const struct jstep *s,
+permit_valid (const struct fsched *c, const struct jstep *s,
               const struct exec *e)
 {
   const struct permit *p;
@@ -63,20 +63,20 @@
   if (e->index >= s->n_permits)
     return false;
   p = &s->permits[e->index];
-  return p->state == PERMIT_GOOD && p->born_ms == e->born_ms
-         && p->until_ms > c->now_ms + CELL_TICKET_MARGIN_MS;
+  return p->state == PERMIT_ALLOWED && p->boot_start_ms == e->boot_start_ms
+         && p->valid_until_ms > c->now_ms + FSCHED_TICKET_MARGIN_MS;
 }
 
 void
-cell_adviser (struct cell *c, const char *id, const char *addr,
-              int64_t millicores, int64_t fresh_ms)
+fsched_adviser_seen (struct fsched *c, const char *id, const char *addr,
+                     int64_t millicores, int64_t fresh_ms)
 {
   struct adviser *a = NULL;
 
   for (int i = 0; i < c->n_advisers && !a; i++)
     if (strcmp (c->advisers[i].id, id) == 0)
       a = &c->advisers[i];
-  if (!a && c->n_advisers == CELL_ADVISERS_MAX)
+  if (!a && c->n_advisers == FSCHED_ADVISERS_MAX)
     return;
   if (!a)
     {
@@ -86,25 +86,25 @@
       c->pass_due = true;
     }
   clb_copy (a->addr, addr, sizeof a->addr);
-  a->heard_ms = c->now_ms;
-  a->fresh_ms = fresh_ms;
+  a->last_contact_ms = c->now_ms;
+  a->table_contact_ms = fresh_ms;
   a->millicores = millicores;
 }
 
 const struct adviser *
-cell_adviser_fresh (const struct cell *c)
+fsched_adviser_freshest (const struct fsched *c)
 {
   const struct adviser *best = NULL;
 
   for (int i = 0; i < c->n_advisers; i++)
     if (*c->advisers[i].addr
-        && (!best || c->advisers[i].fresh_ms > best->fresh_ms))
+        && (!best || c->advisers[i].table_contact_ms > best->table_contact_ms))
       best = &c->advisers[i];
   return best;
 }
 
 int
-cell_adviser_rank (const struct cell *c, const char *id)
+fsched_adviser_rank (const struct fsched *c, const char *id)
 {
   int me = -1;
   int rank = 0;
@@ -115,7 +115,7 @@
   for (int i = 0; i < c->n_advisers && me >= 0; i++)
     {
       const struct adviser *a = &c->advisers[i];
-      if (*a->addr && c->now_ms - a->heard_ms < ADVISER_SILENT_MS
+      if (*a->addr && c->now_ms - a->last_contact_ms < ADVISER_SILENT_MS
           && (a->millicores > c->advisers[me].millicores
               || (a->millicores == c->advisers[me].millicores && i < me)))
         rank++;
@@ -125,7 +125,7 @@
 
 /* The instance that will be free first, of those for such questions. */
 static int
-pick_adviser (const struct cell *c, double cost_ms)
+pick_adviser (const struct fsched *c, double cost_ms)
 {
   int best = -1;
   int half = (c->n_advisers + 1) / 2;
@@ -135,14 +135,14 @@
     {
       const struct adviser *a = &c->advisers[i];
       bool here = !*a->addr;
-      if (!here && c->now_ms - a->heard_ms > ADVISER_SILENT_MS)
+      if (!here && c->now_ms - a->last_contact_ms > ADVISER_SILENT_MS)
         continue;
       if (c->now_ms < a->avoid_until_ms
-          || (a->n_open && c->now_ms > a->busy_until_ms + ADVISER_LATE_MS))
+          || (a->n_queries && c->now_ms > a->busy_until_ms + ADVISER_LATE_MS))
         continue;
-      if (is_long && (i >= half || a->n_open))
+      if (is_long && (i >= half || a->n_queries))
         continue;
-      if (a->n_open && a->busy_until_ms - c->now_ms > QUEUED_MAX_MS)
+      if (a->n_queries && a->busy_until_ms - c->now_ms > QUEUED_MAX_MS)
         continue;
       /* Short questions leave the first half free where they can. */
       if (best < 0
@@ -186,7 +186,7 @@
 /* struct names - whom to ask about */
 struct names
 {
-  struct candidate list[ORDER_NAMES_MAX];
+  struct candidate list[ORDER_ADVICE_EXECS_MAX];
   size_t n;
   int good_fits; /* tasks that executors known as good have room for */
   int unasked;   /* executors never asked about */
@@ -194,51 +194,53 @@
 
 /* Executors known as good, with room, whose tickets have lapsed. */
 static void
-add_lapsed (struct cell *c, struct job *j, int step, struct names *out)
+add_lapsed (struct fsched *c, struct job *j, int step, struct names *out)
 {
   struct jstep *s = &j->steps[step];
 
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      struct exec *e = c->open[i];
+      struct exec *e = c->eligible[i];
       struct permit *p;
       int fits;
       if (!exec_usable (e, j, step))
         continue;
-      p = permit_of (s, e);
-      if (p->state == PERMIT_GOOD && p->born_ms != e->born_ms)
+      p = permit_get (s, e);
+      if (p->state == PERMIT_ALLOWED && p->boot_start_ms != e->boot_start_ms)
         p->state = PERMIT_UNKNOWN;
       out->unasked += p->state == PERMIT_UNKNOWN;
-      if (p->state != PERMIT_GOOD)
+      if (p->state != PERMIT_ALLOWED)
         continue;
       fits = exec_fits (e, j, step, s->n_tasks);
       out->good_fits += fits;
-      if (fits > 0 && !permit_valid (c, s, e) && out->n < ORDER_NAMES_MAX)
+      if (fits > 0 && !permit_valid (c, s, e)
+          && out->n < ORDER_ADVICE_EXECS_MAX)
         out->list[out->n++] = (struct candidate){ e, fits };
     }
 }
 
 /* Executors never asked about, those with most room first. */
 static void
-add_unasked (struct cell *c, struct job *j, int step, struct names *out,
+add_unasked (struct fsched *c, struct job *j, int step, struct names *out,
              int want)
 {
   struct jstep *s = &j->steps[step];
-  struct candidate *all = cell_zalloc (2 * (size_t)c->n_open, sizeof *all);
-  struct candidate *sorted = all + c->n_open;
-  double share = cell_queue (c, j->spec.queue)->good_share;
+  struct candidate *all
+      = fsched_zalloc (2 * (size_t)c->n_eligible, sizeof *all);
+  struct candidate *sorted = all + c->n_eligible;
+  double share = fsched_queue (c, j->spec.queue)->permitted_share;
   double found = 0;
   size_t n = 0;
 
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      struct exec *e = c->open[i];
+      struct exec *e = c->eligible[i];
       if (exec_usable (e, j, step)
-          && permit_of (s, e)->state == PERMIT_UNKNOWN)
+          && permit_get (s, e)->state == PERMIT_UNKNOWN)
         all[n++] = (struct candidate){ e, exec_fits (e, j, step, s->n_tasks) };
     }
   sort_by_room (sorted, all, n);
-  for (size_t i = 0; i < n && out->n < ORDER_NAMES_MAX
+  for (size_t i = 0; i < n && out->n < ORDER_ADVICE_EXECS_MAX
                      && (found < want || i < SPARE_MIN / share);
        i++)
     {
@@ -249,41 +251,41 @@
 }
 
 static void
-send_question (struct cell *c, struct job *j, int step,
+send_question (struct fsched *c, struct job *j, int step,
                const struct names *names, int adviser, double cost_ms)
 {
   struct adviser *a = &c->advisers[adviser];
   struct jstep *s = &j->steps[step];
   struct pending_order *pend;
-  struct order *o = cell_order (c, ORDER_ADVISE, NULL, &pend);
+  struct order *o = fsched_order_new (c, ORDER_ADVISE, NULL, &pend);
   int64_t begin = a->busy_until_ms > c->now_ms ? a->busy_until_ms : c->now_ms;
 
   clb_copy (o->task.job, j->spec.id, sizeof o->task.job);
   o->task.step = step;
-  o->names = calloc (names->n, sizeof *o->names);
-  if (!o->names)
+  o->execs = calloc (names->n, sizeof *o->execs);
+  if (!o->execs)
     abort ();
   for (size_t i = 0; i < names->n; i++)
     {
-      clb_copy (o->names[i], names->list[i].e->rep.id, CLB_ID_MAX);
-      struct permit *p = permit_of (s, names->list[i].e);
+      clb_copy (o->execs[i], names->list[i].e->rep.id, CLB_ID_MAX);
+      struct permit *p = permit_get (s, names->list[i].e);
       if (p->state == PERMIT_UNKNOWN)
-        p->state = PERMIT_ASKED;
+        p->state = PERMIT_QUERIED;
     }
-  o->n_names = names->n;
+  o->n_execs = names->n;
   a->busy_until_ms = begin + (int64_t)cost_ms;
-  a->n_open++;
+  a->n_queries++;
   o->timeout_ms = a->busy_until_ms - c->now_ms + ASK_SLACK_MS;
   /* The instance that asks; this one where it is empty. */
   clb_copy (o->addr, a->addr, sizeof o->addr);
   clb_copy (pend->job, j->spec.id, sizeof pend->job);
   pend->step = step;
   pend->adviser = adviser;
-  pend->until_ms = c->now_ms + o->timeout_ms + QUEUED_MAX_MS;
-  pend->n_names = names->n;
-  s->ask = o->no;
-  c->stats->questions++;
-  c->questions--;
+  pend->deadline_ms = c->now_ms + o->timeout_ms + QUEUED_MAX_MS;
+  pend->n_execs = names->n;
+  s->query_id = o->id;
+  c->stats->queries++;
+  c->queries_left--;
 }
 
 /* Room on @e for some of the step's tasks is not for work behind it. */
@@ -293,10 +295,10 @@
   const struct job_step *s = &j->spec.steps[step];
   int n = exec_fits (e, j, step, most);
 
-  if (!s->fills)
-    e->promised.millicores += n * s->need.millicores;
-  e->promised.mem_mb += n * s->need.mem_mb;
-  e->promised.accels += n * s->need.accels;
+  if (!s->best_effort_cpu)
+    e->reserved.millicores += n * s->need.millicores;
+  e->reserved.mem_mb += n * s->need.mem_mb;
+  e->reserved.accels += n * s->need.accels;
   return n;
 }
 
@@ -310,26 +312,26 @@
 
 /* A question is under way: its executors' room stays promised. */
 static void
-promise_asked (struct cell *c, struct job *j, int step, int waiting)
+promise_asked (struct fsched *c, struct job *j, int step, int waiting)
 {
   struct jstep *s = &j->steps[step];
 
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      struct exec *e = c->open[i];
+      struct exec *e = c->eligible[i];
       const struct permit *p;
       if (waiting <= 0)
         return;
       if (e->index >= s->n_permits || !exec_usable (e, j, step))
         continue;
       p = &s->permits[e->index];
-      if (p->state == PERMIT_ASKED || p->state == PERMIT_GOOD)
+      if (p->state == PERMIT_QUERIED || p->state == PERMIT_ALLOWED)
         waiting -= promise (e, j, step, waiting);
     }
 }
 
 void
-advice_want (struct cell *c, struct job *j, int step)
+advice_query (struct fsched *c, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
   const struct job_advice *adv = &j->spec.advice;
@@ -339,13 +341,14 @@
   int adviser;
   double cost;
 
-  if (s->ask)
+  if (s->query_id)
     {
       promise_asked (c, j, step, waiting);
       return;
     }
-  if (c->now_ms < s->ask_next_ms || waiting <= 0 || c->questions <= 0
-      || !(adv->base_ms > LONG_MS ? c->ask_long : c->ask_short))
+  if (c->now_ms < s->next_query_ms || waiting <= 0 || c->queries_left <= 0
+      || !(adv->base_ms > LONG_MS ? c->long_adviser_free
+                                  : c->short_adviser_free))
     return;
   add_lapsed (c, j, step, &names);
   if (names.good_fits < waiting && names.unasked > 0)
@@ -356,7 +359,7 @@
     return;
   if (names.n == 0)
     return;
-  cost = adv->base_ms + adv->each_ms * (double)names.n;
+  cost = adv->base_ms + adv->per_exec_ms * (double)names.n;
   adviser = pick_adviser (c, cost);
   promise_names (j, step, &names, waiting);
   if (adviser >= 0)
@@ -365,30 +368,30 @@
 }
 
 void
-advice_begin_pass (struct cell *c)
+advice_begin_pass (struct fsched *c)
 {
-  c->ask_short = pick_adviser (c, 1) >= 0;
-  c->ask_long = pick_adviser (c, LONG_MS + 1) >= 0;
+  c->short_adviser_free = pick_adviser (c, 1) >= 0;
+  c->long_adviser_free = pick_adviser (c, LONG_MS + 1) >= 0;
 }
 
 static void
-take_good (struct cell *c, struct jstep *s, const struct order_result *res,
+take_good (struct fsched *c, struct jstep *s, const struct order_result *res,
            int64_t valid_ms)
 {
-  for (size_t i = 0; i < res->n_good; i++)
+  for (size_t i = 0; i < res->n_permitted; i++)
     {
-      struct exec *e = exec_find (c, res->good[i].exec);
+      struct exec *e = exec_find (c, res->permitted[i].exec);
       struct permit *p;
       if (!e)
         continue;
-      p = permit_of (s, e);
-      p->state = PERMIT_GOOD;
-      p->born_ms = e->born_ms;
-      p->until_ms = c->now_ms + valid_ms;
-      if (p->until_ms > s->valid_ms)
-        s->valid_ms = p->until_ms;
+      p = permit_get (s, e);
+      p->state = PERMIT_ALLOWED;
+      p->boot_start_ms = e->boot_start_ms;
+      p->valid_until_ms = c->now_ms + valid_ms;
+      if (p->valid_until_ms > s->tickets_until_ms)
+        s->tickets_until_ms = p->valid_until_ms;
       free (p->ticket);
-      p->ticket = strdup (res->good[i].ticket);
+      p->ticket = strdup (res->permitted[i].ticket);
     }
 }
 
@@ -405,45 +408,46 @@
 }
 
 void
-advice_result (struct cell *c, const struct pending_order *pend,
+advice_result (struct fsched *c, const struct pending_order *pend,
                const struct order_result *res)
 {
-  struct job *j = cell_find_job (c, pend->job);
+  struct job *j = fsched_find_job (c, pend->job);
   struct adviser *a = &c->advisers[pend->adviser];
   struct jstep *s;
   bool good = res->outcome == ORDER_DONE;
 
-  if (--a->n_open == 0)
+  if (--a->n_queries == 0)
     a->busy_until_ms = c->now_ms;
   c->pass_due = true;
   if (!good)
     {
-      c->stats->questions_failed++;
+      c->stats->queries_failed++;
       a->avoid_until_ms = c->now_ms + ADVISER_AVOID_MS;
     }
-  if (!j || j->steps[pend->step].ask != pend->no)
+  if (!j || j->steps[pend->step].query_id != pend->id)
     return;
   s = &j->steps[pend->step];
-  s->ask = 0;
-  s->ask_next_ms
-      = c->now_ms + (good ? again_pause (++s->n_asks) : ASK_PAUSE_MS);
+  s->query_id = 0;
+  s->next_query_ms
+      = c->now_ms + (good ? again_pause (++s->n_queries) : ASK_PAUSE_MS);
   if (good)
     take_good (c, s, res,
                res->valid_ms ? res->valid_ms : j->spec.advice.valid_ms);
   for (int i = 0; i < s->n_permits; i++)
-    if (s->permits[i].state == PERMIT_ASKED)
-      s->permits[i].state = good ? PERMIT_BAD : PERMIT_UNKNOWN;
-  if (good && pend->n_names)
+    if (s->permits[i].state == PERMIT_QUERIED)
+      s->permits[i].state = good ? PERMIT_DENIED : PERMIT_UNKNOWN;
+  if (good && pend->n_execs)
     {
-      struct cell_queue *q = cell_queue (c, j->spec.queue);
-      double share = (double)res->n_good / (double)pend->n_names;
-      q->good_share += 0.05 * (share - q->good_share);
-      if (q->good_share < 0.1)
-        q->good_share = 0.1;
+      struct fsched_queue *q = fsched_queue (c, j->spec.queue);
+      double share = (double)res->n_permitted / (double)pend->n_execs;
+      q->permitted_share += 0.05 * (share - q->permitted_share);
+      if (q->permitted_share < 0.1)
+        q->permitted_share = 0.1;
     }
   out_line (c->out,
             "event=advice job=%s step=%d by=%s outcome=%s asked=%zu "
             "good=%zu",
             pend->job, pend->step, *a->id ? a->id : "self",
-            order_outcome_names[res->outcome], pend->n_names, res->n_good);
+            order_outcome_names[res->outcome], pend->n_execs,
+            res->n_permitted);
 }
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -23,16 +23,16 @@
 RB_GENERATE (exec_tree, exec, by_id, exec_cmp)
 
 struct exec *
-exec_find (const struct cell *c, const char *id)
+exec_find (const struct fsched *c, const char *id)
 {
   struct exec key;
 
   clb_copy (key.rep.id, id, sizeof key.rep.id);
-  return RB_FIND (exec_tree, (struct exec_tree *)&c->exec_ids, &key);
+  return RB_FIND (exec_tree, (struct exec_tree *)&c->execs_by_id, &key);
 }
 
 static struct exec *
-exec_add (struct cell *c, const char *id)
+exec_add (struct fsched *c, const char *id)
 {
   struct exec *e = calloc (1, sizeof *e);
 
@@ -42,33 +42,33 @@
   e->index = c->n_execs++;
   TAILQ_INIT (&e->runs);
   TAILQ_INSERT_TAIL (&c->execs, e, link);
-  RB_INSERT (exec_tree, &c->exec_ids, e);
+  RB_INSERT (exec_tree, &c->execs_by_id, e);
   return e;
 }
 
 /* What ran in a boot that is over has ended with it.  A start that is not
    acknowledged may still reach the new boot. */
 static void
-boot_over (struct cell *c, struct exec *e)
+boot_over (struct fsched *c, struct exec *e)
 {
   struct start *r, *next;
 
-  TAILQ_FOREACH_SAFE (r, &e->runs, on_exec, next)
-    if (r->acked_ms)
-      start_end (c, r, END_GONE);
+  TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
+    if (r->start_acked_ms)
+      start_end (c, r, RUN_END_REBOOTED);
     else if (r->state != START_SENT)
       start_stop (c, r);
-  e->seen_end = 0;
-  e->write_end = 0;
-  e->recorded_end = 0;
-  e->bad_runs = 0;
-  e->aside_until_ms = 0;
-  e->aside_ms = 0;
+  e->seen_end_seq = 0;
+  e->writing_end_seq = 0;
+  e->recorded_end_seq = 0;
+  e->failures_in_row = 0;
+  e->quarantine_until_ms = 0;
+  e->quarantine_ms = 0;
   c->pass_due = true;
 }
 
 void
-cell_exec (struct cell *c, const struct exec_report *rep)
+fsched_exec_report (struct fsched *c, const struct exec_report *rep)
 {
   struct exec *e = exec_find (c, rep->id);
   bool moved;
@@ -77,7 +77,7 @@
     {
       e = exec_add (c, rep->id);
       /* Not in the roster: no earlier leader has used it. */
-      e->clear = true;
+      e->reconciled = true;
     }
   moved = strcmp (e->rep.addr, rep->addr) != 0;
   if (!e->listed || e->rep.draining != rep->draining)
@@ -88,12 +88,12 @@
       c->pass_due = true;
     }
   e->rep = *rep;
-  cell_name_exec (c, e);
+  fsched_intern_exec (c, e);
   e->listed = true;
-  e->relisted = true;
+  e->in_list = true;
   if (moved)
-    e->next_hold_ms = c->now_ms;
-  if (!e->on_record)
+    e->next_poll_ms = c->now_ms;
+  if (!e->recorded)
     {
       c->roster_dirty = true;
       c->record_due = true;
@@ -101,7 +101,7 @@
 }
 
 void
-cell_exec_gone (struct cell *c, const char *id)
+fsched_exec_unlisted (struct fsched *c, const char *id)
 {
   struct exec *e = exec_find (c, id);
 
@@ -109,31 +109,32 @@
     return;
   out_line (c->out, "event=exec-unlisted exec=%s", id);
   e->listed = false;
-  e->unlisted_ms = c->now_ms;
+  e->unlisted_since_ms = c->now_ms;
 }
 
 void
-cell_exec_list (struct cell *c, bool begins)
+fsched_exec_list (struct fsched *c, bool begins)
 {
   struct exec *e;
 
   TAILQ_FOREACH (e, &c->execs, link)
     if (begins)
-      e->relisted = false;
-    else if (!e->relisted)
-      cell_exec_gone (c, e->rep.id);
+      e->in_list = false;
+    else if (!e->in_list)
+      fsched_exec_unlisted (c, e->rep.id);
 }
 
 /* Dropped for a moment while the platform was away, or gone. */
 static bool
-still_there (const struct cell *c, const struct exec *e)
+still_there (const struct fsched *c, const struct exec *e)
 {
   return e->listed
-         || (e->unlisted_ms && c->now_ms - e->unlisted_ms < CELL_UNLISTED_MS);
+         || (e->unlisted_since_ms
+             && c->now_ms - e->unlisted_since_ms < FSCHED_UNLISTED_GRACE_MS);
 }
 
 void
-cell_roster (struct cell *c, const char *text)
+fsched_load_roster (struct fsched *c, const char *text)
 {
   clb_auto char *copy = strdup (text);
   char *save = NULL;
@@ -152,103 +153,105 @@
           e = exec_add (c, line);
           clb_copy (e->rep.addr, addr, sizeof e->rep.addr);
         }
-      e->on_record = true;
-      e->clear = false;
+      e->recorded = true;
+      e->reconciled = false;
     }
 }
 
 int64_t
-exec_clock (const struct cell *c, const struct exec *e)
+exec_clock_now (const struct fsched *c, const struct exec *e)
 {
-  return e->clock_ms + c->now_ms - e->clock_at_ms;
+  return e->clock_ms + c->now_ms - e->last_contact_ms;
 }
 
 static bool
-lease_over (const struct cell *c, const struct exec *e)
+lease_over (const struct fsched *c, const struct exec *e)
 {
-  int64_t passed = c->now_ms - e->clock_at_ms - CELL_CLOCK_MARGIN_MS;
+  int64_t passed = c->now_ms - e->last_contact_ms - FSCHED_CLOCK_MARGIN_MS;
 
-  return e->heard
-         && e->clock_ms + passed * CLOCK_RATE_LOW / 100 > e->deadline_ms;
+  return e->answered
+         && e->clock_ms + passed * CLOCK_RATE_LOW / 100 > e->lease_deadline_ms;
 }
 
 static void
-send_hold (struct cell *c, struct exec *e)
+send_hold (struct fsched *c, struct exec *e)
 {
   struct pending_order *pend;
-  struct order *o = cell_order (c, ORDER_HOLD, e, &pend);
+  struct order *o = fsched_order_new (c, ORDER_POLL, e, &pend);
 
   pend->exec = e;
-  e->hold = o->no;
-  e->hold_ms = c->now_ms;
-  o->recorded = e->recorded_end;
+  e->poll_id = o->id;
+  e->poll_sent_ms = c->now_ms;
+  o->recorded_end_seq = e->recorded_end_seq;
   /* A lease that is renewed in vain would never be over. */
-  if (e->heard && !e->silent)
+  if (e->answered && !e->unreachable)
     {
-      o->deadline_ms = exec_clock (c, e) + CELL_LEASE_MS;
-      if (o->deadline_ms > e->deadline_ms)
-        e->deadline_ms = o->deadline_ms;
+      o->lease_deadline_ms = exec_clock_now (c, e) + FSCHED_LEASE_MS;
+      if (o->lease_deadline_ms > e->lease_deadline_ms)
+        e->lease_deadline_ms = o->lease_deadline_ms;
     }
   /* Ends that are not recorded yet would be answered at once. */
-  if (e->heard && !e->silent && e->recorded_end == e->seen_end)
-    o->wait_ms = CELL_HOLD_WAIT_MS;
-  o->timeout_ms = o->wait_ms + CELL_HOLD_SLACK_MS;
+  if (e->answered && !e->unreachable && e->recorded_end_seq == e->seen_end_seq)
+    o->wait_ms = FSCHED_POLL_WAIT_MS;
+  o->timeout_ms = o->wait_ms + FSCHED_POLL_SLACK_MS;
 }
 
 static void
-lapse_all (struct cell *c, struct exec *e)
+lapse_all (struct fsched *c, struct exec *e)
 {
   struct start *r;
 
-  out_line (
-      c->out, "event=lease-over exec=%s silent_ms=%lld", e->rep.id,
-      (long long)(c->now_ms - (e->heard ? e->clock_at_ms : c->claimed_ms)));
+  out_line (c->out, "event=lease-over exec=%s silent_ms=%lld", e->rep.id,
+            (long long)(c->now_ms
+                        - (e->answered ? e->last_contact_ms : c->claimed_ms)));
   while ((r = TAILQ_FIRST (&e->runs)))
     {
-      c->stats->lapsed++;
-      start_end (c, r, END_LAPSED);
+      c->stats->runs_lapsed++;
+      start_end (c, r, RUN_END_LAPSED);
     }
 }
 
 void
-exec_tick (struct cell *c, struct exec *e)
+exec_tick (struct fsched *c, struct exec *e)
 {
   struct start *r, *next;
-  bool idle = !still_there (c, e) && e->clear && TAILQ_EMPTY (&e->runs);
+  bool idle = !still_there (c, e) && e->reconciled && TAILQ_EMPTY (&e->runs);
 
-  if (!e->hold && !idle && c->now_ms >= e->next_hold_ms)
+  if (!e->poll_id && !idle && c->now_ms >= e->next_poll_ms)
     send_hold (c, e);
-  TAILQ_FOREACH_SAFE (r, &e->runs, on_exec, next)
+  TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
     start_tick (c, r);
-  if (e->silent && !TAILQ_EMPTY (&e->runs) && lease_over (c, e))
+  if (e->unreachable && !TAILQ_EMPTY (&e->runs) && lease_over (c, e))
     lapse_all (c, e);
 }
 
 void
-exec_suspect (struct cell *c, struct exec *e)
+exec_mark_unreachable (struct fsched *c, struct exec *e)
 {
-  if (e->silent)
+  if (e->unreachable)
     return;
-  e->silent = true;
-  e->lost_ms = c->now_ms;
+  e->unreachable = true;
+  e->unreachable_since_ms = c->now_ms;
   out_line (c->out,
-            "event=exec-silent exec=%s outcome=order-unanswered "
-            "runs_left=1",
+            "event=exec-unreachable exec=%s outcome=order-unanswered "
+            "has_runs=1",
             e->rep.id);
 }
 
 void
-exec_failed_run (struct cell *c, struct exec *e)
+exec_count_failure (struct fsched *c, struct exec *e)
 {
-  if (++e->bad_runs < CELL_BAD_RUNS || c->now_ms < e->aside_until_ms)
+  if (++e->failures_in_row < FSCHED_QUARANTINE_FAILURES
+      || c->now_ms < e->quarantine_until_ms)
     return;
-  e->aside_ms = e->aside_ms ? 2 * e->aside_ms : CELL_ASIDE_MS;
-  e->aside_until_ms = c->now_ms + e->aside_ms;
+  e->quarantine_ms
+      = e->quarantine_ms ? 2 * e->quarantine_ms : FSCHED_QUARANTINE_MS;
+  e->quarantine_until_ms = c->now_ms + e->quarantine_ms;
   /* The first failure after the pause is enough for the next. */
-  e->bad_runs = CELL_BAD_RUNS - 1;
-  c->stats->aside++;
-  out_line (c->out, "event=exec-aside exec=%s for_ms=%lld", e->rep.id,
-            (long long)e->aside_ms);
+  e->failures_in_row = FSCHED_QUARANTINE_FAILURES - 1;
+  c->stats->quarantines++;
+  out_line (c->out, "event=exec-quarantined exec=%s for_ms=%lld", e->rep.id,
+            (long long)e->quarantine_ms);
 }
 
 static struct start *
@@ -256,64 +259,64 @@
 {
   struct start *r;
 
-  TAILQ_FOREACH (r, &e->runs, on_exec)
-    if (r->no == no && r->step == t->step && r->index == t->index
+  TAILQ_FOREACH (r, &e->runs, exec_link)
+    if (r->run_id == no && r->step == t->step && r->index == t->index
         && strcmp (r->job->spec.id, t->job) == 0)
       return r;
   return NULL;
 }
 
 static void
-take_end (struct cell *c, struct exec *e, const struct end_row *row)
+take_end (struct fsched *c, struct exec *e, const struct end_row *row)
 {
-  struct start *r = find_run (e, &row->task, row->run);
-  struct job *j = cell_job_of (c, &row->task);
+  struct start *r = find_run (e, &row->task, row->run_id);
+  struct job *j = fsched_task_job (c, &row->task);
 
-  if (row->no <= e->seen_end)
+  if (row->seq <= e->seen_end_seq)
     return;
-  e->seen_end = row->no;
+  e->seen_end_seq = row->seq;
   c->record_due = true;
   if (r)
     {
-      clb_copy (r->saved, row->saved, sizeof r->saved);
+      clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
       start_end (c, r, row->how);
     }
   else if (j)
     {
       out_line (c->out,
                 "event=end-found job=%s step=%lld task=%lld run=%lld "
-                "exec=%s how=%s",
+                "exec=%s result=%s",
                 row->task.job, (long long)row->task.step,
-                (long long)row->task.index, (long long)row->run, e->rep.id,
-                end_names[row->how]);
-      cell_keep_saved (j, (int)row->task.step, (int)row->task.index,
-                       row->saved);
-      cell_task_ended (c, j, (int)row->task.step, (int)row->task.index,
-                       row->run, row->how);
+                (long long)row->task.index, (long long)row->run_id, e->rep.id,
+                run_end_names[row->how]);
+      fsched_keep_checkpoint (j, (int)row->task.step, (int)row->task.index,
+                              row->checkpoint);
+      fsched_task_ended (c, j, (int)row->task.step, (int)row->task.index,
+                         row->run_id, row->how);
     }
 }
 
 static void
-stop_stray (struct cell *c, struct exec *e, const struct run_row *row)
+stop_stray (struct fsched *c, struct exec *e, const struct run_row *row)
 {
   struct pending_order *pend;
-  struct order *o = cell_order (c, ORDER_STOP, e, &pend);
+  struct order *o = fsched_order_new (c, ORDER_STOP, e, &pend);
 
   o->task = row->task;
-  o->run = row->run;
+  o->run_id = row->run_id;
   c->stats->stops++;
   out_line (c->out,
-            "event=stop-stray job=%s step=%lld task=%lld run=%lld "
+            "event=stop-orphan job=%s step=%lld task=%lld run=%lld "
             "exec=%s",
             row->task.job, (long long)row->task.step,
-            (long long)row->task.index, (long long)row->run, e->rep.id);
+            (long long)row->task.index, (long long)row->run_id, e->rep.id);
 }
 
 /* A run that this leader has not started: an earlier one has. */
 static struct start *
-adopt (struct cell *c, struct exec *e, const struct run_row *row)
+adopt (struct fsched *c, struct exec *e, const struct run_row *row)
 {
-  struct job *j = cell_job_of (c, &row->task);
+  struct job *j = fsched_task_job (c, &row->task);
   struct jtask *t;
 
   if (!j || job_state_final (j->state))
@@ -325,154 +328,162 @@
             "event=run-adopted job=%s step=%lld task=%lld run=%lld "
             "exec=%s percent=%lld",
             row->task.job, (long long)row->task.step,
-            (long long)row->task.index, (long long)row->run, e->rep.id,
+            (long long)row->task.index, (long long)row->run_id, e->rep.id,
             (long long)row->percent);
   return start_new (c, j, (int)row->task.step, (int)row->task.index, e,
-                    row->run, START_ON);
+                    row->run_id, START_ACKED);
 }
 
 static void
-take_running (struct cell *c, struct exec *e, const struct run_row *row)
+take_running (struct fsched *c, struct exec *e, const struct run_row *row)
 {
-  struct start *r = find_run (e, &row->task, row->run);
+  struct start *r = find_run (e, &row->task, row->run_id);
 
   if (!r)
     r = adopt (c, e, row);
   if (!r)
     {
-      e->strays++;
-      if (c->now_ms >= e->stray_ms)
+      e->n_orphans++;
+      if (c->now_ms >= e->next_orphan_stop_ms)
         stop_stray (c, e, row);
       return;
     }
-  r->seen = true;
-  r->earlier = false;
-  if (!r->acked_ms)
-    r->acked_ms = c->now_ms;
-  if (r->state == START_SENT || r->state == START_UNSURE)
-    r->state = START_ON;
+  r->in_list = true;
+  r->inherited = false;
+  if (!r->start_acked_ms)
+    r->start_acked_ms = c->now_ms;
+  if (r->state == START_SENT || r->state == START_UNCONFIRMED)
+    r->state = START_ACKED;
   if (r->percent != row->percent)
-    r->percent_ms = c->now_ms;
+    r->percent_changed_ms = c->now_ms;
   r->percent = row->percent;
-  clb_copy (r->saved, row->saved, sizeof r->saved);
+  clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
 }
 
 /* Runs that a list lacks although they were known when it was asked for. */
 static void
-judge_absent (struct cell *c, struct exec *e, struct start *r)
+judge_absent (struct fsched *c, struct exec *e, struct start *r)
 {
   /* The list shows all that an earlier leader's orders have left there. */
-  if (r->earlier)
-    start_end (c, r, END_NEVER);
-  else if (r->state == START_STOP && r->clear_ms && r->clear_ms <= e->hold_ms)
-    start_end (c, r, END_NEVER);
-  else if (r->state == START_UNSURE && r->unsure_ms < e->hold_ms)
+  if (r->inherited)
+    start_end (c, r, RUN_END_NOT_STARTED);
+  else if (r->state == START_STOPPING && r->stop_acked_ms
+           && r->stop_acked_ms <= e->poll_sent_ms)
+    start_end (c, r, RUN_END_NOT_STARTED);
+  else if (r->state == START_UNCONFIRMED
+           && r->answer_lost_ms < e->poll_sent_ms)
     start_stop (c, r);
-  else if (r->state == START_ON && r->acked_ms && r->acked_ms < e->hold_ms)
+  else if (r->state == START_ACKED && r->start_acked_ms
+           && r->start_acked_ms < e->poll_sent_ms)
     start_stop (c, r);
 }
 
 static void
-take_lists (struct cell *c, struct exec *e, const struct order_result *res)
+take_lists (struct fsched *c, struct exec *e, const struct order_result *res)
 {
   struct start *r, *next;
-  int strays = e->strays;
+  int strays = e->n_orphans;
 
-  TAILQ_FOREACH (r, &e->runs, on_exec)
-    r->seen = false;
+  TAILQ_FOREACH (r, &e->runs, exec_link)
+    r->in_list = false;
   for (size_t i = 0; i < res->n_ends; i++)
     take_end (c, e, &res->ends[i]);
-  e->strays = 0;
+  e->n_orphans = 0;
   for (size_t i = 0; i < res->n_runs; i++)
     take_running (c, e, &res->runs[i]);
-  if (e->strays && c->now_ms >= e->stray_ms)
-    e->stray_ms = c->now_ms + CELL_STOP_RETRY_MS;
-  if (strays && !e->strays)
+  if (e->n_orphans && c->now_ms >= e->next_orphan_stop_ms)
+    e->next_orphan_stop_ms = c->now_ms + FSCHED_STOP_RETRY_MS;
+  if (strays && !e->n_orphans)
     c->pass_due = true;
-  TAILQ_FOREACH_SAFE (r, &e->runs, on_exec, next)
-    if (!r->seen)
+  TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
+    if (!r->in_list)
       judge_absent (c, e, r);
-    else if (r->clear_ms && c->now_ms - r->clear_ms > STOP_AGAIN_MS)
-      r->clear_ms = 0;
+    else if (r->stop_acked_ms && c->now_ms - r->stop_acked_ms > STOP_AGAIN_MS)
+      r->stop_acked_ms = 0;
 }
 
 /* Its clock begins anew with each boot. */
 static bool
-clock_fell (const struct cell *c, const struct exec *e, int64_t clock_ms)
+clock_fell (const struct fsched *c, const struct exec *e, int64_t clock_ms)
 {
-  return e->heard && clock_ms > 0
-         && clock_ms + CLOCK_FALL_MS < exec_clock (c, e);
+  return e->answered && clock_ms > 0
+         && clock_ms + CLOCK_FALL_MS < exec_clock_now (c, e);
 }
 
 /* All that was known of the old boot is void. */
 static void
-new_boot (struct cell *c, struct exec *e, int64_t clock_ms, int64_t born_ms)
+new_boot (struct fsched *c, struct exec *e, int64_t clock_ms, int64_t born_ms)
 {
-  out_line (c->out, "event=exec-reborn exec=%s clock_ms=%lld born=%lld",
+  out_line (c->out,
+            "event=exec-rebooted exec=%s clock_ms=%lld boot_start=%lld",
             e->rep.id, (long long)clock_ms, (long long)born_ms);
   boot_over (c, e);
-  e->born_ms = born_ms;
+  e->boot_start_ms = born_ms;
   e->clock_ms = clock_ms;
-  e->clock_at_ms = c->now_ms;
-  e->deadline_ms = clock_ms + CELL_LEASE_MS;
+  e->last_contact_ms = c->now_ms;
+  e->lease_deadline_ms = clock_ms + FSCHED_LEASE_MS;
 }
 
 bool
-exec_clock_seen (struct cell *c, struct exec *e, int64_t clock_ms)
+exec_detect_reboot (struct fsched *c, struct exec *e, int64_t clock_ms)
 {
   if (!clock_fell (c, e, clock_ms))
     return false;
   new_boot (c, e, clock_ms, 0);
-  exec_suspect (c, e);
+  exec_mark_unreachable (c, e);
   return true;
 }
 
 static void
-heard (struct cell *c, struct exec *e, const struct order_result *res)
+heard (struct fsched *c, struct exec *e, const struct order_result *res)
 {
   if (clock_fell (c, e, res->clock_ms)
-      || (e->heard && res->born_ms && e->born_ms
-          && res->born_ms != e->born_ms))
-    new_boot (c, e, res->clock_ms, res->born_ms);
-  if (!e->heard || e->silent)
+      || (e->answered && res->boot_start_ms && e->boot_start_ms
+          && res->boot_start_ms != e->boot_start_ms))
+    new_boot (c, e, res->clock_ms, res->boot_start_ms);
+  if (!e->answered || e->unreachable)
     {
-      out_line (c->out, "event=exec-heard exec=%s clear=%d away_ms=%lld",
-                e->rep.id, e->clear,
-                (long long)(e->silent ? c->now_ms - e->lost_ms : 0));
+      out_line (
+          c->out, "event=exec-reachable exec=%s reconciled=%d away_ms=%lld",
+          e->rep.id, e->reconciled,
+          (long long)(e->unreachable ? c->now_ms - e->unreachable_since_ms
+                                     : 0));
       c->pass_due = true;
     }
-  e->born_ms = res->born_ms ? res->born_ms : e->born_ms;
-  e->heard = true;
-  e->silent = false;
+  e->boot_start_ms
+      = res->boot_start_ms ? res->boot_start_ms : e->boot_start_ms;
+  e->answered = true;
+  e->unreachable = false;
   e->clock_ms = res->clock_ms;
-  e->clock_at_ms = c->now_ms;
+  e->last_contact_ms = c->now_ms;
 }
 
 static void
-not_heard (struct cell *c, struct exec *e, const struct order_result *res)
+not_heard (struct fsched *c, struct exec *e, const struct order_result *res)
 {
   if (res->outcome == ORDER_REFUSED && res->reason == REFUSED_FENCE)
     c->fenced = true;
-  if (res->outcome == ORDER_WRONG)
+  if (res->outcome == ORDER_WRONG_BOOT)
     boot_over (c, e);
-  if (!e->silent)
+  if (!e->unreachable)
     {
-      e->lost_ms = c->now_ms;
-      out_line (c->out, "event=exec-silent exec=%s outcome=%s runs_left=%d",
+      e->unreachable_since_ms = c->now_ms;
+      out_line (c->out,
+                "event=exec-unreachable exec=%s outcome=%s has_runs=%d",
                 e->rep.id, order_outcome_names[res->outcome],
                 !TAILQ_EMPTY (&e->runs));
     }
-  e->silent = true;
-  e->next_hold_ms = c->now_ms + CELL_HOLD_RETRY_MS;
+  e->unreachable = true;
+  e->next_poll_ms = c->now_ms + FSCHED_POLL_RETRY_MS;
 }
 
 void
-exec_hold_result (struct cell *c, struct exec *e,
+exec_poll_result (struct fsched *c, struct exec *e,
                   const struct order_result *res)
 {
-  bool first = !e->heard;
+  bool first = !e->answered;
 
-  e->hold = 0;
+  e->poll_id = 0;
   if (res->outcome != ORDER_DONE)
     {
       not_heard (c, e, res);
@@ -480,18 +491,18 @@
     }
   heard (c, e, res);
   take_lists (c, e, res);
-  e->clear = true;
+  e->reconciled = true;
   /* Ends wait until they are recorded, or until the lease needs renewal. */
-  e->next_hold_ms = c->now_ms + CELL_HOLD_GAP_MS;
-  if (e->seen_end > e->recorded_end)
-    e->next_hold_ms = c->now_ms + CELL_HOLD_WAIT_MS / 2;
+  e->next_poll_ms = c->now_ms + FSCHED_POLL_GAP_MS;
+  if (e->seen_end_seq > e->recorded_end_seq)
+    e->next_poll_ms = c->now_ms + FSCHED_POLL_WAIT_MS / 2;
   if (first)
-    e->next_hold_ms = c->now_ms;
+    e->next_poll_ms = c->now_ms;
 }
 
 /* An earlier leader may have been lost between two members' starts. */
 static void
-stop_half_gangs (struct cell *c)
+stop_half_gangs (struct fsched *c)
 {
   struct job *j;
 
@@ -501,45 +512,46 @@
         const struct jstep *s = &j->steps[i];
         if (j->spec.steps[i].gang && s->n_done == 0 && s->n_running > 0
             && s->n_running < s->n_tasks)
-          start_stop_step (c, j, (int)i);
+          start_stop_gang (c, j, (int)i);
       }
 }
 
 void
-exec_settle (struct cell *c)
+exec_reconcile_check (struct fsched *c)
 {
   struct exec *e;
   int unclear = 0;
 
-  if (c->settled)
+  if (c->reconciled)
     return;
   TAILQ_FOREACH (e, &c->execs, link)
     {
-      if (!e->clear && c->now_ms >= c->wait_ms)
+      if (!e->reconciled && c->now_ms >= c->old_leases_end_ms)
         {
-          if (!e->heard)
+          if (!e->answered)
             lapse_all (c, e);
-          e->clear = true;
+          e->reconciled = true;
           c->roster_dirty = true;
           c->record_due = true;
         }
-      unclear += !e->clear;
+      unclear += !e->reconciled;
     }
   if (unclear)
     return;
-  c->settled = true;
+  c->reconciled = true;
   stop_half_gangs (c);
   c->pass_due = true;
-  out_line (c->out, "event=settled epoch=%lld execs=%d after_ms=%lld",
+  out_line (c->out, "event=reconciled epoch=%lld execs=%d after_ms=%lld",
             (long long)c->epoch, c->n_execs,
             (long long)(c->now_ms - c->claimed_ms));
 }
 
 bool
-exec_open (const struct cell *c, const struct exec *e)
+exec_eligible (const struct fsched *c, const struct exec *e)
 {
-  return still_there (c, e) && e->heard && !e->silent && e->on_record
-         && !e->strays && !e->rep.draining && c->now_ms >= e->aside_until_ms;
+  return still_there (c, e) && e->answered && !e->unreachable && e->recorded
+         && !e->n_orphans && !e->rep.draining
+         && c->now_ms >= e->quarantine_until_ms;
 }
 
 bool
@@ -556,7 +568,7 @@
 {
   int label = j->steps[step].label;
 
-  if (!e->open || e->service != j->service)
+  if (!e->eligible || e->service != j->service)
     return false;
   if (!label)
     return true;
@@ -574,21 +586,21 @@
 exec_fits (const struct exec *e, const struct job *j, int step, int most)
 {
   const struct job_step *s = &j->spec.steps[step];
-  const struct job_need *room = &e->rep.room;
+  const struct job_need *room = &e->rep.capacity;
   int64_t n = most;
   int64_t k;
 
-  if (!s->fills
+  if (!s->best_effort_cpu
       && (k
-          = fit (room->millicores, e->used.millicores + e->promised.millicores,
+          = fit (room->millicores, e->used.millicores + e->reserved.millicores,
                  s->need.millicores))
              < n)
     n = k;
-  if ((k = fit (room->mem_mb, e->used.mem_mb + e->promised.mem_mb,
+  if ((k = fit (room->mem_mb, e->used.mem_mb + e->reserved.mem_mb,
                 s->need.mem_mb))
       < n)
     n = k;
-  if ((k = fit (room->accels, e->used.accels + e->promised.accels,
+  if ((k = fit (room->accels, e->used.accels + e->reserved.accels,
                 s->need.accels))
       < n)
     n = k;
@@ -596,7 +608,7 @@
     {
       const struct start *r;
       k = s->max_per_exec;
-      TAILQ_FOREACH (r, &e->runs, on_exec)
+      TAILQ_FOREACH (r, &e->runs, exec_link)
         if (r->job == j && r->step == step)
           k--;
       n = k < n ? k : n;
