--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -22,30 +22,30 @@
   BATCH_MAX = 400, /* starts of one row: some 20 kB */
 };
 
-/** struct plan_entry - one start on record */
-struct plan_entry
+/** struct intent - one start on record */
+struct intent
 {
-  TAILQ_ENTRY (plan_entry) link;
-  struct start *run; /* NULL once it has ended */
+  TAILQ_ENTRY (intent) link;
+  struct start *start; /* NULL once it has ended */
   struct task_ref task;
-  int64_t no;
+  int64_t run_id;
   char exec[CLB_ID_MAX];
-  uint64_t end_no; /* its end, counted by the cell; 0: has not ended */
+  uint64_t end_seq; /* its end, counted by the cell; 0: has not ended */
 };
 
 void
-plan_init (struct plan *p)
+intents_init (struct intents *p)
 {
-  for (int i = 0; i < PLAN_SLOTS; i++)
-    TAILQ_INIT (&p->slots[i]);
+  for (int i = 0; i < INTENT_ROWS; i++)
+    TAILQ_INIT (&p->rows[i]);
   TAILQ_INIT (&p->waiting);
   TAILQ_INIT (&p->writing);
 }
 
 static void
-free_all (struct plan_entryq *q)
+free_all (struct intentq *q)
 {
-  struct plan_entry *e;
+  struct intent *e;
 
   while ((e = TAILQ_FIRST (q)))
     {
@@ -55,60 +55,60 @@
 }
 
 void
-plan_fini (struct plan *p)
+intents_fini (struct intents *p)
 {
-  for (int i = 0; i < PLAN_SLOTS; i++)
-    free_all (&p->slots[i]);
+  for (int i = 0; i < INTENT_ROWS; i++)
+    free_all (&p->rows[i]);
   free_all (&p->waiting);
   free_all (&p->writing);
 }
 
-static struct plan_entry *
+static struct intent *
 entry_new (struct start *r)
 {
-  struct plan_entry *e = cell_zalloc (1, sizeof *e);
+  struct intent *e = fsched_zalloc (1, sizeof *e);
 
-  e->run = r;
+  e->start = r;
   clb_copy (e->task.job, r->job->spec.id, sizeof e->task.job);
   e->task.step = r->step;
   e->task.index = r->index;
-  e->no = r->no;
+  e->run_id = r->run_id;
   clb_copy (e->exec, r->exec->rep.id, sizeof e->exec);
-  r->plan = e;
+  r->intent = e;
   return e;
 }
 
 void
-plan_start (struct cell *c, struct start *r)
+intent_start (struct fsched *c, struct start *r)
 {
-  struct plan_entry *e = entry_new (r);
+  struct intent *e = entry_new (r);
 
-  TAILQ_INSERT_TAIL (&c->plan.waiting, e, link);
-  c->plan_due = true;
+  TAILQ_INSERT_TAIL (&c->intents.waiting, e, link);
+  c->intents_due = true;
 }
 
 void
-plan_ended (struct cell *c, struct start *r)
+intent_ended (struct fsched *c, struct start *r)
 {
-  if (!r->plan)
+  if (!r->intent)
     return;
-  r->plan->run = NULL;
-  r->plan->end_no = ++c->plan.ends;
-  r->plan = NULL;
+  r->intent->start = NULL;
+  r->intent->end_seq = ++c->intents.n_ends;
+  r->intent = NULL;
 }
 
 static bool
-needed (const struct plan *p, const struct plan_entry *e)
+needed (const struct intents *p, const struct intent *e)
 {
-  return e->run || e->end_no > p->recorded_ends;
+  return e->start || e->end_seq > p->recorded_ends;
 }
 
 /* What is still needed of the row that is written next joins the new one. */
 static void
-hand_on (struct plan *p)
+hand_on (struct intents *p)
 {
-  struct plan_entryq *slot = &p->slots[p->next];
-  struct plan_entry *e;
+  struct intentq *slot = &p->rows[p->next_row];
+  struct intent *e;
 
   while ((e = TAILQ_FIRST (slot)))
     {
@@ -121,17 +121,17 @@
 }
 
 int
-plan_collect (struct cell *c, struct store_op *op)
+intents_collect (struct fsched *c, struct store_op *op)
 {
-  struct plan *p = &c->plan;
-  struct plan_entry *e;
-  char key[sizeof CELL_KEY_PLAN + 16];
+  struct intents *p = &c->intents;
+  struct intent *e;
+  char key[sizeof FSCHED_KEY_INTENTS + 16];
   clb_auto char *text = NULL;
   size_t len = 0;
   FILE *f;
 
-  p->write_ends = p->ends;
-  c->plan_due = false;
+  p->writing_ends = p->n_ends;
+  c->intents_due = false;
   if (TAILQ_EMPTY (&p->waiting))
     return 0;
   hand_on (p);
@@ -142,79 +142,79 @@
     {
       fprintf (f, "%s %lld %lld %lld %s\n", e->task.job,
                (long long)e->task.step, (long long)e->task.index,
-               (long long)e->no, e->exec);
+               (long long)e->run_id, e->exec);
       TAILQ_REMOVE (&p->waiting, e, link);
       TAILQ_INSERT_TAIL (&p->writing, e, link);
     }
-  c->plan_due = !TAILQ_EMPTY (&p->waiting);
+  c->intents_due = !TAILQ_EMPTY (&p->waiting);
   fclose (f);
-  snprintf (key, sizeof key, CELL_KEY_PLAN "%03d", p->next);
+  snprintf (key, sizeof key, FSCHED_KEY_INTENTS "%03d", p->next_row);
   store_put (op, key, text);
-  p->write_slot = p->next;
-  p->next = (p->next + 1) % PLAN_SLOTS;
+  p->writing_row = p->next_row;
+  p->next_row = (p->next_row + 1) % INTENT_ROWS;
   return 1;
 }
 
 /* What has changed since it was placed may forbid it by now. */
 static bool
-may_send (const struct cell *c, const struct start *r)
+may_send (const struct fsched *c, const struct start *r)
 {
   return c->may_order && !job_state_final (r->job->state)
-         && exec_open (c, r->exec)
+         && exec_eligible (c, r->exec)
          && (r->job->spec.advice.base_ms <= 0
              || permit_valid (c, &r->job->steps[r->step], r->exec));
 }
 
 static void
-count_first (struct cell *c, struct job *j)
+count_first (struct fsched *c, struct job *j)
 {
-  if (j->started)
+  if (j->start_sent)
     return;
-  j->started = true;
-  if (!j->old)
-    hist_add (&c->stats->first_start_ms, c->now_ms - j->come_ms);
+  j->start_sent = true;
+  if (!j->inherited)
+    hist_add (&c->stats->first_start_ms, c->now_ms - j->arrival_ms);
 }
 
 /* A gang's other members are dropped with the first, so all are looked at
    before any is sent. */
 static void
-send_recorded (struct cell *c)
+send_recorded (struct fsched *c)
 {
-  struct plan_entry *e;
+  struct intent *e;
 
-  TAILQ_FOREACH (e, &c->plan.writing, link)
-    if (e->run && e->run->state == START_PLANNED && !may_send (c, e->run))
-      start_end (c, e->run, END_NEVER);
-  TAILQ_FOREACH (e, &c->plan.writing, link)
+  TAILQ_FOREACH (e, &c->intents.writing, link)
+    if (e->start && e->start->state == START_INTENT && !may_send (c, e->start))
+      start_end (c, e->start, RUN_END_NOT_STARTED);
+  TAILQ_FOREACH (e, &c->intents.writing, link)
     {
-      struct start *r = e->run;
+      struct start *r = e->start;
       if (r && r->state == START_DROPPED)
-        start_end (c, r, END_NEVER);
-      else if (r && r->state == START_PLANNED)
+        start_end (c, r, RUN_END_NOT_STARTED);
+      else if (r && r->state == START_INTENT)
         {
           r->state = START_SENT;
           r->sent_ms = c->now_ms;
           count_first (c, r->job);
-          start_begun (r->job);
+          start_mark_job_started (r->job);
           start_send (c, r);
         }
     }
 }
 
 void
-plan_recorded (struct cell *c)
+intents_recorded (struct fsched *c)
 {
-  struct plan *p = &c->plan;
+  struct intents *p = &c->intents;
 
-  p->recorded_ends = p->write_ends;
+  p->recorded_ends = p->writing_ends;
   send_recorded (c);
-  TAILQ_CONCAT (&p->slots[p->write_slot], &p->writing, link);
+  TAILQ_CONCAT (&p->rows[p->writing_row], &p->writing, link);
 }
 
 /* Loading. */
 
 static bool
-parse_line (char *line, struct plan_entry *e)
+parse_line (char *line, struct intent *e)
 {
   long long step, index, no;
   int at = 0;
@@ -226,28 +226,28 @@
     return false;
   e->task.step = step;
   e->task.index = index;
-  e->no = no;
+  e->run_id = no;
   clb_copy (e->exec, line + at, sizeof e->exec);
   return true;
 }
 
 int
-cell_plan (struct cell *c, const char *key, const char *text)
+fsched_load_intents (struct fsched *c, const char *key, const char *text)
 {
   clb_auto char *copy = strdup (text);
   char *save = NULL;
   int slot = atoi (key);
   int bad = 0;
 
-  if (slot < 0 || slot >= PLAN_SLOTS)
+  if (slot < 0 || slot >= INTENT_ROWS)
     return 1;
   for (char *line = strtok_r (copy, "\n", &save); line;
        line = strtok_r (NULL, "\n", &save))
     {
-      struct plan_entry *e = cell_zalloc (1, sizeof *e);
+      struct intent *e = fsched_zalloc (1, sizeof *e);
       if (parse_line (line, e))
         {
-          TAILQ_INSERT_TAIL (&c->plan.slots[slot], e, link);
+          TAILQ_INSERT_TAIL (&c->intents.rows[slot], e, link);
           continue;
         }
       free (e);
@@ -259,9 +259,9 @@
 /* The task that an entry may still be running; NULL if it surely is not: its
    job or it has ended, or that run has. */
 static struct jtask *
-open_task (const struct cell *c, const struct plan_entry *e, struct job **job)
+open_task (const struct fsched *c, const struct intent *e, struct job **job)
 {
-  struct job *j = cell_job_of (c, &e->task);
+  struct job *j = fsched_task_job (c, &e->task);
   struct jtask *t;
 
   if (!j || job_state_final (j->state))
@@ -270,44 +270,44 @@
   if (t->done)
     return NULL;
   for (int i = 0; i < t->n_failed; i++)
-    if (t->failed[i].no == e->no)
+    if (t->failed_runs[i].id == e->run_id)
       return NULL;
   *job = j;
   return t;
 }
 
 static void
-maybe_running (struct cell *c, struct plan_entry *e)
+maybe_running (struct fsched *c, struct intent *e)
 {
   struct exec *x = exec_find (c, e->exec);
   struct job *j;
   struct jtask *t = open_task (c, e, &j);
   struct start *r;
 
-  if (!t || t->run || t->last_run != e->no || !x || x->clear)
+  if (!t || t->run || t->last_run_id != e->run_id || !x || x->reconciled)
     return;
-  r = start_new (c, j, (int)e->task.step, (int)e->task.index, x, e->no,
-                 START_UNSURE);
-  r->unsure_ms = c->now_ms;
-  r->earlier = true;
-  r->plan = e;
-  e->run = r;
+  r = start_new (c, j, (int)e->task.step, (int)e->task.index, x, e->run_id,
+                 START_UNCONFIRMED);
+  r->answer_lost_ms = c->now_ms;
+  r->inherited = true;
+  r->intent = e;
+  e->start = r;
 }
 
 void
-plan_go (struct cell *c)
+intents_load_done (struct fsched *c)
 {
-  struct plan_entry *e;
+  struct intent *e;
   struct job *j;
   struct jtask *t;
 
   /* Of a task's runs, only the last may be running: a leader starts the next
      when the one before is surely over. */
-  for (int i = 0; i < PLAN_SLOTS; i++)
-    TAILQ_FOREACH (e, &c->plan.slots[i], link)
-      if ((t = open_task (c, e, &j)) && e->no > t->last_run)
-        t->last_run = (int32_t)e->no;
-  for (int i = 0; i < PLAN_SLOTS; i++)
-    TAILQ_FOREACH (e, &c->plan.slots[i], link)
+  for (int i = 0; i < INTENT_ROWS; i++)
+    TAILQ_FOREACH (e, &c->intents.rows[i], link)
+      if ((t = open_task (c, e, &j)) && e->run_id > t->last_run_id)
+        t->last_run_id = (int32_t)e->run_id;
+  for (int i = 0; i < INTENT_ROWS; i++)
+    TAILQ_FOREACH (e, &c->intents.rows[i], link)
       maybe_running (c, e);
 }
--- a/core/fsched_intern.c
+++ b/core/fsched_intern.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 int
-cell_name (struct cell_names *t, const char *text)
+fsched_intern (struct fsched_intern_table *t, const char *text)
 {
   if (!*text)
     return 0;
@@ -25,7 +25,7 @@
 }
 
 void
-cell_names_free (struct cell_names *t)
+fsched_intern_free (struct fsched_intern_table *t)
 {
   free (t->list);
 }
@@ -38,10 +38,10 @@
 }
 
 int
-cell_label (struct cell *c, const char *text)
+fsched_intern_label (struct fsched *c, const char *text)
 {
   int known = c->labels.n;
-  int no = cell_name (&c->labels, text);
+  int no = fsched_intern (&c->labels, text);
   struct exec *e;
 
   if (no > known)
@@ -51,10 +51,10 @@
 }
 
 void
-cell_name_exec (struct cell *c, struct exec *e)
+fsched_intern_exec (struct fsched *c, struct exec *e)
 {
-  e->service = cell_name (&c->services, e->rep.service);
-  e->rack = cell_name (&c->racks, e->rep.rack);
+  e->service = fsched_intern (&c->services, e->rep.service);
+  e->rack = fsched_intern (&c->racks, e->rep.rack);
   e->labels = 0;
   for (int i = 0; i < c->labels.n; i++)
     mark_label (e, i + 1, c->labels.list[i]);
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -17,11 +17,11 @@
 
 /* Whether the client account of @j may have @n more such tasks running. */
 static bool
-within_limit (struct cell *c, const struct job *j, int step, int n)
+within_limit (struct fsched *c, const struct job *j, int step, int n)
 {
   const struct fconf_tenant *ft
       = c->conf ? fconf_tenant (c->conf, j->spec.tenant) : NULL;
-  const struct cell_tenant *t = cell_tenant (c, j->spec.tenant);
+  const struct fsched_tenant *t = fsched_tenant (c, j->spec.tenant);
   const struct job_need *need = &j->spec.steps[step].need;
 
   if (!ft)
@@ -32,7 +32,7 @@
 }
 
 static bool
-permitted (const struct cell *c, const struct job *j, int step,
+permitted (const struct fsched *c, const struct job *j, int step,
            const struct exec *e)
 {
   return j->spec.advice.base_ms <= 0 || permit_valid (c, &j->steps[step], e);
@@ -41,20 +41,20 @@
 /* The usable executor on which least room is left over; those near the data
    go before all others. */
 static struct exec *
-best_fit (struct cell *c, const struct job *j, int step)
+best_fit (struct fsched *c, const struct job *j, int step)
 {
   int data_rack = j->steps[step].data_rack;
   struct exec *best = NULL;
   int64_t best_left = 0;
 
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      struct exec *e = c->open[i];
+      struct exec *e = c->eligible[i];
       int64_t left;
       if (!exec_usable (e, j, step) || !permitted (c, j, step, e)
           || exec_fits (e, j, step, 1) < 1)
         continue;
-      left = e->rep.room.millicores - e->used.millicores;
+      left = e->rep.capacity.millicores - e->used.millicores;
       if (data_rack && data_rack != e->rack)
         left += INT32_MAX;
       if (!best || left < best_left)
@@ -67,7 +67,7 @@
 }
 
 static bool
-place_singles (struct cell *c, struct job *j, int step)
+place_singles (struct fsched *c, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
 
@@ -82,7 +82,8 @@
       e = best_fit (c, j, step);
       if (!e)
         return false;
-      plan_start (c, start_new (c, j, step, i, e, t->next_run, START_PLANNED));
+      intent_start (
+          c, start_new (c, j, step, i, e, t->next_run_id, START_INTENT));
     }
   return true;
 }
@@ -107,16 +108,16 @@
 /* Executors for a whole gang, as few as will do; 0 if there is no room.
    @rack 0: of any rack. */
 static size_t
-gang_seats (struct cell *c, const struct job *j, int step, int rack,
+gang_seats (struct fsched *c, const struct job *j, int step, int rack,
             struct seat *seats)
 {
   int want = j->steps[step].n_tasks;
   int found = 0;
   size_t n = 0;
 
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      struct exec *e = c->open[i];
+      struct exec *e = c->eligible[i];
       int fits;
       if ((rack && rack != e->rack) || !exec_usable (e, j, step)
           || !permitted (c, j, step, e))
@@ -135,7 +136,7 @@
 
 /* A gang that runs better in one rack gets one, if any rack has room. */
 static size_t
-choose_seats (struct cell *c, const struct job *j, int step,
+choose_seats (struct fsched *c, const struct job *j, int step,
               struct seat *seats)
 {
   int data_rack = j->steps[step].data_rack;
@@ -151,7 +152,7 @@
 }
 
 static bool
-place_gang (struct cell *c, struct job *j, int step)
+place_gang (struct fsched *c, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
   struct seat *seats;
@@ -168,26 +169,26 @@
     abort ();
   n = choose_seats (c, j, step, seats);
   for (int i = 0; i < s->n_tasks && n; i++)
-    if (s->tasks[i].next_run > no)
-      no = s->tasks[i].next_run;
+    if (s->tasks[i].next_run_id > no)
+      no = s->tasks[i].next_run_id;
   /* All members resume from the same checkpoint. */
   for (int i = 1; i < s->n_tasks && n; i++)
-    if (s->tasks[0].saved)
-      cell_keep_saved (j, step, i, s->tasks[0].saved);
+    if (s->tasks[0].checkpoint)
+      fsched_keep_checkpoint (j, step, i, s->tasks[0].checkpoint);
   for (int i = 0; i < s->n_tasks && n; i++)
     {
       while (seats[at].fits == 0)
         at++;
       seats[at].fits--;
-      plan_start (c,
-                  start_new (c, j, step, i, seats[at].e, no, START_PLANNED));
+      intent_start (c,
+                    start_new (c, j, step, i, seats[at].e, no, START_INTENT));
     }
   free (seats);
   return n > 0;
 }
 
 static void
-place_job (struct cell *c, struct job *j)
+place_job (struct fsched *c, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
@@ -196,23 +197,23 @@
       bool asks = j->spec.advice.base_ms > 0;
       if (!s->ready || s->n_done + s->n_running >= s->n_tasks)
         continue;
-      if (!asks || s->valid_ms > c->now_ms)
+      if (!asks || s->tickets_until_ms > c->now_ms)
         placed = j->spec.steps[i].gang ? place_gang (c, j, (int)i)
                                        : place_singles (c, j, (int)i);
       if (!placed && asks)
-        advice_want (c, j, (int)i);
+        advice_query (c, j, (int)i);
     }
 }
 
 /* 0: on time if started now.  1: late.  2: too late to be worth anything, or
    beyond what its client account is owed. */
 static int
-group_of (const struct cell *c, const struct job *j)
+group_of (const struct fsched *c, const struct job *j)
 {
-  int64_t objective = j->due_ms - j->come_ms;
-  int64_t left = j->chain_ms;
+  int64_t objective = j->due_ms - j->arrival_ms;
+  int64_t left = j->critical_path_ms;
 
-  if (j->excess || c->now_ms + left > j->due_ms + 2 * objective)
+  if (j->over_share || c->now_ms + left > j->due_ms + 2 * objective)
     return 2;
   return c->now_ms + left > j->due_ms ? 1 : 0;
 }
@@ -223,8 +224,8 @@
   const struct job *a = *(struct job *const *)va;
   const struct job *b = *(struct job *const *)vb;
 
-  if (a->group != b->group)
-    return a->group - b->group;
+  if (a->urgency_class != b->urgency_class)
+    return a->urgency_class - b->urgency_class;
   if ((a->spec.priority == 0) != (b->spec.priority == 0))
     return a->spec.priority == 0 ? -1 : 1;
   if (a->due_ms != b->due_ms)
@@ -247,32 +248,33 @@
 }
 
 static void
-open_execs (struct cell *c)
+open_execs (struct fsched *c)
 {
   struct exec *e;
 
-  c->open
-      = realloc (c->open, (size_t)(c->n_execs + 1) * sizeof (struct exec *));
-  if (!c->open)
+  c->eligible = realloc (c->eligible,
+                         (size_t)(c->n_execs + 1) * sizeof (struct exec *));
+  if (!c->eligible)
     abort ();
-  c->n_open = 0;
+  c->n_eligible = 0;
   TAILQ_FOREACH (e, &c->execs, link)
     {
-      e->open = exec_open (c, e);
-      e->promised = (struct job_need){ 0 };
-      if (e->open)
-        c->open[c->n_open++] = e;
+      e->eligible = exec_eligible (c, e);
+      e->reserved = (struct job_need){ 0 };
+      if (e->eligible)
+        c->eligible[c->n_eligible++] = e;
     }
 }
 
 /* Whether an executor has room that is not promised yet. */
 static bool
-some_room (const struct cell *c)
+some_room (const struct fsched *c)
 {
-  for (int i = 0; i < c->n_open; i++)
+  for (int i = 0; i < c->n_eligible; i++)
     {
-      const struct exec *e = c->open[i];
-      if (e->rep.room.millicores - e->used.millicores - e->promised.millicores
+      const struct exec *e = c->eligible[i];
+      if (e->rep.capacity.millicores - e->used.millicores
+              - e->reserved.millicores
           >= ROOM_MIN_MILLICORES)
         return true;
     }
@@ -280,7 +282,7 @@
 }
 
 void
-place_pass (struct cell *c)
+place_pass (struct fsched *c)
 {
   struct job *j;
   int n = 0;
@@ -288,19 +290,19 @@
   c->pass_due = false;
   c->stats->passes++;
 
-  if (c->n_jobs > c->ready_cap)
+  if (c->n_jobs > c->ready_jobs_cap)
     {
-      c->ready_cap = c->n_jobs + 64;
-      c->ready
-          = realloc (c->ready, (size_t)c->ready_cap * sizeof (struct job *));
-      if (!c->ready)
+      c->ready_jobs_cap = c->n_jobs + 64;
+      c->ready_jobs = realloc (c->ready_jobs, (size_t)c->ready_jobs_cap
+                                                  * sizeof (struct job *));
+      if (!c->ready_jobs)
         abort ();
     }
   TAILQ_FOREACH (j, &c->queue, link)
     if (wants_room (j))
       {
-        j->group = group_of (c, j);
-        c->ready[n++] = j;
+        j->urgency_class = group_of (c, j);
+        c->ready_jobs[n++] = j;
       }
   c->next_pass_ms = c->now_ms + PASS_GAP_MS;
   c->retry_pass_ms = n ? c->now_ms + PASS_RETRY_MS : 0;
@@ -308,13 +310,13 @@
     return;
   c->next_pass_ms += n / JOBS_A_MS;
   open_execs (c);
-  c->questions = CELL_PASS_QUESTIONS;
+  c->queries_left = FSCHED_PASS_QUERIES;
   advice_begin_pass (c);
-  qsort (c->ready, (size_t)n, sizeof (struct job *), by_urgency);
+  qsort (c->ready_jobs, (size_t)n, sizeof (struct job *), by_urgency);
   for (int i = 0; i < n; i++)
     {
       if (i % LOOK_EVERY == 0 && !some_room (c))
         break;
-      place_job (c, c->ready[i]);
+      place_job (c, c->ready_jobs[i]);
     }
 }
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -19,7 +19,7 @@
       const struct jtask *k = &s->tasks[t];
       struct job_mark m = { .index = t,
                             .done = k->done,
-                            .failed = k->failed,
+                            .failed = k->failed_runs,
                             .n_failed = (size_t)k->n_failed };
       if (m.done || m.n_failed)
         out[n++] = m;
@@ -35,12 +35,12 @@
 
   if (job_state_final (j->state))
     return codec_text (&job_progress_desc, &p);
-  p.steps = cell_zalloc (j->spec.n_steps, sizeof *p.steps);
+  p.steps = fsched_zalloc (j->spec.n_steps, sizeof *p.steps);
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
       struct job_step_marks *m = &p.steps[p.n_steps];
       m->step = (int64_t)i;
-      m->marks = cell_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->marks);
+      m->marks = fsched_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->marks);
       m->n_marks = fill_marks (j, i, m->marks);
       if (m->n_marks)
         p.n_steps++;
@@ -56,7 +56,7 @@
 
 /* The roster is lines of "id addr". */
 static char *
-roster_text (const struct cell *c)
+roster_text (const struct fsched *c)
 {
   const struct exec *e;
   char *text = NULL;
@@ -66,27 +66,27 @@
   if (!f)
     abort ();
   TAILQ_FOREACH (e, &c->execs, link)
-    if (e->listed || !e->clear || e->used.millicores || e->used.mem_mb)
+    if (e->listed || !e->reconciled || e->used.millicores || e->used.mem_mb)
       fprintf (f, "%s %s\n", e->rep.id, e->rep.addr);
   fclose (f);
   return text;
 }
 
 static void
-collect_roster (struct cell *c, struct store_op *op)
+collect_roster (struct fsched *c, struct store_op *op)
 {
   clb_auto char *text = roster_text (c);
   struct exec *e;
 
-  store_put (op, LEAD_KEY_ROSTER, text);
+  store_put (op, LEADER_KEY_ROSTER, text);
   c->roster_dirty = false;
   c->roster_writing = true;
   TAILQ_FOREACH (e, &c->execs, link)
-    e->in_write = strstr (text, e->rep.id) != NULL;
+    e->writing = strstr (text, e->rep.id) != NULL;
 }
 
 int
-cell_collect (struct cell *c, struct store_op *op, int most)
+fsched_collect (struct fsched *c, struct store_op *op, int most)
 {
   struct job *j;
   struct exec *e;
@@ -94,7 +94,7 @@
   bool all = true;
 
   c->record_due = false;
-  n = plan_collect (c, op);
+  n = intents_collect (c, op);
   if (c->roster_dirty)
     {
       collect_roster (c, op);
@@ -102,7 +102,7 @@
     }
   TAILQ_FOREACH (j, &c->queue, link)
     {
-      char key[sizeof CELL_KEY_PROGRESS + JOB_ID_SIZE];
+      char key[sizeof FSCHED_KEY_PROGRESS + JOB_ID_SIZE];
       if (!j->dirty)
         continue;
       if (n >= most)
@@ -112,7 +112,7 @@
           break;
         }
       clb_auto char *text = progress_text (j);
-      snprintf (key, sizeof key, CELL_KEY_PROGRESS "%s", j->spec.id);
+      snprintf (key, sizeof key, FSCHED_KEY_PROGRESS "%s", j->spec.id);
       store_put (op, key, text);
       j->dirty = false;
       j->writing = true;
@@ -121,32 +121,32 @@
   /* An end may be forgotten once all it changed is recorded. */
   TAILQ_FOREACH (e, &c->execs, link)
     if (all)
-      e->write_end = e->seen_end;
+      e->writing_end_seq = e->seen_end_seq;
   if (!all)
-    c->plan.write_ends = c->plan.recorded_ends;
+    c->intents.writing_ends = c->intents.recorded_ends;
   return n;
 }
 
 void
-cell_recorded (struct cell *c)
+fsched_recorded (struct fsched *c)
 {
   struct job *j, *next;
   struct exec *e;
 
   TAILQ_FOREACH (e, &c->execs, link)
     {
-      if (c->roster_writing && e->in_write && !e->on_record)
+      if (c->roster_writing && e->writing && !e->recorded)
         {
-          e->on_record = true;
+          e->recorded = true;
           c->pass_due = true;
         }
     }
   c->roster_writing = false;
   TAILQ_FOREACH (e, &c->execs, link)
-    if (e->write_end > e->recorded_end)
+    if (e->writing_end_seq > e->recorded_end_seq)
       {
-        e->recorded_end = e->write_end;
-        e->next_hold_ms = c->now_ms;
+        e->recorded_end_seq = e->writing_end_seq;
+        e->next_poll_ms = c->now_ms;
       }
   TAILQ_FOREACH_SAFE (j, &c->queue, link, next)
     {
@@ -154,30 +154,30 @@
         continue;
       j->writing = false;
       j->recorded = job_state_final (j->state) && !j->dirty;
-      cell_forget_job (c, j);
+      fsched_forget_job (c, j);
     }
-  plan_recorded (c);
+  intents_recorded (c);
 }
 
 int
-cell_job_part (const char *id)
+fsched_job_part (const char *id)
 {
-  return (id[JOB_ID_SIZE - 2] & 0x0f) % CELL_JOB_PARTS;
+  return (id[JOB_ID_SIZE - 2] & 0x0f) % FSCHED_JOB_PARTS;
 }
 
 /* An ended job's row stays, so that its id is never taken again, but without
    the specification: the next leader reads them all.  A write that fails is
    not repeated; it costs that leader some time. */
 static void
-trim_part (struct cell *c, int part)
+trim_part (struct fsched *c, int part)
 {
   struct store_op *op = NULL;
-  struct final *f;
+  struct ended_job *f;
 
-  RB_FOREACH (f, final_tree, &c->finals)
+  RB_FOREACH (f, ended_job_tree, &c->ended_jobs)
     {
       char key[CLB_NAME_MAX];
-      if (!f->trim || cell_job_part (f->id) != part)
+      if (!f->trim_due || fsched_job_part (f->id) != part)
         continue;
       if (!op)
         {
@@ -186,20 +186,20 @@
           op = &o->u.store.op;
           op->kind = STORE_TXN;
         }
-      f->trim = false;
+      f->trim_due = false;
       snprintf (key, sizeof key, "job:%d/%s", part, f->id);
-      store_put (op, key, CELL_TRIMMED);
-      if (op->n_puts == CELL_TRIM_ROWS)
+      store_put (op, key, FSCHED_TRIMMED);
+      if (op->n_puts == FSCHED_TRIM_ROWS)
         return;
     }
 }
 
 void
-cell_trim_jobs (struct cell *c)
+fsched_trim_jobs (struct fsched *c)
 {
   if (c->now_ms < c->next_trim_ms)
     return;
-  c->next_trim_ms = c->now_ms + CELL_TRIM_MS;
-  for (int part = 0; part < CELL_JOB_PARTS; part++)
+  c->next_trim_ms = c->now_ms + FSCHED_TRIM_MS;
+  for (int part = 0; part < FSCHED_JOB_PARTS; part++)
     trim_part (c, part);
 }
--- a/core/job.c
+++ b/core/job.c
@@ -22,7 +22,7 @@
 static DESC (need_desc, struct job_need, need_fields);
 
 static const struct fld step_fields[] = {
-  FLD_INT (struct job_step, tasks, 0, JOB_TASKS_MAX),
+  FLD_INT (struct job_step, tasks, 0, JOB_STEP_TASKS_MAX),
   FLD_STRUCT (struct job_step, need, &need_desc),
   FLD_INT (struct job_step, estimate_ms, 0, DAY_MS),
   FLD_SET_AS ("after", struct job_step, after),
@@ -30,11 +30,12 @@
   FLD_FLAG (struct job_step, same_rack),
   FLD_FLAG (struct job_step, checkpoints),
   FLD_FLAG (struct job_step, duplicates),
-  FLD_FLAG (struct job_step, fills),
-  FLD_FLAG (struct job_step, lasting),
-  FLD_INT (struct job_step, max_per_exec, 0, JOB_TASKS_MAX),
+  FLD_FLAG_AS ("fills", struct job_step, best_effort_cpu),
+  FLD_FLAG_AS ("lasting", struct job_step, persistent),
+  FLD_INT (struct job_step, max_per_exec, 0, JOB_STEP_TASKS_MAX),
   FLD_INT (struct job_step, target_ms, 0, DAY_MS),
-  FLD_INT (struct job_step, away_max, 0, JOB_TASKS_MAX),
+  FLD_INT_AS ("away_max", struct job_step, max_unavailable, 0,
+              JOB_STEP_TASKS_MAX),
   FLD_CHARS (struct job_step, label, false),
   FLD_CHARS (struct job_step, data_rack, false),
   FLD_CHARS (struct job_step, image, false),
@@ -43,7 +44,7 @@
 
 static const struct fld advice_fields[] = {
   FLD_REAL_AS ("base_ms", struct job_advice, base_ms, 0, DAY_MS),
-  FLD_REAL_AS ("each_ms", struct job_advice, each_ms, 0, DAY_MS),
+  FLD_REAL_AS ("each_ms", struct job_advice, per_exec_ms, 0, DAY_MS),
   FLD_INT (struct job_advice, valid_ms, 0, DAY_MS),
 };
 static DESC (advice_desc, struct job_advice, advice_fields);
@@ -65,12 +66,12 @@
 DESC (job_spec_desc, struct job_spec, spec_fields);
 
 static const struct fld run_fields[] = {
-  FLD_INT (struct job_run, no, 0, INT64_MAX),
+  FLD_INT_AS ("no", struct job_run, id, 0, INT64_MAX),
 };
 static DESC (run_desc, struct job_run, run_fields);
 
 static const struct fld mark_fields[] = {
-  FLD_INT (struct job_mark, index, 0, JOB_TASKS_MAX),
+  FLD_INT (struct job_mark, index, 0, JOB_STEP_TASKS_MAX),
   FLD_FLAG (struct job_mark, done),
   FLD_ARRAY (struct job_mark, failed, n_failed, &run_desc, JOB_FAILURES_MAX),
 };
@@ -78,7 +79,8 @@
 
 static const struct fld step_marks_fields[] = {
   FLD_INT (struct job_step_marks, step, 0, JOB_STEPS_MAX),
-  FLD_ARRAY (struct job_step_marks, marks, n_marks, &mark_desc, JOB_TASKS_MAX),
+  FLD_ARRAY (struct job_step_marks, marks, n_marks, &mark_desc,
+             JOB_STEP_TASKS_MAX),
 };
 static DESC (step_marks_desc, struct job_step_marks, step_marks_fields);
 
@@ -113,7 +115,7 @@
     return refuse (ce, CLB_ERANGE, i, "tasks");
   if (i < 64 && s->after >> i)
     return refuse (ce, CLB_EREF, i, "after");
-  if (s->lasting || s->target_ms)
+  if (s->persistent || s->target_ms)
     return refuse (ce, CLB_EFIELD, i, "lasting (not supported)");
   return 0;
 }
@@ -142,13 +144,13 @@
         return err;
       tasks += spec->steps[i].tasks;
     }
-  if (tasks > JOB_FLEET_TASKS_MAX)
+  if (tasks > JOB_TOTAL_TASKS_MAX)
     return refuse (ce, CLB_ETOOBIG, 0, "tasks");
   return 0;
 }
 
 int64_t
-job_chain_ms (const struct job_spec *spec)
+job_critical_path_ms (const struct job_spec *spec)
 {
   int64_t ends[JOB_STEPS_MAX] = { 0 };
   int64_t longest = 0;
--- a/core/job.h
+++ b/core/job.h
@@ -12,11 +12,11 @@
   JOB_ID_SIZE = 17,           /* 16 hexadecimal digits with NUL */
   JOB_TEXT_MAX = 4000,        /* bytes of the text handed to each task */
   JOB_STEPS_MAX = 64,         /* a set of steps is one 64-bit word */
-  JOB_TASKS_MAX = 1024,       /* tasks of one step */
-  JOB_FLEET_TASKS_MAX = 4096, /* tasks of one job */
+  JOB_STEP_TASKS_MAX = 1024,  /* tasks of one step */
+  JOB_TOTAL_TASKS_MAX = 4096, /* tasks of one job */
   JOB_LABEL_SIZE = 48,
-  JOB_FAILURES_MAX = 64, /* of one task; a queue allows no more attempts */
-  JOB_SAVED_SIZE = 64,   /* a checkpoint's name with NUL */
+  JOB_FAILURES_MAX = 64,    /* of one task; a queue allows no more attempts */
+  JOB_CHECKPOINT_SIZE = 64, /* a checkpoint's name with NUL */
 };
 
 /** struct job_need - what one task takes of an executor */
@@ -37,12 +37,13 @@
   bool gang;           /* all tasks run together or none */
   bool same_rack;      /* slower when spread over racks */
   bool checkpoints;
-  bool duplicates; /* copies may run at once; the first to end counts */
-  bool fills;      /* runs on what others leave; its cores aren't counted */
-  bool lasting;    /* restarted until cancelled */
+  bool duplicates;      /* copies may run at once; the first to end counts */
+  bool best_effort_cpu; /* runs on what others leave; its cores aren't counted
+                         */
+  bool persistent;      /* restarted until cancelled */
   int64_t max_per_exec;
   int64_t target_ms;          /* tail latency that a serving task must keep */
-  int64_t away_max;           /* serving tasks that may be stopped at once */
+  int64_t max_unavailable;    /* serving tasks that may be stopped at once */
   char label[JOB_LABEL_SIZE]; /* that the executor must carry */
   char data_rack[JOB_LABEL_SIZE]; /* where its input lies */
   char image[JOB_LABEL_SIZE];     /* tasks of one image behave alike */
@@ -51,9 +52,9 @@
 /** struct job_advice - what asking for permitted executors costs */
 struct job_advice
 {
-  double base_ms;   /* of one call; 0: the queue needs no advice */
-  double each_ms;   /* for each executor named */
-  int64_t valid_ms; /* a permission lasts this long */
+  double base_ms;     /* of one call; 0: the queue needs no advice */
+  double per_exec_ms; /* for each executor named */
+  int64_t valid_ms;   /* a permission lasts this long */
 };
 
 /**
@@ -96,7 +97,7 @@
 /** struct job_run - the number of one run of a task */
 struct job_run
 {
-  int64_t no;
+  int64_t id;
 };
 
 /** struct job_mark - what is recorded of one task, or of a gang by its first
@@ -147,7 +148,7 @@
  */
 int job_check (const struct job_spec *spec, struct codec_err *ce);
 
-/** job_chain_ms() - The longest chain of estimates. */
-int64_t job_chain_ms (const struct job_spec *spec);
+/** job_critical_path_ms() - The longest chain of estimates. */
+int64_t job_critical_path_ms (const struct job_spec *spec);
 
 #endif
--- a/core/journal.c
+++ b/core/journal.c
@@ -23,21 +23,22 @@
 };
 
 void
-journal_row_key (const struct sched *s, int64_t seq, char out[KEY_SIZE])
+journal_row_key (const struct sched *s, int64_t seq, char out[ROW_KEY_SIZE])
 {
-  snprintf (out, KEY_SIZE, "journal/%s/%015lld", s->domain, (long long)seq);
+  snprintf (out, ROW_KEY_SIZE, "journal/%s/%015lld", s->domain,
+            (long long)seq);
 }
 
 void
-journal_snap_key (const struct sched *s, char out[KEY_SIZE])
+journal_snap_key (const struct sched *s, char out[ROW_KEY_SIZE])
 {
-  snprintf (out, KEY_SIZE, "snap/%s", s->domain);
+  snprintf (out, ROW_KEY_SIZE, "snap/%s", s->domain);
 }
 
 static void
-request_key (const char *team, const char *request_id, char out[KEY_SIZE])
+request_key (const char *team, const char *request_id, char out[ROW_KEY_SIZE])
 {
-  snprintf (out, KEY_SIZE, "req/%s/%s", team, request_id);
+  snprintf (out, ROW_KEY_SIZE, "req/%s/%s", team, request_id);
 }
 
 static void
@@ -70,14 +71,14 @@
   j->epoch_ver = epoch_ver;
   j->seq = 1;
   group_init (&j->open);
-  group_init (&j->flight);
+  group_init (&j->commit);
 }
 
 void
 journal_free (struct sched *s)
 {
   group_clear (&s->journal.open);
-  group_clear (&s->journal.flight);
+  group_clear (&s->journal.commit);
   free (s->journal.snap_text);
 }
 
@@ -123,9 +124,9 @@
 static void
 effect_accept (struct sched *s, struct task *t)
 {
-  if (t->durable || task_state_final (t->state))
+  if (t->accept_durable || task_state_final (t->state))
     return;
-  t->durable = true;
+  t->accept_durable = true;
   sched_event (s, WHY_ACCEPTED, t->id, t->team->name, "", 0);
   task_enqueue (s, t);
 }
@@ -136,7 +137,7 @@
   t->intent_durable = true;
   for (int64_t i = 0; i < t->n_members; i++)
     if (t->members[i].worker)
-      t->members[i].worker->due = true;
+      t->members[i].worker->sync_due = true;
 }
 
 static void
@@ -163,7 +164,7 @@
         t->end_durable = true;
       break;
     case EFFECT_ACK:
-      w = pl_worker (&s->pl, e->worker);
+      w = pool_worker (&s->pool, e->worker);
       if (w)
         recon_ack (w, e->id);
       break;
@@ -190,7 +191,7 @@
 /* Writing. */
 
 struct store_op *
-journal_op (struct sched *s, int kind, uint64_t *token)
+journal_store_op (struct sched *s, int kind, uint64_t *token)
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
@@ -202,7 +203,7 @@
 static void
 group_conds (struct sched *s, struct store_op *op, const struct group *g)
 {
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   for (size_t i = 0; i < g->row.n_recs; i++)
     {
@@ -226,15 +227,15 @@
 flight_send (struct sched *s)
 {
   struct journal *j = &s->journal;
-  char key[KEY_SIZE];
-  struct store_op *op = journal_op (s, STORE_TXN, &j->token);
-  clb_auto char *text = codec_text (&journal_row_desc, &j->flight.row);
+  char key[ROW_KEY_SIZE];
+  struct store_op *op = journal_store_op (s, STORE_TXN, &j->token);
+  clb_auto char *text = codec_text (&journal_row_desc, &j->commit.row);
 
   journal_row_key (s, j->seq, key);
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_cond (op, key, 0);
   store_put (op, key, text);
-  group_conds (s, op, &j->flight);
+  group_conds (s, op, &j->commit);
   j->sent_ms = s->now_ms;
   j->retry_ms = 0;
 }
@@ -248,21 +249,21 @@
 
   if (TAILQ_EMPTY (&j->open.effects) && j->open.row.n_recs == 0)
     return;
-  struct group old = j->flight;
-  j->flight = j->open;
-  TAILQ_INIT (&j->flight.effects);
-  TAILQ_CONCAT (&j->flight.effects, &j->open.effects, link);
+  struct group old = j->commit;
+  j->commit = j->open;
+  TAILQ_INIT (&j->commit.effects);
+  TAILQ_CONCAT (&j->commit.effects, &j->open.effects, link);
   j->open = old;
   group_init (&j->open);
-  if (j->flight.row.n_recs == 0)
+  if (j->commit.row.n_recs == 0)
     {
-      effects_run (s, &j->flight.effects);
-      group_clear (&j->flight);
+      effects_run (s, &j->commit.effects);
+      group_clear (&j->commit);
       return;
     }
-  snprintf (j->flight.row.nonce, sizeof j->flight.row.nonce, "%.40s-%lld-%lld",
+  snprintf (j->commit.row.nonce, sizeof j->commit.row.nonce, "%.40s-%lld-%lld",
             s->me, (long long)s->boot, (long long)++j->nonce);
-  j->in_flight = true;
+  j->committing = true;
   s->stats.groups++;
   snap_hold (s);
   flight_send (s);
@@ -272,12 +273,12 @@
 flight_durable (struct sched *s)
 {
   struct journal *j = &s->journal;
-  struct group done = j->flight;
+  struct group done = j->commit;
 
   TAILQ_INIT (&done.effects);
-  TAILQ_CONCAT (&done.effects, &j->flight.effects, link);
-  group_init (&j->flight);
-  j->in_flight = false;
+  TAILQ_CONCAT (&done.effects, &j->commit.effects, link);
+  group_init (&j->commit);
+  j->committing = false;
   j->seq++;
   effects_run (s, &done.effects);
   group_clear (&done);
@@ -314,19 +315,19 @@
   struct journal *j = &s->journal;
   struct task *t = sched_task (s, id);
   int err = t && t->lane == LANE_SERVICE ? CLB_EDONE : 0;
-  struct asker *a;
+  struct waiter *a;
 
   /* Doubled calls may wait for it in the next group too. */
-  refuse_effects (s, &j->flight.effects, id, first, err);
+  refuse_effects (s, &j->commit.effects, id, first, err);
   refuse_effects (s, &j->open.effects, id, first, err);
   if (!t)
     return;
-  while ((a = TAILQ_FIRST (&t->askers)))
+  while ((a = TAILQ_FIRST (&t->waiters)))
     {
-      struct reply r = { .no = a->no, .err = CLB_EDONE };
+      struct reply r = { .call_seq = a->call_seq, .err = CLB_EDONE };
       clb_copy (r.id, first, sizeof r.id);
       sched_reply (s, a->entry, &r);
-      TAILQ_REMOVE (&t->askers, a, link);
+      TAILQ_REMOVE (&t->waiters, a, link);
       free (a);
     }
   s->stats.reasons[WHY_DUPLICATE]++;
@@ -340,8 +341,8 @@
 static bool
 drop_refused (struct sched *s, const struct row *row)
 {
-  struct group *g = &s->journal.flight;
-  char key[KEY_SIZE];
+  struct group *g = &s->journal.commit;
+  char key[ROW_KEY_SIZE];
 
   for (size_t i = 0; i < g->row.n_recs; i++)
     {
@@ -370,7 +371,7 @@
       || codec_parse (&journal_row_desc, row->value, strlen (row->value),
                       CODEC_LENIENT, &jr, &ce))
     return false;
-  bool own = strcmp (jr.nonce, s->journal.flight.row.nonce) == 0;
+  bool own = strcmp (jr.nonce, s->journal.commit.row.nonce) == 0;
   codec_free (&journal_row_desc, &jr);
   return own;
 }
@@ -379,7 +380,7 @@
 flight_conflict (struct sched *s, const struct store_rep *rep)
 {
   struct journal *j = &s->journal;
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
   bool dropped = false;
 
   journal_row_key (s, j->seq, key);
@@ -394,14 +395,14 @@
     dropped |= drop_refused (s, &rep->rows[i]);
   if (!dropped)
     {
-      s->phase = SCHED_LOST;
+      s->phase = SCHED_SUPERSEDED;
       return;
     }
-  if (j->flight.row.n_recs == 0)
+  if (j->commit.row.n_recs == 0)
     {
-      effects_run (s, &j->flight.effects);
-      group_clear (&j->flight);
-      j->in_flight = false;
+      effects_run (s, &j->commit.effects);
+      group_clear (&j->commit);
+      j->committing = false;
       return;
     }
   flight_send (s);
@@ -440,7 +441,7 @@
       if (!row->recs)
         abort ();
     }
-  row->recs[row->n_recs++] = rec_of (t, kind);
+  row->recs[row->n_recs++] = task_rec (t, kind);
 }
 
 static void
@@ -478,7 +479,7 @@
   free (j->snap_text);
   j->snap_text = codec_text (&journal_row_desc, &row);
   codec_free (&journal_row_desc, &row);
-  j->snap_to = j->seq;
+  j->snap_last_seq = j->seq;
   j->snap_step = SNAP_HELD;
 }
 
@@ -486,7 +487,7 @@
 snap_name (const struct sched *s, char out[CLB_ID_MAX])
 {
   snprintf (out, CLB_ID_MAX, "snap-%s-%lld-%lld", s->domain,
-            (long long)s->epoch, (long long)s->journal.snap_to);
+            (long long)s->epoch, (long long)s->journal.snap_last_seq);
 }
 
 static void
@@ -495,9 +496,9 @@
   struct journal *j = &s->journal;
   char name[CLB_ID_MAX];
 
-  if (j->in_flight && j->seq <= j->snap_to)
+  if (j->committing && j->seq <= j->snap_last_seq)
     return;
-  struct store_op *op = journal_op (s, STORE_OBJ_PUT, &j->snap_token);
+  struct store_op *op = journal_store_op (s, STORE_OBJ_PUT, &j->snap_token);
   snap_name (s, name);
   op->key = strdup (name);
   op->value = j->snap_text;
@@ -509,19 +510,19 @@
 snap_put_row (struct sched *s)
 {
   struct journal *j = &s->journal;
-  struct snap_row row = { .seq = j->snap_to };
-  struct store_op *op = journal_op (s, STORE_TXN, &j->snap_token);
-  char key[KEY_SIZE];
+  struct snap_row row = { .seq = j->snap_last_seq };
+  struct store_op *op = journal_store_op (s, STORE_TXN, &j->snap_token);
+  char key[ROW_KEY_SIZE];
 
   snap_name (s, row.object);
-  row.first = j->first_seq + CUT_ROWS;
-  if (row.first > j->snap_to)
-    row.first = j->snap_to + 1;
+  row.first_seq = j->first_seq + CUT_ROWS;
+  if (row.first_seq > j->snap_last_seq)
+    row.first_seq = j->snap_last_seq + 1;
   clb_auto char *text = codec_text (&snap_row_desc, &row);
   journal_snap_key (s, key);
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_put (op, key, text);
-  for (int n = 0; n < CUT_ROWS && j->first_seq + n <= j->snap_to; n++)
+  for (int n = 0; n < CUT_ROWS && j->first_seq + n <= j->snap_last_seq; n++)
     {
       journal_row_key (s, j->first_seq + n, key);
       store_put (op, key, NULL);
@@ -537,7 +538,7 @@
   j->snap_token = 0;
   if (rep->err == CLB_ECONFLICT)
     {
-      s->phase = SCHED_LOST;
+      s->phase = SCHED_SUPERSEDED;
       return;
     }
   if (rep->err)
@@ -548,12 +549,12 @@
     }
   if (j->snap_step == SNAP_ROW)
     {
-      j->snap_seq = j->snap_to;
+      j->snap_seq = j->snap_last_seq;
       j->first_seq += CUT_ROWS;
-      if (j->first_seq > j->snap_to)
+      if (j->first_seq > j->snap_last_seq)
         {
           /* Rows that an earlier holder had not yet cut are gone too. */
-          j->first_seq = j->snap_to + 1;
+          j->first_seq = j->snap_last_seq + 1;
           j->snap_step = SNAP_NONE;
           return;
         }
@@ -567,7 +568,7 @@
   struct journal *j = &s->journal;
 
   if (token == s->load_token)
-    load_answer (s, rep);
+    load_reply (s, rep);
   else if (token == j->token)
     flight_answer (s, rep);
   else if (token == j->snap_token)
@@ -593,12 +594,12 @@
 
   if (s->phase == SCHED_LOADING && !s->load_token
       && s->now_ms >= s->load_retry_ms)
-    load_ask (s);
+    load_read (s);
   if (s->phase != SCHED_READY)
     return;
-  if (j->in_flight && j->retry_ms && s->now_ms >= j->retry_ms)
+  if (j->committing && j->retry_ms && s->now_ms >= j->retry_ms)
     flight_send (s);
-  if (!j->in_flight && group_due (s))
+  if (!j->committing && group_due (s))
     flight_begin (s);
   if (j->snap_step == SNAP_HELD)
     snap_put_object (s);
--- a/core/leader.c
+++ b/core/leader.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_HOLDER LEAD_TABLE "holder"
-#define KEY_JOURNAL LEAD_TABLE "journal"
+#define KEY_HOLDER LEADER_TABLE "holder"
+#define KEY_JOURNAL LEADER_TABLE "journal"
 
 /* struct holder_row - the value of the holder's row */
 struct holder_row
@@ -28,41 +28,42 @@
 
 /* How long instances that are surely stronger are given to claim first. */
 static int64_t
-weakness_ms (const struct lead *l)
+weakness_ms (const struct leader *l)
 {
-  return l->millicores > 0 && l->millicores < LEAD_STRONG_MILLICORES
-             ? LEAD_STRONG_MILLICORES - l->millicores
+  return l->millicores > 0 && l->millicores < LEADER_PREFERRED_MILLICORES
+             ? LEADER_PREFERRED_MILLICORES - l->millicores
              : 0;
 }
 
 static int64_t
-courtesy_ms (const struct lead *l)
+courtesy_ms (const struct leader *l)
 {
   if (l->rank < 0)
     return weakness_ms (l);
-  return LEAD_RANK_MS * (l->rank < LEAD_RANK_MAX ? l->rank : LEAD_RANK_MAX);
+  return LEADER_RANK_DELAY_MS
+         * (l->rank < LEADER_RANK_MAX ? l->rank : LEADER_RANK_MAX);
 }
 
 void
-lead_init (struct lead *l, int64_t now_ms, const char *me, const char *addr,
-           int64_t boot, int64_t millicores, struct outq *out,
-           uint64_t *tokens)
+leader_init (struct leader *l, int64_t now_ms, const char *me,
+             const char *addr, int64_t boot, int64_t millicores,
+             struct outq *out, uint64_t *tokens)
 {
   memset (l, 0, sizeof *l);
-  clb_copy (l->me, me, sizeof l->me);
+  clb_copy (l->id, me, sizeof l->id);
   clb_copy (l->addr, addr, sizeof l->addr);
   l->boot = boot;
   l->millicores = millicores;
   l->rank = -1;
-  l->first_after_ms = now_ms + weakness_ms (l);
+  l->first_claim_ms = now_ms + weakness_ms (l);
   l->out = out;
   l->tokens = tokens;
 }
 
 static void
-drop_write (struct lead *l)
+drop_write (struct leader *l)
 {
-  l->n_copies = 0;
+  l->n_attempts = 0;
   if (!l->write)
     return;
   codec_free (&store_op_desc, l->write);
@@ -71,13 +72,13 @@
 }
 
 void
-lead_fini (struct lead *l)
+leader_fini (struct leader *l)
 {
   drop_write (l);
 }
 
 static struct store_op *
-send_op (struct lead *l, int64_t now_ms, int kind)
+send_op (struct leader *l, int64_t now_ms, int kind)
 {
   struct out *o = out_new (l->out, OUT_STORE);
 
@@ -89,42 +90,42 @@
 }
 
 static void
-send_read (struct lead *l, int64_t now_ms)
+send_read (struct leader *l, int64_t now_ms)
 {
   struct store_op *op = send_op (l, now_ms, STORE_LIST);
 
-  op->key = strdup (LEAD_TABLE);
+  op->key = strdup (LEADER_TABLE);
 }
 
 static void
-journal_value (const struct lead *l, int64_t epoch, char out[CLB_NAME_MAX])
+journal_value (const struct leader *l, int64_t epoch, char out[CLB_NAME_MAX])
 {
   snprintf (out, CLB_NAME_MAX, "%lld %lld %lld", (long long)epoch,
             (long long)l->boot, (long long)l->seq);
 }
 
 static void
-put_holder (struct store_op *op, const struct lead *l, int64_t epoch,
+put_holder (struct store_op *op, const struct leader *l, int64_t epoch,
             bool released)
 {
   struct holder_row row
       = { .boot = l->boot, .epoch = epoch, .released = released };
   clb_auto char *text = NULL;
 
-  clb_copy (row.node, l->me, sizeof row.node);
+  clb_copy (row.node, l->id, sizeof row.node);
   clb_copy (row.addr, l->addr, sizeof row.addr);
   text = codec_text (&holder_desc, &row);
   store_put (op, KEY_HOLDER, text);
 }
 
 static void
-send_claim (struct lead *l, int64_t now_ms)
+send_claim (struct leader *l, int64_t now_ms)
 {
   struct store_op *op = send_op (l, now_ms, STORE_TXN);
   char value[CLB_NAME_MAX];
 
-  l->state = LEAD_CLAIMING;
-  l->claim_ms = now_ms;
+  l->state = LEADER_CANDIDATE;
+  l->claim_sent_ms = now_ms;
   l->seq = 0;
   store_cond (op, KEY_HOLDER, l->holder_ver);
   store_cond (op, KEY_JOURNAL, l->journal_ver);
@@ -135,61 +136,62 @@
 
 /* Nobody leads, or surely nobody does any more. */
 static bool
-vacant (const struct lead *l, int64_t now_ms)
+vacant (const struct leader *l, int64_t now_ms)
 {
   if (l->holder_ver == 0)
-    return now_ms >= l->first_after_ms;
+    return now_ms >= l->first_claim_ms;
   if (l->released)
-    return now_ms - l->still_since_ms >= courtesy_ms (l);
-  return strcmp (l->holder, l->me) == 0 && l->holder_boot != l->boot
-         && (l->millicores == 0 || l->millicores >= LEAD_ABLE_MILLICORES);
+    return now_ms - l->unchanged_since_ms >= courtesy_ms (l);
+  return strcmp (l->holder, l->id) == 0 && l->holder_boot != l->boot
+         && (l->millicores == 0 || l->millicores >= LEADER_RECLAIM_MILLICORES);
 }
 
 static bool
-claim_due (const struct lead *l, int64_t now_ms)
+claim_due (const struct leader *l, int64_t now_ms)
 {
-  if (!l->read || l->stopping)
+  if (!l->rows_known || l->stopping)
     return false;
   return vacant (l, now_ms)
-         || now_ms - l->still_since_ms >= LEAD_STILL_MS + courtesy_ms (l);
+         || now_ms - l->unchanged_since_ms
+                >= LEADER_CLAIM_AFTER_MS + courtesy_ms (l);
 }
 
 static int64_t
-read_pause (const struct lead *l, int64_t now_ms)
+read_pause (const struct leader *l, int64_t now_ms)
 {
-  if ((l->rank >= 0 && l->rank < LEAD_WATCHERS) || !l->read
-      || now_ms - l->heard_ms > LEAD_SILENT_MS)
-    return LEAD_READ_MS;
-  return LEAD_IDLE_READ_MS;
+  if ((l->rank >= 0 && l->rank < LEADER_WATCHERS) || !l->rows_known
+      || now_ms - l->last_contact_ms > LEADER_UNREACHABLE_MS)
+    return LEADER_READ_MS;
+  return LEADER_IDLE_READ_MS;
 }
 
 void
-lead_heard (struct lead *l, int64_t now_ms, int64_t epoch, int64_t rank)
+leader_contact (struct leader *l, int64_t now_ms, int64_t epoch, int64_t rank)
 {
   if (epoch < l->epoch)
     return;
-  l->heard_ms = now_ms;
+  l->last_contact_ms = now_ms;
   if (rank >= 0)
     l->rank = rank;
   /* A leader that the rows in hand do not show yet. */
-  if (epoch > l->epoch && l->state == LEAD_FOLLOW)
-    l->read = false;
+  if (epoch > l->epoch && l->state == LEADER_FOLLOWER)
+    l->rows_known = false;
 }
 
 static int64_t
-again_ms (const struct lead *l)
+again_ms (const struct leader *l)
 {
-  int64_t ms = LEAD_AGAIN_TIMES * l->took_ms;
+  int64_t ms = LEADER_RESEND_FACTOR * l->latency_ms;
 
-  if (ms < LEAD_AGAIN_MS)
-    ms = LEAD_AGAIN_MS;
-  ms <<= l->n_copies;
-  return ms < LEAD_AGAIN_MAX_MS ? ms : LEAD_AGAIN_MAX_MS;
+  if (ms < LEADER_RESEND_MIN_MS)
+    ms = LEADER_RESEND_MIN_MS;
+  ms <<= l->n_attempts;
+  return ms < LEADER_RESEND_MAX_MS ? ms : LEADER_RESEND_MAX_MS;
 }
 
 /* After the write in flight: a successor waits for its row to stand still. */
 static void
-write_release (struct lead *l, int64_t now_ms)
+write_release (struct leader *l, int64_t now_ms)
 {
   struct store_op *op = calloc (1, sizeof *op);
 
@@ -197,24 +199,26 @@
     abort ();
   l->releasing = true;
   put_holder (op, l, l->epoch, true);
-  lead_write (l, now_ms, op);
+  leader_write (l, now_ms, op);
 }
 
 void
-lead_tick (struct lead *l, int64_t now_ms)
+leader_tick (struct leader *l, int64_t now_ms)
 {
-  if (l->state == LEAD_HOLD && l->stopping && !l->write && !l->token)
+  if (l->state == LEADER_LEADING && l->stopping && !l->write && !l->token)
     write_release (l, now_ms);
   /* It is conditional: of two copies one takes effect, and the other finds
      that it has. */
-  if (l->state == LEAD_HOLD && l->write && l->token
+  if (l->state == LEADER_LEADING && l->write && l->token
       && now_ms - l->sent_ms >= again_ms (l))
     {
-      if (l->n_copies < LEAD_COPIES_MAX)
-        l->copies[l->n_copies++] = (struct lead_copy){ l->token, l->sent_ms };
+      if (l->n_attempts < LEADER_ATTEMPTS_MAX)
+        l->attempts[l->n_attempts++]
+            = (struct leader_attempt){ l->token, l->sent_ms };
       l->token = 0;
     }
-  if (l->state == LEAD_HOLD && l->write && !l->token && now_ms >= l->next_ms)
+  if (l->state == LEADER_LEADING && l->write && !l->token
+      && now_ms >= l->next_ms)
     {
       struct store_op *op = send_op (l, now_ms, STORE_TXN);
       for (size_t i = 0; i < l->write->n_conds; i++)
@@ -222,12 +226,12 @@
       for (size_t i = 0; i < l->write->n_puts; i++)
         store_put (op, l->write->puts[i].key, l->write->puts[i].value);
     }
-  if (l->state != LEAD_FOLLOW || l->token || now_ms < l->next_ms)
+  if (l->state != LEADER_FOLLOWER || l->token || now_ms < l->next_ms)
     return;
   /* A look right before the claim: it must not rest on an old one. */
-  if (claim_due (l, now_ms) && now_ms - l->sent_ms < LEAD_READ_MS)
+  if (claim_due (l, now_ms) && now_ms - l->sent_ms < LEADER_READ_MS)
     send_claim (l, now_ms);
-  else if (!l->read || now_ms - l->sent_ms >= read_pause (l, now_ms)
+  else if (!l->rows_known || now_ms - l->sent_ms >= read_pause (l, now_ms)
            || claim_due (l, now_ms))
     send_read (l, now_ms);
 }
@@ -242,7 +246,7 @@
 }
 
 static void
-take_holder (struct lead *l, const struct row *row)
+take_holder (struct leader *l, const struct row *row)
 {
   struct holder_row h;
   struct codec_err ce;
@@ -259,99 +263,100 @@
 }
 
 static int
-become_leader (struct lead *l, int64_t sent_ms)
+become_leader (struct leader *l, int64_t sent_ms)
 {
-  l->state = LEAD_HOLD;
+  l->state = LEADER_LEADING;
   l->renewed_ms = sent_ms;
-  clb_copy (l->holder, l->me, sizeof l->holder);
+  clb_copy (l->holder, l->id, sizeof l->holder);
   clb_copy (l->holder_addr, l->addr, sizeof l->holder_addr);
   l->holder_boot = l->boot;
   l->released = false;
   drop_write (l);
-  return LEAD_TAKEN;
+  return LEADER_ELECTED;
 }
 
 static int
-take_rows (struct lead *l, int64_t now_ms, const struct store_rep *rep)
+take_rows (struct leader *l, int64_t now_ms, const struct store_rep *rep)
 {
   const struct row *holder = row_of (rep, KEY_HOLDER);
   const struct row *journal = row_of (rep, KEY_JOURNAL);
   int64_t holder_ver = holder ? holder->ver : 0;
   int64_t journal_ver = journal ? journal->ver : 0;
 
-  if (!l->read || holder_ver != l->holder_ver || journal_ver != l->journal_ver)
-    l->still_since_ms = now_ms;
-  l->read = true;
+  if (!l->rows_known || holder_ver != l->holder_ver
+      || journal_ver != l->journal_ver)
+    l->unchanged_since_ms = now_ms;
+  l->rows_known = true;
   l->holder_ver = holder_ver;
   l->journal_ver = journal_ver;
   take_holder (l, holder);
   /* A claim whose answer was lost has taken effect. */
-  if (holder && strcmp (l->holder, l->me) == 0 && l->holder_boot == l->boot
+  if (holder && strcmp (l->holder, l->id) == 0 && l->holder_boot == l->boot
       && !l->released && !l->stopping)
-    return become_leader (l, l->claim_ms);
-  return LEAD_SAME;
+    return become_leader (l, l->claim_sent_ms);
+  return LEADER_NO_CHANGE;
 }
 
 static int
-claim_answered (struct lead *l, int64_t now_ms, const struct store_rep *rep)
+claim_answered (struct leader *l, int64_t now_ms, const struct store_rep *rep)
 {
-  l->state = LEAD_FOLLOW;
+  l->state = LEADER_FOLLOWER;
   if (rep->err == 0)
     {
       l->epoch++;
       l->holder_ver = rep->ver;
       l->journal_ver = rep->ver;
-      return become_leader (l, l->claim_ms);
+      return become_leader (l, l->claim_sent_ms);
     }
   /* Look again: the claim may or may not have taken effect. */
-  l->read = false;
-  l->next_ms = now_ms + LEAD_RETRY_MS;
-  return LEAD_SAME;
+  l->rows_known = false;
+  l->next_ms = now_ms + LEADER_RETRY_MS;
+  return LEADER_NO_CHANGE;
 }
 
 static int
-step_down (struct lead *l, int64_t now_ms)
+step_down (struct leader *l, int64_t now_ms)
 {
-  l->state = LEAD_FOLLOW;
-  l->read = false;
-  l->next_ms = now_ms + LEAD_RETRY_MS;
+  l->state = LEADER_FOLLOWER;
+  l->rows_known = false;
+  l->next_ms = now_ms + LEADER_RETRY_MS;
   drop_write (l);
-  return LEAD_LOST;
+  return LEADER_SUPERSEDED;
 }
 
 static int
-write_done (struct lead *l, int64_t ver)
+write_done (struct leader *l, int64_t ver)
 {
   l->journal_ver = ver;
   /* The row may have stood still since the first try. */
-  l->renewed_ms = l->first_ms;
+  l->renewed_ms = l->first_sent_ms;
   drop_write (l);
   if (l->releasing)
     {
-      l->state = LEAD_FOLLOW;
-      l->read = false;
-      return LEAD_SAME;
+      l->state = LEADER_FOLLOWER;
+      l->rows_known = false;
+      return LEADER_NO_CHANGE;
     }
-  return LEAD_RECORDED;
+  return LEADER_RECORDED;
 }
 
 static int
-write_answered (struct lead *l, int64_t now_ms, int64_t sent_ms,
+write_answered (struct leader *l, int64_t now_ms, int64_t sent_ms,
                 const struct store_rep *rep)
 {
   char mine[CLB_NAME_MAX];
   const struct row *journal;
 
   if (!l->write)
-    return LEAD_SAME;
+    return LEADER_NO_CHANGE;
   if (rep->err == 0 || rep->err == CLB_ECONFLICT)
-    l->took_ms = now_ms - sent_ms;
+    l->latency_ms = now_ms - sent_ms;
   if (rep->err == 0)
     return write_done (l, rep->ver);
   if (rep->err != CLB_ECONFLICT)
     {
-      l->next_ms = now_ms + LEAD_RETRY_MS;
-      return LEAD_SAME;
+      l->next_ms = now_ms + LEADER_RETRY_MS;
+      return LEADER_NO_CHANGE;
     }
   journal = row_of (rep, KEY_JOURNAL);
   journal_value (l, l->epoch, mine);
@@ -361,48 +366,49 @@
 }
 
 int
-lead_store (struct lead *l, int64_t now_ms, uint64_t token,
-            const struct store_rep *rep, bool *mine)
+leader_store_reply (struct leader *l, int64_t now_ms, uint64_t token,
+                    const struct store_rep *rep, bool *mine)
 {
-  const struct lead_copy *copy = NULL;
+  const struct leader_attempt *copy = NULL;
 
-  for (int i = 0; i < l->n_copies && l->state == LEAD_HOLD; i++)
-    if (l->copies[i].token == token)
-      copy = &l->copies[i];
+  for (int i = 0; i < l->n_attempts && l->state == LEADER_LEADING; i++)
+    if (l->attempts[i].token == token)
+      copy = &l->attempts[i];
   *mine = token && (token == l->token || copy);
   if (!*mine)
-    return LEAD_SAME;
+    return LEADER_NO_CHANGE;
   /* A failed copy proves nothing while another is under way. */
   if (copy && rep->err && rep->err != CLB_ECONFLICT)
-    return LEAD_SAME;
+    return LEADER_NO_CHANGE;
   l->token = 0;
-  if (l->state == LEAD_CLAIMING)
+  if (l->state == LEADER_CANDIDATE)
     return claim_answered (l, now_ms, rep);
-  if (l->state == LEAD_HOLD)
+  if (l->state == LEADER_LEADING)
     return write_answered (l, now_ms, copy ? copy->sent_ms : l->sent_ms, rep);
   if (rep->err)
     {
-      l->next_ms = now_ms + LEAD_RETRY_MS;
-      return LEAD_SAME;
+      l->next_ms = now_ms + LEADER_RETRY_MS;
+      return LEADER_NO_CHANGE;
     }
   return take_rows (l, now_ms, rep);
 }
 
 bool
-lead_can_write (const struct lead *l, int64_t now_ms)
+leader_can_write (const struct leader *l, int64_t now_ms)
 {
-  return l->state == LEAD_HOLD && !l->stopping && !l->write && !l->token
+  return l->state == LEADER_LEADING && !l->stopping && !l->write && !l->token
          && now_ms >= l->next_ms;
 }
 
 bool
-lead_beat_due (const struct lead *l, int64_t now_ms)
+leader_heartbeat_due (const struct leader *l, int64_t now_ms)
 {
-  return lead_can_write (l, now_ms) && now_ms - l->renewed_ms >= LEAD_BEAT_MS;
+  return leader_can_write (l, now_ms)
+         && now_ms - l->renewed_ms >= LEADER_HEARTBEAT_MS;
 }
 
 void
-lead_write (struct lead *l, int64_t now_ms, struct store_op *op)
+leader_write (struct leader *l, int64_t now_ms, struct store_op *op)
 {
   char value[CLB_NAME_MAX];
 
@@ -412,26 +418,27 @@
   journal_value (l, l->epoch, value);
   store_put (op, KEY_JOURNAL, value);
   l->write = op;
-  l->first_ms = now_ms;
-  lead_tick (l, now_ms);
+  l->first_sent_ms = now_ms;
+  leader_tick (l, now_ms);
 }
 
 void
-lead_release (struct lead *l, int64_t now_ms)
+leader_release (struct leader *l, int64_t now_ms)
 {
   l->stopping = true;
-  lead_tick (l, now_ms);
+  leader_tick (l, now_ms);
 }
 
 bool
-lead_may_order (const struct lead *l, int64_t now_ms)
+leader_may_order (const struct leader *l, int64_t now_ms)
 {
-  return l->state == LEAD_HOLD && !l->stopping
-         && now_ms - l->renewed_ms < LEAD_ORDER_MS;
+  return l->state == LEADER_LEADING && !l->stopping
+         && now_ms - l->renewed_ms < LEADER_ORDER_MS;
 }
 
 bool
-lead_may_admit (const struct lead *l, int64_t now_ms)
+leader_lease_valid (const struct leader *l, int64_t now_ms)
 {
-  return l->state == LEAD_HOLD && now_ms - l->renewed_ms < LEAD_ADMIT_MS;
+  return l->state == LEADER_LEADING
+         && now_ms - l->renewed_ms < LEADER_LEASE_MS;
 }
--- a/core/load.c
+++ b/core/load.c
@@ -16,34 +16,34 @@
 
 static const struct fld snap_fields[] = {
   FLD_INT (struct snap_row, seq, 0, INT64_MAX),
-  FLD_INT (struct snap_row, first, 0, INT64_MAX),
+  FLD_INT_AS ("first", struct snap_row, first_seq, 0, INT64_MAX),
   FLD_CHARS (struct snap_row, object, true),
 };
 DESC (snap_row_desc, struct snap_row, snap_fields);
 
 void
-load_ask (struct sched *s)
+load_read (struct sched *s)
 {
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
   struct store_op *op;
 
   switch (s->load_step)
     {
     case LOAD_SNAP_ROW:
-      op = journal_op (s, STORE_GET, &s->load_token);
+      op = journal_store_op (s, STORE_GET, &s->load_token);
       journal_snap_key (s, key);
       break;
     case LOAD_SNAP_OBJ:
-      op = journal_op (s, STORE_OBJ_GET, &s->load_token);
+      op = journal_store_op (s, STORE_OBJ_GET, &s->load_token);
       clb_copy (key, s->load_after, sizeof key);
       break;
     case LOAD_ROWS:
-      op = journal_op (s, STORE_LIST, &s->load_token);
+      op = journal_store_op (s, STORE_LIST, &s->load_token);
       snprintf (key, sizeof key, "journal/%s/", s->domain);
       op->after = s->load_after ? strdup (s->load_after) : NULL;
       break;
     default:
-      op = journal_op (s, STORE_LIST, &s->load_token);
+      op = journal_store_op (s, STORE_LIST, &s->load_token);
       snprintf (key, sizeof key, "grant/");
       op->after = s->load_after ? strdup (s->load_after) : NULL;
       break;
@@ -65,20 +65,20 @@
   t->lane = r->lane;
   t->idempotent = r->idempotent;
   t->recorded = true;
-  t->durable = true;
+  t->accept_durable = true;
   t->reason = WHY_ACCEPTED;
   RB_INSERT (request_tree, &s->requests, t);
   if (t->lane == LANE_SERVICE)
-    t->until_ms = s->now_ms + t->spec.duration_ms + SERVICE_GRACE_MS;
+    t->expires_ms = s->now_ms + t->spec.duration_ms + SERVICE_GRACE_MS;
   else if (t->spec.deadline_ms > 0)
-    t->until_ms = s->now_ms + t->spec.deadline_ms;
+    t->expires_ms = s->now_ms + t->spec.deadline_ms;
   task_enqueue (s, t);
 }
 
 static struct worker *
 replay_worker (struct sched *s, const struct place *p, int lane)
 {
-  struct worker *w = pl_worker (&s->pl, p->worker);
+  struct worker *w = pool_worker (&s->pool, p->worker);
   struct inst in
       = { .kind = lane == LANE_SERVICE ? INST_EXECUTOR : INST_WORKER };
 
@@ -86,8 +86,8 @@
     return w;
   clb_copy (in.id, p->worker, sizeof in.id);
   clb_copy (in.domain, s->domain, sizeof in.domain);
-  w = pl_add (&s->pl, &in);
-  w->heard_ms = s->now_ms;
+  w = pool_add (&s->pool, &in);
+  w->last_contact_ms = s->now_ms;
   return w;
 }
 
@@ -126,9 +126,9 @@
   task_unplace (s, t);
   t->state = r->state;
   t->reason = r->reason;
-  t->settled = true;
+  t->end_decided = true;
   t->end_durable = true;
-  t->until_ms = 0;
+  t->expires_ms = 0;
   if (t->in_ended)
     return;
   TAILQ_INSERT_TAIL (&s->ended, t, ended);
@@ -208,13 +208,13 @@
   s->load_after = strdup (snap.object);
   s->journal.snap_seq = snap.seq;
   s->journal.seq = snap.seq + 1;
-  s->journal.first_seq = snap.first;
+  s->journal.first_seq = snap.first_seq;
 }
 
 static void
 load_snap_obj (struct sched *s, const struct store_rep *rep)
 {
-  char key[KEY_SIZE];
+  char key[ROW_KEY_SIZE];
 
   if (rep->n_rows == 0 || !rep->rows[0].value
       || replay_text (s, rep->rows[0].value))
@@ -268,7 +268,7 @@
 }
 
 void
-load_answer (struct sched *s, const struct store_rep *rep)
+load_reply (struct sched *s, const struct store_rep *rep)
 {
   s->load_token = 0;
   if (rep->err && rep->err != CLB_ENOTFOUND)
--- a/core/mesh.c
+++ b/core/mesh.c
@@ -13,20 +13,20 @@
         "advise-ask", "advice", "job",       "relay", "relayed",     NULL };
 
 static const struct fld name_fields[] = {
-  FLD_CHARS (struct mesh_name, exec, true),
-  FLD_CHARS (struct mesh_name, ticket, false),
+  FLD_CHARS (struct mesh_exec, exec, true),
+  FLD_CHARS (struct mesh_exec, ticket, false),
 };
-static DESC (name_desc, struct mesh_name, name_fields);
+static DESC (name_desc, struct mesh_exec, name_fields);
 
 static const struct fld mesh_fields[] = {
   FLD_NAMED_REQUIRED (struct mesh_msg, kind, kind_names),
   FLD_CHARS (struct mesh_msg, from, true),
   FLD_CHARS (struct mesh_msg, addr, true),
-  FLD_INT (struct mesh_msg, no, 0, INT64_MAX),
+  FLD_INT_AS ("no", struct mesh_msg, seq, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, epoch, 0, INT64_MAX),
   FLD_CHARS (struct mesh_msg, id, false),
   FLD_INT (struct mesh_msg, count, 0, INT64_MAX),
-  FLD_STRING (struct mesh_msg, text, TEXT_MAX),
+  FLD_STRING_AS ("text", struct mesh_msg, record, TEXT_MAX),
   FLD_FLAG (struct mesh_msg, known),
   FLD_INT (struct mesh_msg, state, 0, JOB_STATE_N - 1),
   FLD_INT (struct mesh_msg, occurrence, 0, INT64_MAX),
@@ -41,7 +41,8 @@
   FLD_CHARS (struct mesh_msg, via, false),
   FLD_STRUCT (struct mesh_msg, op, &store_op_desc),
   FLD_STRUCT (struct mesh_msg, rep, &store_rep_desc),
-  FLD_ARRAY (struct mesh_msg, names, n_names, &name_desc, ORDER_NAMES_MAX),
+  FLD_ARRAY_AS ("names", struct mesh_msg, execs, n_execs, &name_desc,
+                ORDER_ADVICE_EXECS_MAX),
 };
 static DESC (mesh_desc, struct mesh_msg, mesh_fields);
 
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -10,23 +10,25 @@
 
 enum mesh_kind
 {
-  MESH_HELLO,  /* follower to leader: here I am */
-  MESH_LEADER, /* leader's reply: term, and how fresh its configuration is;
-                  the question's number is the asker's time */
-  MESH_STATE_ASK,
-  MESH_STATE, /* a job's state */
-  MESH_WAITING_ASK,
-  MESH_WAITING, /* how many jobs of a queue have not begun */
-  MESH_ADVISE_ASK,
-  MESH_ADVICE,
-  MESH_JOB, /* to the leader: this job, or its cancellation, is recorded */
-  MESH_STORE_ASK, /* call the table for an instance that does not reach it */
-  MESH_STORE,     /* what the table answered */
+  MESH_HELLO,       /* follower to leader: here I am */
+  MESH_HELLO_REPLY, /* leader's reply: term, and how fresh its configuration
+                  is; the question's number is the asker's time */
+  MESH_STATE_QUERY,
+  MESH_STATE_REPLY, /* a job's state */
+  MESH_WAITING_QUERY,
+  MESH_WAITING_REPLY, /* how many jobs of a queue have not begun */
+  MESH_ADVICE_QUERY,
+  MESH_ADVICE_REPLY,
+  MESH_JOB_NOTICE, /* to the leader: this job, or its cancellation, is recorded
+                    */
+  MESH_STORE_REQUEST, /* call the table for an instance that does not reach it
+                       */
+  MESH_STORE_REPLY,   /* what the table answered */
   MESH_KIND_N
 };
 
-/** struct mesh_name - an executor, with its ticket in a reply */
-struct mesh_name
+/** struct mesh_exec - an executor, with its ticket in a reply */
+struct mesh_exec
 {
   char exec[CLB_ID_MAX];
   char ticket[ORDER_TICKET_SIZE];
@@ -38,11 +40,11 @@
   int kind; /* enum mesh_kind */
   char from[CLB_ID_MAX];
   char addr[CLB_ADDR_MAX]; /* of the sender */
-  int64_t no;              /* of a question, echoed in its reply */
+  int64_t seq;             /* of a question, echoed in its reply */
   int64_t epoch;           /* the leader's term */
   char id[CLB_ID_MAX];     /* a job, or a queue's name */
   int64_t count;
-  char *text;    /* a job's record; NULL: its cancellation */
+  char *record;  /* a job's record; NULL: its cancellation */
   bool known;    /* the leader knows the job */
   int64_t state; /* enum job_state */
   int64_t occurrence;
@@ -60,8 +62,8 @@
                              instance does */
   struct store_op op;
   struct store_rep rep;
-  struct mesh_name *names;
-  size_t n_names;
+  struct mesh_exec *execs;
+  size_t n_execs;
 };
 
 /** mesh_pack() - As msgpack that the caller frees.  0 or %CLB_ENOMEM. */
--- a/core/msg.c
+++ b/core/msg.c
@@ -77,7 +77,7 @@
   FLD_CHARS (struct lease_row, holder, false),
   FLD_INT (struct lease_row, boot, 0, INT64_MAX),
   FLD_INT (struct lease_row, epoch, 0, INT64_MAX),
-  FLD_INT (struct lease_row, beat, 0, INT64_MAX),
+  FLD_INT_AS ("beat", struct lease_row, heartbeat, 0, INT64_MAX),
 };
 DESC (lease_row_desc, struct lease_row, lease_row_fields);
 
@@ -91,7 +91,7 @@
 static const struct fld grant_fields[] = {
   FLD_CHARS (struct grant, domain, true),
   FLD_STRUCT (struct grant, amount, &res_desc),
-  FLD_FLAG (struct grant, want),
+  FLD_FLAG_AS ("want", struct grant, wants_more),
 };
 static DESC (grant_desc, struct grant, grant_fields);
 static const struct fld grant_row_fields[] = {
@@ -152,7 +152,7 @@
   FLD_CHARS (struct inst, domain, true),
   FLD_CHARS (struct inst, rack, false),
   FLD_CHARS (struct inst, addr, true),
-  FLD_STRUCT (struct inst, room, &res_desc),
+  FLD_STRUCT_AS ("room", struct inst, capacity, &res_desc),
   FLD_FLAG (struct inst, leaving),
 };
 static DESC (inst_desc, struct inst, inst_fields);
@@ -198,7 +198,7 @@
 DESC (store_rep_desc, struct store_rep, store_rep_fields);
 
 static const struct fld call_fields[] = {
-  FLD_INT (struct call, no, 0, INT64_MAX),
+  FLD_INT_AS ("no", struct call, seq, 0, INT64_MAX),
   FLD_NAMED (struct call, verb, verb_names),
   FLD_CHARS (struct call, team, false),
   FLD_CHARS (struct call, id, false),
@@ -209,20 +209,20 @@
   FLD_FLAG (struct call, open_only),
   FLD_INT (struct call, max_waiting, 0, BIG),
   FLD_INT (struct call, wait_ms, 0, BIG),
-  FLD_INT (struct call, stamp, 0, INT64_MAX),
+  FLD_INT_AS ("stamp", struct call, sent_ms, 0, INT64_MAX),
   FLD_FLAG (struct call, bad_server),
   FLD_NAMED (struct call, state, task_state_names),
 };
 static DESC (call_desc, struct call, call_fields);
 
 static const struct fld reply_fields[] = {
-  FLD_INT (struct reply, no, 0, INT64_MAX),
+  FLD_INT_AS ("no", struct reply, call_seq, 0, INT64_MAX),
   FLD_INT (struct reply, err, CLB_ERR_LAST, 0),
   FLD_CHARS (struct reply, id, false),
   FLD_NAMED (struct reply, state, task_state_names),
   FLD_INT (struct reply, reason, 0, WHY_N - 1),
   FLD_INT (struct reply, retry_ms, 0, BIG),
-  FLD_INT (struct reply, stamp, 0, INT64_MAX),
+  FLD_INT_AS ("stamp", struct reply, call_sent_ms, 0, INT64_MAX),
   FLD_CHARS (struct reply, executor, false),
   FLD_CHARS (struct reply, addr, false),
   FLD_STRING (struct reply, text, WHY_TEXT_MAX),
@@ -234,49 +234,49 @@
   FLD_CHARS (struct hello, addr, false),
   FLD_INT (struct hello, conf_version, 0, INT64_MAX),
   FLD_INT (struct hello, conf_age_ms, 0, INT64_MAX),
-  FLD_FLAG (struct hello, apply_open),
+  FLD_FLAG_AS ("apply_open", struct hello, apply_in_progress),
   FLD_FLAG (struct hello, holder),
   FLD_INT (struct hello, epoch, 0, INT64_MAX),
   FLD_FLAG (struct hello, stopping),
-  FLD_FLAG (struct hello, known),
-  FLD_INT (struct hello, stamp, 0, INT64_MAX),
-  FLD_INT (struct hello, echo, 0, INT64_MAX),
+  FLD_FLAG_AS ("known", struct hello, knows_receiver),
+  FLD_INT_AS ("stamp", struct hello, sent_ms, 0, INT64_MAX),
+  FLD_INT_AS ("echo", struct hello, echo_ms, 0, INT64_MAX),
   FLD_INT (struct hello, echo_boot, 0, INT64_MAX),
-  FLD_STRUCT (struct hello, size, &res_desc),
-  FLD_STRUCT (struct hello, largest, &res_desc),
-  FLD_STRUCT (struct hello, room, &res_desc),
+  FLD_STRUCT_AS ("size", struct hello, total_capacity, &res_desc),
+  FLD_STRUCT_AS ("largest", struct hello, largest_worker, &res_desc),
+  FLD_STRUCT_AS ("room", struct hello, free_capacity, &res_desc),
 };
 static DESC (hello_desc, struct hello, hello_fields);
 
 static const struct fld promise_fields[] = {
   FLD_CHARS (struct promise, domain, true),
   FLD_INT (struct promise, epoch, 0, INT64_MAX),
-  FLD_INT (struct promise, no, 0, INT64_MAX),
-  FLD_INT (struct promise, for_ms, 0, BIG),
-  FLD_FLAG (struct promise, given),
+  FLD_INT_AS ("no", struct promise, seq, 0, INT64_MAX),
+  FLD_INT_AS ("for_ms", struct promise, duration_ms, 0, BIG),
+  FLD_FLAG_AS ("given", struct promise, granted),
 };
 static DESC (promise_desc, struct promise, promise_fields);
 
 static const struct fld held_fields[] = {
-  FLD_CHARS (struct held, id, true),
-  FLD_CHARS (struct held, executor, true),
-  FLD_CHARS (struct held, team, true),
-  FLD_INT (struct held, run_ms, 0, BIG),
+  FLD_CHARS (struct held_slot, id, true),
+  FLD_CHARS (struct held_slot, executor, true),
+  FLD_CHARS (struct held_slot, team, true),
+  FLD_INT (struct held_slot, run_ms, 0, BIG),
 };
-static DESC (held_desc, struct held, held_fields);
+static DESC (held_desc, struct held_slot, held_fields);
 static const struct fld held_list_fields[] = {
   FLD_ARRAY (struct held_list, items, n_items, &held_desc, BIG),
 };
 static DESC (held_list_desc, struct held_list, held_list_fields);
 
 static const struct fld event_fields[] = {
-  FLD_INT (struct event, no, 0, INT64_MAX),
-  FLD_INT (struct event, ms, 0, INT64_MAX),
+  FLD_INT_AS ("no", struct event, seq, 0, INT64_MAX),
+  FLD_INT_AS ("ms", struct event, time_ms, 0, INT64_MAX),
   FLD_CHARS (struct event, id, false),
   FLD_CHARS (struct event, team, false),
   FLD_CHARS (struct event, where, false),
   FLD_INT (struct event, reason, 0, WHY_N - 1),
-  FLD_INT (struct event, looked_at, 0, INT64_MAX),
+  FLD_INT_AS ("looked_at", struct event, detail, 0, INT64_MAX),
 };
 DESC (event_desc, struct event, event_fields);
 
@@ -292,7 +292,7 @@
       return &call_desc;
     case PM_REPLY:
       return &reply_desc;
-    case PM_HELD_ASK:
+    case PM_HELD_QUERY:
     case PM_HELD:
       return &held_list_desc;
     default:
--- a/core/msg.h
+++ b/core/msg.h
@@ -76,7 +76,7 @@
   char holder[CLB_ID_MAX]; /* empty: handed back */
   int64_t boot;            /* of the holder's process */
   int64_t epoch;
-  int64_t beat; /* raised by each renewal */
+  int64_t heartbeat; /* raised by each renewal */
 };
 extern const struct desc lease_row_desc;
 
@@ -93,7 +93,7 @@
 {
   char domain[CLB_NAME_MAX];
   struct clb_res amount;
-  bool want; /* would use more than it has */
+  bool wants_more; /* would use more than it has */
 };
 struct grant_row
 {
@@ -191,7 +191,7 @@
   char domain[CLB_NAME_MAX];
   char rack[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX];
-  struct clb_res room;
+  struct clb_res capacity;
   bool leaving;
 };
 struct inst_list
@@ -276,8 +276,8 @@
 
 struct call
 {
-  int64_t no; /* of the caller's entry instance */
-  int verb;   /* enum call_verb */
+  int64_t seq; /* of the caller's entry instance */
+  int verb;    /* enum call_verb */
   char team[CLB_NAME_MAX];
   char id[CLB_ID_MAX];
   struct spec spec;
@@ -287,20 +287,20 @@
   bool open_only; /* no key: only tasks of open queues */
   int64_t max_waiting;
   int64_t wait_ms;
-  int64_t stamp;   /* entry instance's clock when it sent or repeated this */
+  int64_t sent_ms; /* entry instance's clock when it sent or repeated this */
   bool bad_server; /* CALL_RELEASE: the executor failed */
   int state;       /* CALL_RELEASE: enum task_state */
 };
 
 struct reply
 {
-  int64_t no;
+  int64_t call_seq;
   int64_t err;
   char id[CLB_ID_MAX];
-  int state;        /* enum task_state */
-  int64_t reason;   /* enum clb_reason */
-  int64_t retry_ms; /* when to come back */
-  int64_t stamp;    /* of the call that this answers */
+  int state;            /* enum task_state */
+  int64_t reason;       /* enum clb_reason */
+  int64_t retry_ms;     /* when to come back */
+  int64_t call_sent_ms; /* of the call that this answers */
   char executor[CLB_ID_MAX];
   char addr[CLB_ADDR_MAX];
   char *text; /* CALL_WHY: history, as JSON */
@@ -311,22 +311,22 @@
   char domain[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX];
   int64_t conf_version;
-  int64_t conf_age_ms; /* since its freshness was last proved */
-  bool apply_open;     /* it has a change whose outcome it does not know */
+  int64_t conf_age_ms;    /* since its freshness was last proved */
+  bool apply_in_progress; /* it has a change whose outcome it does not know */
   bool holder;
   int64_t epoch;
   bool stopping;
-  bool known;    /* the sender counts the receiver as a member */
-  int64_t stamp; /* the sender's clock */
-  int64_t echo;  /* the receiver's last stamp that the sender has seen */
+  bool knows_receiver; /* the sender counts the receiver as a member */
+  int64_t sent_ms;     /* the sender's clock */
+  int64_t echo_ms;     /* the receiver's last stamp that the sender has seen */
   int64_t echo_boot;
-  struct clb_res room;    /* a holder's free capacity */
-  struct clb_res size;    /* its whole capacity */
-  struct clb_res largest; /* of any one of its workers */
+  struct clb_res free_capacity;  /* a holder's free capacity */
+  struct clb_res total_capacity; /* its whole capacity */
+  struct clb_res largest_worker; /* of any one of its workers */
 };
 
-/** struct held - a slot that an entry instance still uses */
-struct held
+/** struct held_slot - a slot that an entry instance still uses */
+struct held_slot
 {
   char id[CLB_ID_MAX];
   char executor[CLB_ID_MAX];
@@ -335,7 +335,7 @@
 };
 struct held_list
 {
-  struct held *items;
+  struct held_slot *items;
   size_t n_items;
 };
 
@@ -343,9 +343,9 @@
 {
   char domain[CLB_NAME_MAX];
   int64_t epoch;
-  int64_t no;
-  int64_t for_ms;
-  bool given;
+  int64_t seq;
+  int64_t duration_ms;
+  bool granted;
 };
 
 enum pmsg_kind
@@ -353,10 +353,10 @@
   PM_HELLO,
   PM_CALL,
   PM_REPLY,
-  PM_HANDOVER,    /* the lease row was handed back: claim it now */
-  PM_PROMISE_ASK, /* holder to peer: do not claim for a while */
+  PM_HANDOVER,        /* the lease row was handed back: claim it now */
+  PM_PROMISE_REQUEST, /* holder to peer: do not claim for a while */
   PM_PROMISE,
-  PM_HELD_ASK, /* new holder to entry: which slots do you use? */
+  PM_HELD_QUERY, /* new holder to entry: which slots do you use? */
   PM_HELD,
   PM_N
 };
@@ -403,13 +403,13 @@
 
 struct event
 {
-  int64_t no;
-  int64_t ms;
+  int64_t seq;
+  int64_t time_ms;
   char id[CLB_ID_MAX];
   char team[CLB_NAME_MAX];
   char where[CLB_ID_MAX]; /* worker, executor or instance */
   int64_t reason;         /* enum clb_reason */
-  int64_t looked_at;      /* candidates weighed */
+  int64_t detail;         /* candidates weighed */
 };
 extern const struct desc event_desc;
 
--- a/core/node.c
+++ b/core/node.c
@@ -18,7 +18,7 @@
 node_init (struct node *n, const struct settings *set, int64_t now_ms)
 {
   memset (n, 0, sizeof *n);
-  n->set = *set;
+  n->settings = *set;
   n->now_ms = now_ms;
   TAILQ_INIT (&n->out);
   RB_INIT (&n->pending);
@@ -26,9 +26,9 @@
   n->conf = calloc (1, sizeof *n->conf);
   if (!n->conf)
     abort ();
-  n->fresh_ms = now_ms - 2 * FRESH_MS;
+  n->conf_verified_ms = now_ms - 2 * CONF_FRESH_MS;
   /* A reply to an earlier process of this name must match no call. */
-  n->next_no = set->boot * CALLS_PER_BOOT;
+  n->last_call_seq = set->boot * CALLS_PER_BOOT;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
              &n->tokens);
 }
@@ -59,11 +59,11 @@
 }
 
 struct peer *
-node_peer_of (struct node *n, const char *id)
+node_get_peer (struct node *n, const char *id)
 {
   struct peer *p = (struct peer *)node_find_peer (n, id);
 
-  if (p || n->n_peers == PEERS_MAX || strcmp (id, n->set.id) == 0)
+  if (p || n->n_peers == PEERS_MAX || strcmp (id, n->settings.id) == 0)
     return p;
   p = &n->peers[n->n_peers++];
   memset (p, 0, sizeof *p);
@@ -77,15 +77,16 @@
   struct out *o = out_new (&n->out, OUT_PEER);
 
   clb_copy (o->u.peer.to, to, sizeof o->u.peer.to);
-  clb_copy (m->from, n->set.id, sizeof m->from);
-  m->boot = n->set.boot;
+  clb_copy (m->from, n->settings.id, sizeof m->from);
+  m->boot = n->settings.boot;
   o->u.peer.msg = *m;
 }
 
 static bool
 peer_alive (const struct node *n, const struct peer *p)
 {
-  return p->heard_ms && n->now_ms - p->heard_ms < PEER_SILENT_MS;
+  return p->last_contact_ms
+         && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS;
 }
 
 static bool
@@ -99,8 +100,8 @@
 {
   const struct peer *best = NULL;
 
-  if (strcmp (domain, n->set.domain) == 0 && holds (n))
-    return n->set.id;
+  if (strcmp (domain, n->settings.domain) == 0 && holds (n))
+    return n->settings.id;
   for (int i = 0; i < n->n_peers; i++)
     {
       const struct peer *p = &n->peers[i];
@@ -119,21 +120,21 @@
   struct pmsg m = { .kind = PM_HELLO };
   struct hello *h = &m.u.hello;
 
-  clb_copy (h->domain, n->set.domain, sizeof h->domain);
-  clb_copy (h->addr, n->set.peer_addr, sizeof h->addr);
+  clb_copy (h->domain, n->settings.domain, sizeof h->domain);
+  clb_copy (h->addr, n->settings.peer_addr, sizeof h->addr);
   h->conf_version = n->head.version;
-  h->conf_age_ms = n->now_ms - n->fresh_ms;
-  h->apply_open = entry_apply_open (n);
+  h->conf_age_ms = n->now_ms - n->conf_verified_ms;
+  h->apply_in_progress = entry_apply_in_progress (n);
   h->holder = holds (n);
   h->epoch = n->sched ? n->sched->epoch : 0;
   h->stopping = n->stopping;
-  h->known = role_member (&n->role, p->id, p->boot);
-  h->stamp = n->now_ms;
-  h->echo = p->their_stamp;
+  h->knows_receiver = role_is_member (&n->role, p->id, p->boot);
+  h->sent_ms = n->now_ms;
+  h->echo_ms = p->hello_sent_ms;
   h->echo_boot = p->boot;
-  h->room = n->sum.room;
-  h->size = n->sum.size;
-  h->largest = n->sum.largest;
+  h->free_capacity = n->capacity.room;
+  h->total_capacity = n->capacity.size;
+  h->largest_worker = n->capacity.largest;
   node_send (n, p->id, &m);
   n->stats.hellos++;
 }
@@ -142,15 +143,15 @@
 send_hellos (struct node *n)
 {
   /* Others must hear at once who schedules this domain. */
-  if (holds (n) != n->told_holds)
+  if (holds (n) != n->reported_holder)
     n->next_hello_ms = n->now_ms;
-  n->told_holds = holds (n);
+  n->reported_holder = holds (n);
   if (n->now_ms < n->next_hello_ms)
     return;
-  n->next_hello_ms = n->now_ms + HELLO_MS;
-  memset (&n->sum, 0, sizeof n->sum);
+  n->next_hello_ms = n->now_ms + HELLO_PERIOD_MS;
+  memset (&n->capacity, 0, sizeof n->capacity);
   if (n->sched && n->sched->phase == SCHED_READY)
-    n->sum = pl_summary (&n->sched->pl, n->now_ms);
+    n->capacity = pool_summary (&n->sched->pool, n->now_ms);
   for (int i = 0; i < n->n_peers; i++)
     send_hello (n, &n->peers[i]);
 }
@@ -176,12 +177,12 @@
       n->next_head_ms = n->now_ms;
       return;
     }
-  if (h->conf_version < n->head.version || h->echo_boot != n->set.boot
-      || h->echo == 0 || n->head.version == 0)
+  if (h->conf_version < n->head.version || h->echo_boot != n->settings.boot
+      || h->echo_ms == 0 || n->head.version == 0)
     return;
-  int64_t proved = h->echo - h->conf_age_ms;
-  if (proved > n->fresh_ms)
-    n->fresh_ms = proved;
+  int64_t proved = h->echo_ms - h->conf_age_ms;
+  if (proved > n->conf_verified_ms)
+    n->conf_verified_ms = proved;
 }
 
 /* A change is accepted only through an entry instance.  If none of them has
@@ -191,47 +192,49 @@
 {
   int64_t proved = n->now_ms;
 
-  if (n->head.version == 0 || !n->list_known || entry_apply_open (n))
+  if (n->head.version == 0 || !n->list_known || entry_apply_in_progress (n))
     return;
   for (int i = 0; i < n->n_peers; i++)
     {
       const struct hello *h = &n->peers[i].hello;
-      if (!n->peers[i].heard_ms || h->conf_version != n->head.version
-          || h->apply_open || h->echo_boot != n->set.boot || h->echo == 0)
+      if (!n->peers[i].last_contact_ms || h->conf_version != n->head.version
+          || h->apply_in_progress || h->echo_boot != n->settings.boot
+          || h->echo_ms == 0)
         return;
-      if (h->echo < proved)
-        proved = h->echo;
+      if (h->echo_ms < proved)
+        proved = h->echo_ms;
     }
-  if (proved > n->fresh_ms)
-    n->fresh_ms = proved;
+  if (proved > n->conf_verified_ms)
+    n->conf_verified_ms = proved;
 }
 
 static void
 got_hello (struct node *n, const struct pmsg *m)
 {
-  struct peer *p = node_peer_of (n, m->from);
+  struct peer *p = node_get_peer (n, m->from);
 
   if (!p)
     return;
   if (p->boot != m->boot)
-    p->held_told = false;
+    p->held_reported = false;
   p->boot = m->boot;
-  p->heard_ms = n->now_ms;
-  p->their_stamp = m->u.hello.stamp;
+  p->last_contact_ms = n->now_ms;
+  p->hello_sent_ms = m->u.hello.sent_ms;
   p->hello = m->u.hello;
   clb_copy (p->domain, m->u.hello.domain, sizeof p->domain);
   if (*m->u.hello.addr)
     clb_copy (p->addr, m->u.hello.addr, sizeof p->addr);
-  if (strcmp (p->domain, n->set.domain) == 0)
-    role_heard (&n->role, m->from, m->boot, &m->u.hello);
+  if (strcmp (p->domain, n->settings.domain) == 0)
+    role_hello (&n->role, m->from, m->boot, &m->u.hello);
   hello_freshness (n, &m->u.hello);
   peers_freshness (n);
 }
 
 bool
-node_fresh (const struct node *n)
+node_conf_fresh (const struct node *n)
 {
-  return n->head.version > 0 && n->now_ms - n->fresh_ms < FRESH_MS;
+  return n->head.version > 0
+         && n->now_ms - n->conf_verified_ms < CONF_FRESH_MS;
 }
 
 /* Slots in use, told to a new holder. */
@@ -247,21 +250,21 @@
   for (int i = 0; i < n->n_peers; i++)
     {
       struct peer *p = &n->peers[i];
-      if (p->held_told || !peer_alive (n, p))
+      if (p->held_reported || !peer_alive (n, p))
         continue;
       all = false;
-      if (n->now_ms - p->held_asked_ms < HELD_ASK_MS)
+      if (n->now_ms - p->held_query_ms < HELD_ASK_MS)
         continue;
-      struct pmsg m = { .kind = PM_HELD_ASK };
-      p->held_asked_ms = n->now_ms;
+      struct pmsg m = { .kind = PM_HELD_QUERY };
+      p->held_query_ms = n->now_ms;
       node_send (n, p->id, &m);
     }
   /* One that is frozen finds its slot too old to use when it wakes. */
-  if (!all || n->now_ms - s->began_ms < HELD_WAIT_MS)
+  if (!all || n->now_ms - s->started_ms < HELD_WAIT_MS)
     return;
   struct held_list mine = { .n_items = 0 };
-  entry_held (n, &mine);
-  sched_held (s, &mine);
+  entry_held_slots (n, &mine);
+  sched_used_slots (s, &mine);
   free (mine.items);
   s->slots_known = true;
   s->dirty = true;
@@ -272,19 +275,19 @@
 {
   struct pmsg m = { .kind = PM_HELD };
 
-  entry_held (n, &m.u.held);
+  entry_held_slots (n, &m.u.held);
   node_send (n, to, &m);
 }
 
 static void
 got_held (struct node *n, const struct pmsg *m)
 {
-  struct peer *p = node_peer_of (n, m->from);
+  struct peer *p = node_get_peer (n, m->from);
 
   if (!p || !n->sched)
     return;
-  sched_held (n->sched, &m->u.held);
-  p->held_told = true;
+  sched_used_slots (n->sched, &m->u.held);
+  p->held_reported = true;
 }
 
 static void
@@ -305,14 +308,14 @@
     case PM_HANDOVER:
       role_handover (&n->role);
       break;
-    case PM_PROMISE_ASK:
-      if (strcmp (m->u.promise.domain, n->set.domain) == 0)
-        role_promise_ask (&n->role, m->from, m->boot, &m->u.promise);
+    case PM_PROMISE_REQUEST:
+      if (strcmp (m->u.promise.domain, n->settings.domain) == 0)
+        role_promise_request (&n->role, m->from, m->boot, &m->u.promise);
       break;
     case PM_PROMISE:
       role_promise (&n->role, m->from, m->boot, &m->u.promise);
       break;
-    case PM_HELD_ASK:
+    case PM_HELD_QUERY:
       answer_held (n, m->from);
       break;
     case PM_HELD:
@@ -324,8 +327,8 @@
 /* Configuration. */
 
 void
-node_take_conf (struct node *n, const struct head_row *head, int64_t ver,
-                const char *text)
+node_install_conf (struct node *n, const struct head_row *head, int64_t ver,
+                   const char *text)
 {
   struct conf *c = calloc (1, sizeof *c);
   struct codec_err ce;
@@ -348,10 +351,10 @@
   free (n->conf);
   n->conf = c;
   struct out *o = out_new (&n->out, OUT_EVENT);
-  o->u.event.ms = n->now_ms;
+  o->u.event.time_ms = n->now_ms;
   o->u.event.reason = WHY_CONFIG;
-  o->u.event.looked_at = c->version;
-  clb_copy (o->u.event.where, n->set.id, sizeof o->u.event.where);
+  o->u.event.detail = c->version;
+  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
   /* Tell the peers at once, so that none waits for its own poll. */
   n->next_hello_ms = n->now_ms;
 }
@@ -387,8 +390,8 @@
   if (head.version == n->head.version)
     {
       n->head_ver = rep->rows[0].ver;
-      if (n->head_sent_ms > n->fresh_ms)
-        n->fresh_ms = n->head_sent_ms;
+      if (n->head_sent_ms > n->conf_verified_ms)
+        n->conf_verified_ms = n->head_sent_ms;
     }
   else if (head.version > n->head.version && !n->object_token)
     object_read (n, &head, rep->rows[0].ver);
@@ -400,10 +403,10 @@
   n->object_token = 0;
   if (rep->err || rep->n_rows == 0 || !rep->rows[0].value)
     return;
-  node_take_conf (n, &n->object_head, n->object_ver, rep->rows[0].value);
+  node_install_conf (n, &n->object_head, n->object_ver, rep->rows[0].value);
   if (n->head.version == n->object_head.version
-      && n->object_sent_ms > n->fresh_ms)
-    n->fresh_ms = n->object_sent_ms;
+      && n->object_sent_ms > n->conf_verified_ms)
+    n->conf_verified_ms = n->object_sent_ms;
 }
 
 /* The platform's list. */
@@ -432,7 +435,7 @@
     {
       const struct inst *in = &n->list.items[i];
       struct peer *p
-          = in->kind == INST_ENTRY ? node_peer_of (n, in->id) : NULL;
+          = in->kind == INST_ENTRY ? node_get_peer (n, in->id) : NULL;
       if (!p)
         continue;
       p->listed = true;
@@ -441,7 +444,7 @@
     }
   for (int i = 0; i < n->n_peers; i++)
     if (!n->peers[i].listed
-        && n->now_ms - n->peers[i].heard_ms > 10 * PEER_SILENT_MS)
+        && n->now_ms - n->peers[i].last_contact_ms > 10 * PEER_UNREACHABLE_MS)
       n->peers[i--] = n->peers[--n->n_peers];
 }
 
@@ -473,7 +476,7 @@
   n->list_ver = rep->rows[0].ver;
   n->list_ms = n->list_sent_ms;
   list_peers (n);
-  role_listed (&n->role, &n->list);
+  role_instances (&n->role, &n->list);
   if (n->sched)
     sched_instances (n->sched, &n->list, n->list_ms);
 }
@@ -498,15 +501,15 @@
 static void
 sched_begin (struct node *n)
 {
-  n->sched
-      = sched_new (n->set.domain, n->set.id, n->set.boot, n->role.epoch,
-                   n->role.epoch_ver, n->now_ms, n->conf, &n->out, &n->tokens);
-  if (n->set.snap_every)
-    n->sched->snap_every = n->set.snap_every;
+  n->sched = sched_new (n->settings.domain, n->settings.id, n->settings.boot,
+                        n->role.epoch, n->role.epoch_ver, n->now_ms, n->conf,
+                        &n->out, &n->tokens);
+  if (n->settings.snap_every)
+    n->sched->snap_every = n->settings.snap_every;
   if (n->list_known)
     sched_instances (n->sched, &n->list, n->list_ms);
   for (int i = 0; i < n->n_peers; i++)
-    n->peers[i].held_told = false;
+    n->peers[i].held_reported = false;
   n->next_hello_ms = n->now_ms;
 }
 
@@ -524,10 +527,10 @@
 {
   struct out *o = out_new (&n->out, OUT_EVENT);
 
-  o->u.event.ms = n->now_ms;
+  o->u.event.time_ms = n->now_ms;
   o->u.event.reason = reason;
-  clb_copy (o->u.event.where, n->set.id, sizeof o->u.event.where);
-  n->stats.changes[reason]++;
+  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
+  n->stats.role_changes[reason]++;
 }
 
 static void
@@ -538,7 +541,7 @@
   if (extended && !n->extended)
     node_event (n, WHY_EXTENDED);
   n->extended = extended;
-  if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLD)
+  if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLDER)
     {
       n->store_down = !n->role.store_up;
       node_event (n, n->store_down ? WHY_STORE_DOWN : WHY_STORE_BACK);
@@ -552,26 +555,26 @@
 
   n->role.now_ms = n->now_ms;
   role_tick (&n->role);
-  if (n->sched && n->sched->phase == SCHED_LOST)
-    role_lost (&n->role);
+  if (n->sched && n->sched->phase == SCHED_SUPERSEDED)
+    role_lease_lost (&n->role);
   if (n->sched
-      && (n->role.state != ROLE_HOLD || n->role.epoch != n->sched->epoch))
+      && (n->role.state != ROLE_HOLDER || n->role.epoch != n->sched->epoch))
     {
       node_event (n, n->stopping ? WHY_HANDED_OVER : WHY_LEASE_LOST);
       sched_end (n);
     }
-  if (!n->sched && n->role.state == ROLE_HOLD && !n->stopping)
+  if (!n->sched && n->role.state == ROLE_HOLDER && !n->stopping)
     sched_begin (n);
   s = n->sched;
   if (!s)
     return;
-  int64_t until = role_until (&n->role);
+  int64_t until = role_valid_until (&n->role);
   extension_step (n, until);
   s->now_ms = n->now_ms;
   s->may_start = n->now_ms < until;
-  s->conf_fresh = node_fresh (n);
+  s->conf_fresh = node_conf_fresh (n);
   s->store_up = n->role.store_up;
-  s->lapsed_ms = s->may_start ? 0 : until;
+  s->lapsed_since_ms = s->may_start ? 0 : until;
 }
 
 /* Hands the domain over once nothing is on the way to the table.  A table
@@ -592,14 +595,14 @@
       if (n->sched->phase == SCHED_READY && !sched_idle (n->sched))
         return;
     }
-  if (!role_give_up (&n->role))
+  if (!role_release (&n->role))
     return;
   n->handed_over = true;
   for (int i = 0; i < n->n_peers; i++)
-    if (strcmp (n->peers[i].domain, n->set.domain) == 0)
+    if (strcmp (n->peers[i].domain, n->settings.domain) == 0)
       {
         struct pmsg m = { .kind = PM_HANDOVER };
-        clb_copy (m.u.promise.domain, n->set.domain,
+        clb_copy (m.u.promise.domain, n->settings.domain,
                   sizeof m.u.promise.domain);
         node_send (n, n->peers[i].id, &m);
       }
@@ -696,7 +699,7 @@
 
   while ((o = out_take (&n->out)))
     {
-      if (o->kind != OUT_PEER || strcmp (o->u.peer.to, n->set.id) != 0)
+      if (o->kind != OUT_PEER || strcmp (o->u.peer.to, n->settings.id) != 0)
         return o;
       /* Calls to the scheduler of this very instance. */
       got_peer (n, &o->u.peer.msg);
--- a/core/node.h
+++ b/core/node.h
@@ -14,13 +14,14 @@
 enum
 {
   PEERS_MAX = 64,
-  PENDING_MAX = 4096, /* callers' requests in hand */
-  FRESH_MS = 3000,    /* keyed work needs a proof this young */
-  HELLO_MS = 1000,
-  PEER_SILENT_MS = 3000,    /* then it is not sent anything */
-  SUBMIT_WAIT_MS = 10000,   /* longest that a caller waits to be accepted */
-  FORWARD_WITHIN_MS = 2000, /* a slot is used this soon after asking, or not */
-  BODY_MAX = 1 << 20,       /* bytes of a task request */
+  PENDING_MAX = 4096,   /* callers' requests in hand */
+  CONF_FRESH_MS = 3000, /* keyed work needs a proof this young */
+  HELLO_PERIOD_MS = 1000,
+  PEER_UNREACHABLE_MS = 3000, /* then it is not sent anything */
+  SUBMIT_WAIT_MS = 10000,     /* longest that a caller waits to be accepted */
+  FORWARD_DEADLINE_MS
+  = 2000,             /* a slot is used this soon after asking, or not */
+  BODY_MAX = 1 << 20, /* bytes of a task request */
 };
 
 enum method
@@ -35,7 +36,7 @@
 /** struct request - from a caller, all borrowed */
 struct request
 {
-  uint64_t call;          /* chosen by the shell, not reused */
+  uint64_t http_call;     /* chosen by the shell, not reused */
   int method;             /* enum method */
   const char *path;       /* "/v1/tasks/..." with the query */
   const char *bearer;     /* key, or NULL */
@@ -51,7 +52,7 @@
   FORWARD_ERROR,     /* likewise, and it was a server error */
   FORWARD_UNREACHED, /* no byte left: nothing ran */
   FORWARD_FAILED,    /* bytes left, and no whole answer came */
-  FORWARD_CUT,       /* the caller went away, or the time was up */
+  FORWARD_ABORTED,   /* the caller went away, or the time was up */
 };
 
 struct settings
@@ -72,17 +73,17 @@
   char domain[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX];
   int64_t boot;
-  int64_t heard_ms;    /* 0: never */
-  int64_t their_stamp; /* latest, echoed back */
+  int64_t last_contact_ms; /* 0: never */
+  int64_t hello_sent_ms;   /* latest, echoed back */
   struct hello hello;
   bool listed;
-  bool held_told; /* has said which slots it uses */
-  int64_t held_asked_ms;
+  bool held_reported; /* has said which slots it uses */
+  int64_t held_query_ms;
 };
 
 enum pending_step
 {
-  STEP_ASKING,       /* waits for a holder's reply */
+  STEP_AWAIT_REPLY,  /* waits for a holder's reply */
   STEP_FORWARDED,    /* at an executor */
   STEP_RELEASING,    /* nobody waits; the holder must still hear of it */
   STEP_APPLY_OBJECT, /* a manifest being written */
@@ -95,49 +96,49 @@
 {
   RB_ENTRY (pending) by_no;
   RB_ENTRY (pending) by_call;
-  uint64_t caller; /* the shell's number; 0 when nobody waits */
+  uint64_t http_call; /* the shell's number; 0 when nobody waits */
   struct call call;
   int step;                  /* enum pending_step */
   char domain[CLB_NAME_MAX]; /* where it is sent */
   char holder[CLB_ID_MAX];   /* last sent to; empty: not sent */
   int64_t sent_ms;
-  int64_t until_ms;
-  int64_t began_ms;
+  int64_t deadline_ms;
+  int64_t arrival_ms;
   int64_t tries;
   int64_t max_run_ms;
   char executor[CLB_ID_MAX];
   /* Of an apply. */
-  uint64_t token;
+  uint64_t store_token;
   char *manifest;
-  int64_t base_version; /* that the change was made from */
-  int64_t head_ver;     /* of the row that holds it */
-  bool maybe_done;      /* a write's answer was lost */
+  int64_t base_version;  /* that the change was made from */
+  int64_t head_ver;      /* of the row that holds it */
+  bool may_have_applied; /* a write's answer was lost */
   struct head_row head;
 };
 RB_HEAD (pending_tree, pending);
 RB_HEAD (caller_tree, pending);
-RB_PROTOTYPE (pending_tree, pending, by_no, pending_no_cmp)
-RB_PROTOTYPE (caller_tree, pending, by_call, pending_caller_cmp)
-int pending_no_cmp (const struct pending *a, const struct pending *b);
-int pending_caller_cmp (const struct pending *a, const struct pending *b);
+RB_PROTOTYPE (pending_tree, pending, by_no, pending_seq_cmp)
+RB_PROTOTYPE (caller_tree, pending, by_call, pending_http_call_cmp)
+int pending_seq_cmp (const struct pending *a, const struct pending *b);
+int pending_http_call_cmp (const struct pending *a, const struct pending *b);
 
 struct node_stats
 {
-  uint64_t errors[-CLB_ERR_LAST]; /* answers by error number */
+  uint64_t answers[-CLB_ERR_LAST]; /* answers by error number */
   uint64_t requests;
   uint64_t service_requests;
   uint64_t retries;      /* calls repeated to a holder */
   uint64_t late_replies; /* for calls no longer in hand */
   uint64_t stale_slots;  /* granted too long ago to be used */
-  uint64_t forward_ends[FORWARD_CUT + 1];
+  uint64_t forward_ends[FORWARD_ABORTED + 1];
   uint64_t store_errors;
   uint64_t hellos;
-  uint64_t changes[WHY_N]; /* of this instance's part, by reason */
+  uint64_t role_changes[WHY_N]; /* of this instance's part, by reason */
 };
 
 struct node
 {
-  struct settings set;
+  struct settings settings;
   int64_t now_ms;
   struct outq out; /* to be carried out by the shell */
   uint64_t tokens;
@@ -146,7 +147,7 @@
   struct conf *conf;
   struct head_row head;
   int64_t head_ver;
-  int64_t fresh_ms; /* latest time at which conf was proved current */
+  int64_t conf_verified_ms; /* latest time at which conf was proved current */
   uint64_t head_token;
   int64_t head_sent_ms;
   int64_t next_head_ms;
@@ -164,14 +165,14 @@
   struct peer peers[PEERS_MAX];
   int n_peers;
   int64_t next_hello_ms;
-  bool extended;     /* goes on under its peers' promises */
-  bool store_down;   /* as last told */
-  bool told_holds;   /* the last hello said that this instance schedules */
-  struct pl_sum sum; /* this domain's, while holder, as last told */
+  bool extended;        /* goes on under its peers' promises */
+  bool store_down;      /* as last told */
+  bool reported_holder; /* the last hello said that this instance schedules */
+  struct pool_sum capacity; /* this domain's, while holder, as last told */
   struct pending_tree pending;
   struct caller_tree callers;
   int n_pending;
-  int64_t next_no;
+  int64_t last_call_seq;
   int64_t next_pending_ms;
   bool stopping;
   int64_t stopping_ms; /* since when */
@@ -229,14 +230,14 @@
 char *view_metrics (struct node *n);
 
 /* entry.c, apply.c and service.c, used by each other */
-struct pending *entry_pending_by_caller (struct node *n, uint64_t caller);
+struct pending *entry_pending_by_http_call (struct node *n, uint64_t caller);
 /** entry_pending_send() - To its domain's holder, if one is known. */
 void entry_pending_send (struct node *n, struct pending *p);
 /** entry_pending_release() - Tell the holder how it ended. */
 void entry_pending_release (struct node *n, struct pending *p, int state,
                             bool bad);
-/** entry_pending_uncall() - Nobody waits for it any more. */
-void entry_pending_uncall (struct node *n, struct pending *p);
+/** entry_pending_detach() - Nobody waits for it any more. */
+void entry_pending_detach (struct node *n, struct pending *p);
 /** entry_team_for() - The team that @rq's work on @q is charged to. */
 int entry_team_for (struct node *n, const struct request *rq,
                     const struct conf_queue *q, char team[CLB_NAME_MAX]);
@@ -276,18 +277,18 @@
 bool apply_store (struct node *n, uint64_t token, const struct store_rep *rep);
 void entry_answer (struct node *n, uint64_t call, int status, char *body,
                    int64_t retry_ms);
-void entry_held (struct node *n, struct held_list *out);
+void entry_held_slots (struct node *n, struct held_list *out);
 void entry_fini (struct node *n);
-/** entry_apply_open() - Whether a change is under way here. */
-bool entry_apply_open (struct node *n);
+/** entry_apply_in_progress() - Whether a change is under way here. */
+bool entry_apply_in_progress (struct node *n);
 
 /* node.c, used by entry.c */
-struct peer *node_peer_of (struct node *n, const char *id);
+struct peer *node_get_peer (struct node *n, const char *id);
 /** node_holder() - Id of the instance that schedules @domain, or NULL. */
 const char *node_holder (struct node *n, const char *domain);
 void node_send (struct node *n, const char *to, struct pmsg *m);
-bool node_fresh (const struct node *n);
-void node_take_conf (struct node *n, const struct head_row *head, int64_t ver,
-                     const char *text);
+bool node_conf_fresh (const struct node *n);
+void node_install_conf (struct node *n, const struct head_row *head,
+                        int64_t ver, const char *text);
 
 #endif
--- a/core/order.c
+++ b/core/order.c
@@ -10,7 +10,7 @@
     = { "done", "refused", "busy", "wrong-boot", "unreached", "lost", NULL };
 const char *const order_refusal_names[]
     = { "other", "fence", "old", "late", "room", "ticket", NULL };
-const char *const end_names[]
+const char *const run_end_names[]
     = { "done",  "failed", "stopped", "lapsed", "broken",
         "alone", "gone",   "never",   NULL };
 
@@ -20,7 +20,7 @@
   if (!o)
     return;
   free (o->text);
-  free (o->names);
+  free (o->execs);
   free (o);
 }
 
@@ -29,6 +29,6 @@
 {
   free (r->runs);
   free (r->ends);
-  free (r->good);
+  free (r->permitted);
   memset (r, 0, sizeof *r);
 }
--- a/core/order.h
+++ b/core/order.h
@@ -12,7 +12,7 @@
 enum
 {
   ORDER_TICKET_SIZE = 96,
-  ORDER_NAMES_MAX = 100, /* executors in one question for advice */
+  ORDER_ADVICE_EXECS_MAX = 100, /* executors in one question for advice */
 };
 
 /** struct task_ref - one task of one job */
@@ -28,7 +28,7 @@
 {
   ORDER_START,
   ORDER_STOP,
-  ORDER_HOLD, /* renew the lease; asks what runs and what has ended */
+  ORDER_POLL, /* renew the lease; asks what runs and what has ended */
   ORDER_ADVISE,
   ORDER_KIND_N
 };
@@ -38,47 +38,47 @@
 struct order
 {
   int kind;    /* enum order_kind */
-  uint64_t no; /* echoed in the result */
+  uint64_t id; /* echoed in the result */
   char exec[CLB_ID_MAX];
   char addr[CLB_ADDR_MAX];
-  int64_t fence;
+  int64_t fencing_token;
   int64_t timeout_ms;
   /* Of a start or stop; of advice, without the index. */
   struct task_ref task;
-  int64_t run;
+  int64_t run_id;
   char *text; /* owned */
-  char saved[JOB_SAVED_SIZE];
+  char checkpoint[JOB_CHECKPOINT_SIZE];
   char ticket[ORDER_TICKET_SIZE];
   /* Of a start or hold: when the lease ends, on the executor's clock. */
-  int64_t deadline_ms;
+  int64_t lease_deadline_ms;
   /* Of a hold. */
-  int64_t recorded; /* ends up to this number are recorded */
-  int64_t wait_ms;  /* the answer may wait so long for an end */
+  int64_t recorded_end_seq; /* ends up to this number are recorded */
+  int64_t wait_ms;          /* the answer may wait so long for an end */
   /* Of a question for advice.  Its address is the instance that is to ask,
      empty for this one; the answer goes to another one where it asked. */
   char reply_to[CLB_ADDR_MAX];
-  char (*names)[CLB_ID_MAX]; /* owned */
-  size_t n_names;
+  char (*execs)[CLB_ID_MAX]; /* owned */
+  size_t n_execs;
 };
 
 enum order_outcome
 {
   ORDER_DONE,
-  ORDER_REFUSED,   /* the executor refused; see the reason */
-  ORDER_BUSY,      /* asked to come later; nothing was done */
-  ORDER_WRONG,     /* another boot answered; nothing was done */
-  ORDER_UNREACHED, /* nothing was sent */
-  ORDER_LOST,      /* sent, no answer: may be carried out, also later */
+  ORDER_REFUSED,    /* the executor refused; see the reason */
+  ORDER_BUSY,       /* asked to come later; nothing was done */
+  ORDER_WRONG_BOOT, /* another boot answered; nothing was done */
+  ORDER_UNREACHED,  /* nothing was sent */
+  ORDER_LOST,       /* sent, no answer: may be carried out, also later */
   ORDER_OUTCOME_N
 };
 
 enum order_refusal
 {
   REFUSED_OTHER,
-  REFUSED_FENCE, /* a higher fencing token was seen */
-  REFUSED_OLD,   /* not above a run stopped or ended there */
-  REFUSED_LATE,  /* the lease has ended */
-  REFUSED_ROOM,
+  REFUSED_FENCE,      /* a higher fencing token was seen */
+  REFUSED_STALE_RUN,  /* not above a run stopped or ended there */
+  REFUSED_LEASE_OVER, /* the lease has ended */
+  REFUSED_NO_ROOM,
   REFUSED_TICKET,
   REFUSED_N
 };
@@ -87,36 +87,36 @@
 struct run_row
 {
   struct task_ref task;
-  int64_t run;
+  int64_t run_id;
   int64_t percent;
-  char saved[JOB_SAVED_SIZE];
+  char checkpoint[JOB_CHECKPOINT_SIZE];
 };
 
-enum end_how
+enum run_end
 {
-  END_DONE,
-  END_FAILED,
-  END_STOPPED,
-  END_LAPSED,
-  END_BROKEN, /* another member of the gang ended */
-  END_ALONE,  /* the other members of the gang did not come */
-  END_GONE,   /* the executor's boot is over; told by nobody */
-  END_NEVER,  /* never began */
-  END_N
+  RUN_END_DONE,
+  RUN_END_FAILED,
+  RUN_END_STOPPED,
+  RUN_END_LAPSED,
+  RUN_END_GANG_BROKEN,     /* another member of the gang ended */
+  RUN_END_GANG_INCOMPLETE, /* the other members of the gang did not come */
+  RUN_END_REBOOTED,        /* the executor's boot is over; told by nobody */
+  RUN_END_NOT_STARTED,     /* never began */
+  RUN_END_N
 };
 
 /** struct end_row - a task that has ended */
 struct end_row
 {
-  int64_t no;
+  int64_t seq;
   struct task_ref task;
-  int64_t run;
-  int how; /* enum end_how */
-  char saved[JOB_SAVED_SIZE];
+  int64_t run_id;
+  int how; /* enum run_end */
+  char checkpoint[JOB_CHECKPOINT_SIZE];
 };
 
-/** struct good_row - an executor that may run the step */
-struct good_row
+/** struct permitted_exec - an executor that may run the step */
+struct permitted_exec
 {
   char exec[CLB_ID_MAX];
   char ticket[ORDER_TICKET_SIZE];
@@ -124,16 +124,16 @@
 
 struct order_result
 {
-  int outcome;      /* enum order_outcome */
-  int reason;       /* enum order_refusal */
-  int64_t clock_ms; /* of the executor; 0: not told */
-  int64_t born_ms;  /* start of the executor's boot; 0: not told */
+  int outcome;           /* enum order_outcome */
+  int reason;            /* enum order_refusal */
+  int64_t clock_ms;      /* of the executor; 0: not told */
+  int64_t boot_start_ms; /* start of the executor's boot; 0: not told */
   struct run_row *runs;
   size_t n_runs;
   struct end_row *ends; /* numbers rise */
   size_t n_ends;
-  struct good_row *good;
-  size_t n_good;
+  struct permitted_exec *permitted;
+  size_t n_permitted;
   int64_t valid_ms; /* of the tickets */
 };
 
@@ -146,16 +146,16 @@
   char zone[CLB_NAME_MAX];
   char labels[2 * JOB_LABEL_SIZE]; /* separated and enclosed by commas */
   char rack[JOB_LABEL_SIZE];
-  struct job_need room;
+  struct job_need capacity;
   bool draining;
   int64_t remaining_ms; /* it stays at least so long while draining */
-  int64_t born_ms;
+  int64_t boot_start_ms;
 };
 
 extern const char *const order_names[];
 extern const char *const order_outcome_names[ORDER_OUTCOME_N + 1];
 extern const char *const order_refusal_names[REFUSED_N + 1];
-extern const char *const end_names[END_N + 1];
+extern const char *const run_end_names[RUN_END_N + 1];
 
 void order_free (struct order *o);
 /** order_result_clear() - Free what the result owns. */
--- a/core/place.c
+++ b/core/place.c
@@ -12,52 +12,52 @@
 };
 
 int
-pl_worker_cmp (const struct worker *a, const struct worker *b)
+pool_worker_cmp (const struct worker *a, const struct worker *b)
 {
   return strcmp (a->inst.id, b->inst.id);
 }
 
-RB_GENERATE (worker_tree, worker, by_id, pl_worker_cmp)
+RB_GENERATE (worker_tree, worker, by_id, pool_worker_cmp)
 
 void
-pl_init (struct pl *pl)
+pool_init (struct pool *pool)
 {
-  RB_INIT (&pl->workers);
-  pl->n_workers = 0;
+  RB_INIT (&pool->workers);
+  pool->n_workers = 0;
 }
 
 void
-pl_remove (struct pl *pl, struct worker *w)
+pool_remove (struct pool *pool, struct worker *w)
 {
-  RB_REMOVE (worker_tree, &pl->workers, w);
-  pl->n_workers--;
+  RB_REMOVE (worker_tree, &pool->workers, w);
+  pool->n_workers--;
   free (w->acks);
-  free (w->strays);
+  free (w->orphans);
   free (w);
 }
 
 void
-pl_clear (struct pl *pl)
+pool_clear (struct pool *pool)
 {
   struct worker *w;
 
-  while ((w = RB_MIN (worker_tree, &pl->workers)))
-    pl_remove (pl, w);
+  while ((w = RB_MIN (worker_tree, &pool->workers)))
+    pool_remove (pool, w);
 }
 
 struct worker *
-pl_worker (struct pl *pl, const char *id)
+pool_worker (struct pool *pool, const char *id)
 {
   struct worker key;
 
   clb_copy (key.inst.id, id, sizeof key.inst.id);
-  return RB_FIND (worker_tree, &pl->workers, &key);
+  return RB_FIND (worker_tree, &pool->workers, &key);
 }
 
 struct worker *
-pl_add (struct pl *pl, const struct inst *inst)
+pool_add (struct pool *pool, const struct inst *inst)
 {
-  struct worker *w = pl_worker (pl, inst->id);
+  struct worker *w = pool_worker (pool, inst->id);
 
   if (!w)
     {
@@ -66,15 +66,15 @@
         abort ();
       clb_copy (w->inst.id, inst->id, sizeof w->inst.id);
       TAILQ_INIT (&w->members);
-      RB_INSERT (worker_tree, &pl->workers, w);
-      pl->n_workers++;
+      RB_INSERT (worker_tree, &pool->workers, w);
+      pool->n_workers++;
     }
   w->inst = *inst;
   return w;
 }
 
 bool
-pl_usable (const struct worker *w, int64_t now_ms)
+pool_usable (const struct worker *w, int64_t now_ms)
 {
   return w->state == WORKER_LIVE && w->listed && !w->leaving
          && now_ms >= w->quarantine_until_ms;
@@ -83,7 +83,7 @@
 static struct clb_res
 free_room (const struct worker *w)
 {
-  struct clb_res room = w->inst.room;
+  struct clb_res room = w->inst.capacity;
 
   clb_res_add (&room, &w->used, -1);
   return room;
@@ -98,7 +98,7 @@
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t size = clb_res_get (&w->inst.room, k);
+      int64_t size = clb_res_get (&w->inst.capacity, k);
       if (size > 0)
         score += (clb_res_get (room, k) - clb_res_get (need, k)) * SCORE_ONE
                  / size;
@@ -128,7 +128,7 @@
 /* struct search - one choice of workers */
 struct search
 {
-  struct pl *pl;
+  struct pool *pool;
   const struct spec *spec;
   const char *avoid;
   int64_t now_ms;
@@ -166,9 +166,9 @@
   struct worker *best = NULL;
   int64_t best_score = 0;
 
-  RB_FOREACH (w, worker_tree, &s->pl->workers)
+  RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      if (!pl_usable (w, s->now_ms) || !right_kind (w, s->spec))
+      if (!pool_usable (w, s->now_ms) || !right_kind (w, s->spec))
         continue;
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
@@ -217,7 +217,7 @@
   struct worker *w;
   const char *last = NULL;
 
-  RB_FOREACH (w, worker_tree, &s->pl->workers)
+  RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
       /* Workers of a rack mostly follow each other by name. */
       if (last && strcmp (last, w->inst.rack) == 0)
@@ -231,14 +231,14 @@
 
 /* Whether the workers could hold all members if nothing else ran. */
 static bool
-could_ever_fit (struct pl *pl, const struct spec *spec)
+could_ever_fit (struct pool *pool, const struct spec *spec)
 {
   struct worker *w;
   int64_t held = 0;
 
-  RB_FOREACH (w, worker_tree, &pl->workers)
+  RB_FOREACH (w, worker_tree, &pool->workers)
     {
-      struct clb_res room = w->inst.room;
+      struct clb_res room = w->inst.capacity;
       if (!w->listed || !right_kind (w, spec))
         continue;
       for (; held < spec->members && clb_res_fits (&spec->need, &room); held++)
@@ -250,19 +250,21 @@
 }
 
 int
-pl_pick (struct pl *pl, const struct spec *spec, const char *avoid,
-         int64_t now_ms, struct worker **picked, int64_t *looked_at)
+pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
+           int64_t now_ms, struct worker **picked, int64_t *looked_at)
 {
-  struct search s = {
-    .pl = pl, .spec = spec, .avoid = avoid, .now_ms = now_ms, .picked = picked
-  };
+  struct search s = { .pool = pool,
+                      .spec = spec,
+                      .avoid = avoid,
+                      .now_ms = now_ms,
+                      .picked = picked };
   bool found = spec->same_rack && spec->members > 1 && pick_same_rack (&s);
 
   found = found || pick_all (&s, NULL);
   *looked_at = s.looked_at;
   if (found)
     return spec->spread ? WHY_SPREAD : WHY_BEST_FIT;
-  return could_ever_fit (pl, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
+  return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
 static void
@@ -273,22 +275,22 @@
       clb_res_set (sum, k, clb_res_get (sum, k) + clb_res_get (r, k));
 }
 
-struct pl_sum
-pl_summary (struct pl *pl, int64_t now_ms)
+struct pool_sum
+pool_summary (struct pool *pool, int64_t now_ms)
 {
   struct worker *w;
-  struct pl_sum sum = { 0 };
+  struct pool_sum sum = { 0 };
 
-  RB_FOREACH (w, worker_tree, &pl->workers)
+  RB_FOREACH (w, worker_tree, &pool->workers)
     {
-      if (!pl_usable (w, now_ms))
+      if (!pool_usable (w, now_ms))
         continue;
       struct clb_res room = free_room (w);
       add_at_least_zero (&sum.room, &room);
-      add_at_least_zero (&sum.size, &w->inst.room);
+      add_at_least_zero (&sum.size, &w->inst.capacity);
       for (int k = 0; k < RES_N; k++)
-        if (clb_res_get (&w->inst.room, k) > clb_res_get (&sum.largest, k))
-          clb_res_set (&sum.largest, k, clb_res_get (&w->inst.room, k));
+        if (clb_res_get (&w->inst.capacity, k) > clb_res_get (&sum.largest, k))
+          clb_res_set (&sum.largest, k, clb_res_get (&w->inst.capacity, k));
     }
   return sum;
 }
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -38,8 +38,8 @@
 void
 proxy_init (struct fleet *f)
 {
-  TAILQ_INIT (&f->proxied);
-  TAILQ_INIT (&f->proxying);
+  TAILQ_INIT (&f->proxy_sent);
+  TAILQ_INIT (&f->proxy_serving);
 }
 
 static void
@@ -57,28 +57,32 @@
 void
 proxy_fini (struct fleet *f)
 {
-  drop_all (&f->proxied);
-  drop_all (&f->proxying);
+  drop_all (&f->proxy_sent);
+  drop_all (&f->proxy_serving);
 }
 
 bool
-proxy_way_lost (const struct fleet *f)
+proxy_table_unreachable (const struct fleet *f)
 {
-  int64_t mute = f->lead.state == LEAD_HOLD ? LEADER_MUTE_MS : MUTE_MS;
+  int64_t mute = f->leader.state == LEADER_LEADING ? LEADER_MUTE_MS : MUTE_MS;
 
-  return f->store_lost || f->store_failures >= FAILURES
-         || f->now_ms - f->store_heard_ms > mute;
+  return f->conf_feed_failed || f->store_failures >= FAILURES
+         || f->now_ms - f->store_last_contact_ms > mute;
 }
 
 const char *
 proxy_peer (const struct fleet *f)
 {
-  const struct adviser *a = f->cell ? cell_adviser_fresh (f->cell) : NULL;
+  const struct adviser *a
+      = f->fsched ? fsched_adviser_freshest (f->fsched) : NULL;
 
   if (fleet_leader_addr (f))
-    return *f->peer && f->now_ms - f->peer_fresh_ms < FLEET_PEER_MS ? f->peer
+    return *f->table_peer
+                   && f->now_ms - f->table_peer_fresh_ms < FLEET_PEER_FRESH_MS
+               ? f->table_peer
+               : NULL;
+  return a && f->now_ms - a->table_contact_ms < FLEET_PEER_FRESH_MS ? a->addr
                                                                     : NULL;
-  return a && f->now_ms - a->fresh_ms < FLEET_PEER_MS ? a->addr : NULL;
 }
 
 static struct proxy_call *
@@ -119,16 +123,16 @@
   struct mesh_msg *m;
   const char *peer;
 
-  if (!proxy_way_lost (f) || follow_owns (&f->conf_feed, token)
-      || call_find (&f->proxying, token) || !(peer = proxy_peer (f)))
+  if (!proxy_table_unreachable (f) || follow_owns (&f->conf_feed, token)
+      || call_find (&f->proxy_serving, token) || !(peer = proxy_peer (f)))
     return false;
-  c = call_new (&f->proxied, token);
+  c = call_new (&f->proxy_sent, token);
   c->until_ms = f->now_ms + ANSWER_MS + o->u.store.op.wait_ms;
   m = calloc (1, sizeof *m);
   if (!m)
     abort ();
-  m->kind = MESH_STORE_ASK;
-  m->no = (int64_t)token;
+  m->kind = MESH_STORE_REQUEST;
+  m->seq = (int64_t)token;
   m->op = o->u.store.op;
   memset (&o->u.store.op, 0, sizeof o->u.store.op);
   f->stats.proxied++;
@@ -143,32 +147,32 @@
 
   if (!m)
     abort ();
-  m->kind = MESH_STORE;
-  m->no = no;
+  m->kind = MESH_STORE_REPLY;
+  m->seq = no;
   m->rep = *rep;
   memset (rep, 0, sizeof *rep);
   fleet_send (f, addr, m);
 }
 
 void
-proxy_ask (struct fleet *f, struct mesh_msg *m)
+proxy_serve (struct fleet *f, struct mesh_msg *m)
 {
   struct store_rep refused = { .err = CLB_EUNAVAIL };
   struct proxy_call *c;
   struct out *o;
 
-  if (proxy_way_lost (f) || f->n_proxying >= IN_HAND_MAX)
+  if (proxy_table_unreachable (f) || f->n_proxy_serving >= IN_HAND_MAX)
     {
-      reply (f, m->addr, m->no, &refused);
+      reply (f, m->addr, m->seq, &refused);
       return;
     }
   o = out_new (&f->out, OUT_STORE);
   o->u.store.token = ++f->tokens;
   o->u.store.op = m->op;
   memset (&m->op, 0, sizeof m->op);
-  c = call_new (&f->proxying, o->u.store.token);
-  f->n_proxying++;
-  c->no = m->no;
+  c = call_new (&f->proxy_serving, o->u.store.token);
+  f->n_proxy_serving++;
+  c->no = m->seq;
   clb_copy (c->addr, m->addr, sizeof c->addr);
 }
 
@@ -190,30 +194,31 @@
 }
 
 bool
-proxy_store (struct fleet *f, uint64_t token, const struct store_rep *rep)
+proxy_store_reply (struct fleet *f, uint64_t token,
+                   const struct store_rep *rep)
 {
-  struct proxy_call *c = call_find (&f->proxying, token);
+  struct proxy_call *c = call_find (&f->proxy_serving, token);
   struct store_rep copy;
 
   if (!c)
     return false;
   copy_rep (&copy, rep);
   reply (f, c->addr, c->no, &copy);
-  call_free (&f->proxying, c);
-  f->n_proxying--;
+  call_free (&f->proxy_serving, c);
+  f->n_proxy_serving--;
   return true;
 }
 
 void
-proxy_reply (struct fleet *f, const struct mesh_msg *m)
+proxy_peer_reply (struct fleet *f, const struct mesh_msg *m)
 {
-  uint64_t token = (uint64_t)m->no;
-  struct proxy_call *c = call_find (&f->proxied, token);
+  uint64_t token = (uint64_t)m->seq;
+  struct proxy_call *c = call_find (&f->proxy_sent, token);
 
   if (!c)
     return;
-  call_free (&f->proxied, c);
-  fleet_answered (f, token, &m->rep);
+  call_free (&f->proxy_sent, c);
+  fleet_dispatch_reply (f, token, &m->rep);
 }
 
 void
@@ -222,11 +227,11 @@
   struct store_rep lost = { .err = CLB_EUNKNOWN };
   struct proxy_call *c, *next;
 
-  TAILQ_FOREACH_SAFE (c, &f->proxied, link, next)
+  TAILQ_FOREACH_SAFE (c, &f->proxy_sent, link, next)
     if (f->now_ms >= c->until_ms)
       {
         uint64_t token = c->token;
-        call_free (&f->proxied, c);
-        fleet_answered (f, token, &lost);
+        call_free (&f->proxy_sent, c);
+        fleet_dispatch_reply (f, token, &lost);
       }
 }
--- a/core/queue.c
+++ b/core/queue.c
@@ -38,12 +38,12 @@
 static void
 answer_acquired (struct sched *s, struct task *t)
 {
-  struct asker *a = TAILQ_FIRST (&t->askers);
+  struct waiter *a = TAILQ_FIRST (&t->waiters);
 
   if (!a)
     return;
-  TAILQ_REMOVE (&t->askers, a, link);
-  service_reply (s, t, a->entry, a->no, a->stamp);
+  TAILQ_REMOVE (&t->waiters, a, link);
+  service_reply (s, t, a->entry, a->call_seq, a->stamp);
   free (a);
 }
 
@@ -74,10 +74,10 @@
     count_wait (s, t);
   for (int64_t i = 0; i < t->n_members; i++)
     task_event (s, t, reason, t->members[i].worker_id, looked_at);
-  task_record (s, t, REC_INTENT);
+  task_journal (s, t, REC_INTENT);
   if (t->lane == LANE_SERVICE)
     {
-      t->until_ms = task_slot_until (s, t);
+      t->expires_ms = task_slot_expiry_ms (s, t);
       t->intent_durable = true;
       answer_acquired (s, t);
       return;
@@ -100,10 +100,10 @@
 static void
 note_never_fits (struct sched *s, struct task *t)
 {
-  if (t->nofit_ms == 0)
-    t->nofit_ms = s->now_ms;
-  else if (s->now_ms - t->nofit_ms >= NEVER_FITS_MS
-           && s->now_ms - s->began_ms >= NEVER_FITS_MS)
+  if (t->no_fit_since_ms == 0)
+    t->no_fit_since_ms = s->now_ms;
+  else if (s->now_ms - t->no_fit_since_ms >= NEVER_FITS_MS
+           && s->now_ms - s->started_ms >= NEVER_FITS_MS)
     task_ended (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
 }
 
@@ -113,11 +113,11 @@
   struct worker **picked;
   int64_t looked_at;
 
-  if (t->not_before_ms > s->now_ms || !t->durable)
+  if (t->not_before_ms > s->now_ms || !t->accept_durable)
     return false;
   if (t->lane == LANE_SERVICE && !s->slots_known)
     return false;
-  if (!escrow_room (s, t->team, &t->spec.need, t->spec.members))
+  if (!escrow_allows (s, t->team, &t->spec.need, t->spec.members))
     {
       note_blocked (s, t, WHY_TEAM_LIMIT, 0);
       return false;
@@ -127,8 +127,8 @@
   picked = calloc ((size_t)t->spec.members, sizeof *picked);
   if (!picked)
     abort ();
-  int reason = pl_pick (&s->pl, &t->spec, t->failed_on, s->now_ms, picked,
-                        &looked_at);
+  int reason = pool_pick (&s->pool, &t->spec, t->failed_on, s->now_ms, picked,
+                          &looked_at);
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
       round_block (r, &t->spec);
@@ -136,9 +136,9 @@
       if (reason == WHY_NO_WORKER_FITS)
         note_never_fits (s, t);
       else
-        t->nofit_ms = 0;
+        t->no_fit_since_ms = 0;
       if (reason == WHY_NO_ROOM && t->class == CLASS_URGENT)
-        urgent_make_room (s, t);
+        urgent_preempt (s, t);
     }
   else
     task_start (s, t, picked, reason, looked_at);
@@ -189,9 +189,9 @@
   struct worker *w;
   struct clb_res sum = { 0 };
 
-  RB_FOREACH (w, worker_tree, &s->pl.workers)
+  RB_FOREACH (w, worker_tree, &s->pool.workers)
     if (w->listed)
-      clb_res_add (&sum, &w->inst.room, 1);
+      clb_res_add (&sum, &w->inst.capacity, 1);
   return sum;
 }
 
--- a/core/recon.c
+++ b/core/recon.c
@@ -37,9 +37,9 @@
 static int64_t
 lease_for (const struct sched *s, const struct worker *w)
 {
-  if (w->state == WORKER_CONDEMNED || w->state == WORKER_GONE)
+  if (w->state == WORKER_EXPIRING || w->state == WORKER_LOST)
     return 0;
-  if (!s->may_start && s->now_ms - s->lapsed_ms >= LAPSED_RENEW_MS)
+  if (!s->may_start && s->now_ms - s->lapsed_since_ms >= LAPSED_RENEW_MS)
     return 0;
   return TASK_LEASE_MS;
 }
@@ -81,9 +81,9 @@
 static void
 look_at_end (const struct sched *s, struct worker *w, const struct member *m)
 {
-  int64_t at_ms = m->ends_ms + END_SLACK_MS;
+  int64_t at_ms = m->expected_end_ms + END_SLACK_MS;
 
-  if (m->state != MEMBER_RUNNING || m->ends_ms <= s->now_ms)
+  if (m->state != MEMBER_RUNNING || m->expected_end_ms <= s->now_ms)
     return;
   if (at_ms < s->now_ms + SYNC_GAP_MS)
     at_ms = s->now_ms + SYNC_GAP_MS;
@@ -116,16 +116,16 @@
         run_id_push (&req->stops, &req->n_stops, id);
     }
   /* A run that a lapsed holder does not know may be its successor's. */
-  size_t n_strays = s->may_start ? w->n_strays : 0;
+  size_t n_strays = s->may_start ? w->n_orphans : 0;
   for (size_t i = 0; i < n_strays; i++)
-    run_id_push (&req->stops, &req->n_stops, w->strays[i].id);
-  w->n_strays = 0;
+    run_id_push (&req->stops, &req->n_stops, w->orphans[i].id);
+  w->n_orphans = 0;
   req->acks = w->acks;
   req->n_acks = w->n_acks;
   w->acks = NULL;
   w->n_acks = 0;
-  w->sync_out = true;
-  w->due = false;
+  w->sync_outstanding = true;
+  w->sync_due = false;
   w->sync_sent_ms = s->now_ms;
   w->next_sync_ms = s->now_ms + SYNC_PERIOD_MS;
   TAILQ_FOREACH (m, &w->members, on_worker)
@@ -190,7 +190,7 @@
 run_failed (struct sched *s, struct worker *w, struct task *t)
 {
   struct worker *first
-      = *t->failed_on ? pl_worker (&s->pl, t->failed_on) : NULL;
+      = *t->failed_on ? pool_worker (&s->pool, t->failed_on) : NULL;
 
   if (!*t->failed_on || strcmp (t->failed_on, w->inst.id) == 0)
     worker_failed (s, w);
@@ -216,12 +216,12 @@
 {
   struct task *t = m->task;
 
-  m->seen = true;
+  m->was_running = true;
   if (m->state != MEMBER_SENT)
     return;
   m->state = MEMBER_RUNNING;
   if (t->spec.duration_ms)
-    m->ends_ms = s->now_ms + t->spec.duration_ms;
+    m->expected_end_ms = s->now_ms + t->spec.duration_ms;
   look_at_end (s, m->worker, m);
   if (t->state == TASK_STARTING)
     {
@@ -237,16 +237,16 @@
   switch (run)
     {
     case RUN_OK:
-      return END_OK;
+      return MEMBER_END_OK;
     case RUN_FAILED:
-      return END_FAILED;
+      return MEMBER_END_FAILED;
     case RUN_STOPPED:
-      return END_STOPPED;
+      return MEMBER_END_STOPPED;
     case RUN_REFUSED:
-      return END_REFUSED;
+      return MEMBER_END_REFUSED;
     default:
       /* It was seen to run and the worker has lost all trace of it. */
-      return m->seen ? END_LOST : END_NEVER;
+      return m->was_running ? MEMBER_END_LOST : MEMBER_END_NOT_STARTED;
     }
 }
 
@@ -267,16 +267,16 @@
     m->reported_seq = w->sync_seq;
   if (run->state == RUN_RUNNING)
     {
-      if (m && m->state != MEMBER_CLEAR)
+      if (m && m->state != MEMBER_ENDED)
         member_running (s, m);
       else
         {
-          run_id_push (&w->strays, &w->n_strays, run->id);
-          w->due = true;
+          run_id_push (&w->orphans, &w->n_orphans, run->id);
+          w->sync_due = true;
         }
       return;
     }
-  if (m && m->state != MEMBER_CLEAR && m->state != MEMBER_INTENT)
+  if (m && m->state != MEMBER_ENDED && m->state != MEMBER_INTENT)
     {
       if (run->state == RUN_OK)
         {
@@ -285,8 +285,8 @@
         }
       if (run->state == RUN_FAILED || run->state == RUN_REFUSED)
         run_failed (s, w, m->task);
-      member_clear (s, m, end_of_run (m, run->state));
-      task_settle (s, m->task);
+      member_ended (s, m, end_of_run (m, run->state));
+      task_evaluate (s, m->task);
     }
   ack_when_durable (s, w, run->id);
 }
@@ -306,8 +306,10 @@
       next = TAILQ_NEXT (m, on_worker);
       if (m->boot == boot)
         continue;
-      member_clear (s, m, m->state == MEMBER_INTENT ? END_NEVER : END_LOST);
-      task_settle (s, m->task);
+      member_ended (s, m,
+                    m->state == MEMBER_INTENT ? MEMBER_END_NOT_STARTED
+                                              : MEMBER_END_LOST);
+      task_evaluate (s, m->task);
       next = TAILQ_FIRST (&w->members);
     }
 }
@@ -321,9 +323,9 @@
 
   TAILQ_FOREACH (m, &w->members, on_worker)
     known++;
-  w->used.slots -= w->phantom;
-  w->phantom = busy > known ? busy - known : 0;
-  w->used.slots += w->phantom;
+  w->used.slots -= w->unknown_slots;
+  w->unknown_slots = busy > known ? busy - known : 0;
+  w->used.slots += w->unknown_slots;
 }
 
 /* A start that the report does not list never arrived, or arrives late. */
@@ -338,15 +340,15 @@
       if (!sent || m->sent_seq > seq || m->reported_seq == w->sync_seq)
         continue;
       m->state = MEMBER_STOP;
-      w->due = true;
+      w->sync_due = true;
     }
 }
 
 static void
 worker_live (struct sched *s, struct worker *w)
 {
-  w->heard = true;
-  w->heard_ms = s->now_ms;
+  w->answered = true;
+  w->last_contact_ms = s->now_ms;
   if (w->state == WORKER_LIVE)
     return;
   if (w->state != WORKER_UNSEEN)
@@ -356,12 +358,12 @@
 }
 
 void
-recon_rep (struct sched *s, struct worker *w, int64_t seq,
-           const struct sync_rep *rep)
+recon_report (struct sched *s, struct worker *w, int64_t seq,
+              const struct sync_rep *rep)
 {
-  if (seq != w->sync_seq || !w->sync_out)
+  if (seq != w->sync_seq || !w->sync_outstanding)
     return;
-  w->sync_out = false;
+  w->sync_outstanding = false;
   if (!rep)
     {
       s->stats.sync_failures++;
@@ -389,9 +391,9 @@
   int64_t wait = TASK_LEASE_MS + SYNC_TIMEOUT_MS + CLOCK_MARGIN_MS;
 
   /* An earlier holder may have renewed leases for a while after its own. */
-  if (!w->heard)
-    return s->began_ms + LAPSED_RENEW_MS + wait;
-  return w->condemned_ms + wait;
+  if (!w->answered)
+    return s->started_ms + LAPSED_RENEW_MS + wait;
+  return w->expiring_since_ms + wait;
 }
 
 static void
@@ -399,32 +401,33 @@
 {
   struct member *m;
 
-  w->state = WORKER_GONE;
+  w->state = WORKER_LOST;
   sched_event (s, WHY_WORKER_LOST, "", "", w->inst.id, 0);
   /* Its slots are given back by the entry instances that use them. */
   if (w->inst.kind == INST_EXECUTOR)
     return;
   while ((m = TAILQ_FIRST (&w->members)))
     {
-      int end = m->state == MEMBER_INTENT ? END_NEVER : END_LOST;
-      member_clear (s, m, end);
-      task_settle (s, m->task);
+      int end = m->state == MEMBER_INTENT ? MEMBER_END_NOT_STARTED
+                                          : MEMBER_END_LOST;
+      member_ended (s, m, end);
+      task_evaluate (s, m->task);
     }
 }
 
 static void
 check_silence (struct sched *s, struct worker *w)
 {
-  int64_t silent = s->now_ms - w->heard_ms;
+  int64_t silent = s->now_ms - w->last_contact_ms;
 
-  if (w->state == WORKER_LIVE && silent >= WORKER_SILENT_MS)
-    w->state = WORKER_SILENT;
-  if (w->state <= WORKER_SILENT && silent >= WORKER_CONDEMN_MS)
+  if (w->state == WORKER_LIVE && silent >= WORKER_UNREACHABLE_MS)
+    w->state = WORKER_UNREACHABLE;
+  if (w->state <= WORKER_UNREACHABLE && silent >= WORKER_EXPIRING_MS)
     {
-      w->state = WORKER_CONDEMNED;
-      w->condemned_ms = s->now_ms;
+      w->state = WORKER_EXPIRING;
+      w->expiring_since_ms = s->now_ms;
     }
-  if (w->state == WORKER_CONDEMNED && s->now_ms >= gone_after_ms (w, s))
+  if (w->state == WORKER_EXPIRING && s->now_ms >= gone_after_ms (w, s))
     worker_gone (s, w);
 }
 
@@ -439,7 +442,7 @@
       {
         struct task *t = m->task;
         task_stop_members (s, t);
-        task_settle (s, t);
+        task_evaluate (s, t);
         return; /* the list has changed; the rest at the next tick */
       }
 }
@@ -450,21 +453,22 @@
   struct worker *w;
   struct worker *next;
 
-  RB_FOREACH_SAFE (w, worker_tree, &s->pl.workers, next)
+  RB_FOREACH_SAFE (w, worker_tree, &s->pool.workers, next)
     {
       check_silence (s, w);
       if (w->leaving && w->inst.kind == INST_WORKER)
         leave_alone (s, w);
-      if (w->state == WORKER_GONE && !w->listed && !w->sync_out
+      if (w->state == WORKER_LOST && !w->listed && !w->sync_outstanding
           && TAILQ_EMPTY (&w->members))
         {
-          pl_remove (&s->pl, w);
+          pool_remove (&s->pool, w);
           continue;
         }
-      if (w->sync_out && s->now_ms - w->sync_sent_ms > 2 * SYNC_TIMEOUT_MS)
-        w->sync_out = false;
-      if (!w->sync_out && *w->inst.addr
-          && (w->due || s->now_ms >= w->next_sync_ms))
+      if (w->sync_outstanding
+          && s->now_ms - w->sync_sent_ms > 2 * SYNC_TIMEOUT_MS)
+        w->sync_outstanding = false;
+      if (!w->sync_outstanding && *w->inst.addr
+          && (w->sync_due || s->now_ms >= w->next_sync_ms))
         sync_send (s, w);
     }
 }
--- a/core/role.c
+++ b/core/role.c
@@ -21,10 +21,10 @@
 {
   memset (r, 0, sizeof *r);
   clb_copy (r->domain, domain, sizeof r->domain);
-  clb_copy (r->me, me, sizeof r->me);
+  clb_copy (r->self_id, me, sizeof r->self_id);
   r->boot = boot;
   r->now_ms = now_ms;
-  r->still_since_ms = now_ms;
+  r->row_changed_ms = now_ms;
   r->out = out;
   r->tokens = tokens;
 }
@@ -83,7 +83,7 @@
 static bool
 row_is_mine (const struct role *r)
 {
-  return strcmp (r->row.holder, r->me) == 0 && r->row.boot == r->boot;
+  return strcmp (r->row.holder, r->self_id) == 0 && r->row.boot == r->boot;
 }
 
 static void
@@ -91,7 +91,7 @@
 {
   struct lease_row row = r->row;
 
-  row.beat++;
+  row.heartbeat++;
   if (r->handing_over)
     row.holder[0] = '\0';
   write_row (r, &row, false);
@@ -103,12 +103,12 @@
 {
   struct lease_row row = { .boot = r->boot, .epoch = r->row.epoch + 1 };
 
-  clb_copy (row.holder, r->me, sizeof row.holder);
-  row.beat = r->row.beat + 1;
+  clb_copy (row.holder, r->self_id, sizeof row.holder);
+  row.heartbeat = r->row.heartbeat + 1;
   r->state = ROLE_CLAIMING;
   r->claim_sent_ms = r->now_ms;
   r->next_claim_ms = r->now_ms + RENEW_MS;
-  r->claim_open = true;
+  r->claim_uncertain = true;
   write_row (r, &row, true);
 }
 
@@ -123,21 +123,21 @@
 
 /* The holder might go on without the table, so it must be known to be away. */
 static bool
-holder_could_go_on (struct role *r)
+holder_may_be_active (struct role *r)
 {
   struct role_peer *p = peer_find (r, r->row.holder);
 
   if (r->now_ms < r->promise_until_ms)
     return true;
-  if (p && p->boot == r->row.boot && r->now_ms - p->heard_ms < LEASE_MS)
+  if (p && p->boot == r->row.boot && r->now_ms - p->last_contact_ms < LEASE_MS)
     return true;
   /* A holder that counts this instance a member needs its promise. */
-  if (p && p->boot == r->row.boot && p->knows_me)
+  if (p && p->boot == r->row.boot && p->knows_self)
     return false;
   /* Another process under the holder's name: that holder is gone. */
   if (p && p->boot != r->row.boot)
     return false;
-  return strcmp (r->row.holder, r->me) != 0
+  return strcmp (r->row.holder, r->self_id) != 0
          && (!r->list_known || (p && p->listed));
 }
 
@@ -150,9 +150,9 @@
     return false;
   if (!*r->row.holder)
     return true;
-  if (r->now_ms - r->still_since_ms < LEASE_MS + LEASE_MARGIN_MS)
+  if (r->now_ms - r->row_changed_ms < LEASE_MS + LEASE_MARGIN_MS)
     return false;
-  return !holder_could_go_on (r);
+  return !holder_may_be_active (r);
 }
 
 /* Takes over what a read or a conflict has shown of the row. */
@@ -168,7 +168,7 @@
     return;
   int64_t ver = row ? row->ver : 0;
   if (!r->row_known || ver != r->row_ver)
-    r->still_since_ms = r->now_ms;
+    r->row_changed_ms = r->now_ms;
   r->row = lr;
   r->row_ver = ver;
   r->row_known = true;
@@ -177,18 +177,18 @@
 static void
 hold (struct role *r, int64_t epoch_ver)
 {
-  r->state = ROLE_HOLD;
+  r->state = ROLE_HOLDER;
   r->epoch = r->row.epoch;
   r->epoch_ver = epoch_ver;
-  r->claim_open = false;
+  r->claim_uncertain = false;
   r->lease_until_ms = r->claim_sent_ms + LEASE_MS - LEASE_MARGIN_MS;
   r->next_op_ms = r->now_ms + RENEW_MS;
 }
 
 void
-role_lost (struct role *r)
+role_lease_lost (struct role *r)
 {
-  r->state = ROLE_FOLLOW;
+  r->state = ROLE_FOLLOWER;
   r->lease_until_ms = 0;
   r->row_known = false;
   r->token = 0;
@@ -213,8 +213,8 @@
   lease_key (r, key);
   if (rep->err == CLB_ECONFLICT || rep->err == CLB_EUNAVAIL)
     {
-      r->state = ROLE_FOLLOW;
-      r->claim_open = false;
+      r->state = ROLE_FOLLOWER;
+      r->claim_uncertain = false;
       r->next_op_ms = r->now_ms + RENEW_MS;
       /* The row that this claim was made from is not the row any more. */
       if (rep->err == CLB_ECONFLICT)
@@ -229,10 +229,10 @@
     }
   row = row_named (rep, key);
   r->row_ver = row ? row->ver : 0;
-  clb_copy (r->row.holder, r->me, sizeof r->row.holder);
+  clb_copy (r->row.holder, r->self_id, sizeof r->row.holder);
   r->row.boot = r->boot;
   r->row.epoch++;
-  r->row.beat++;
+  r->row.heartbeat++;
   epoch_key (r, key);
   row = row_named (rep, key);
   hold (r, row ? row->ver : 0);
@@ -250,8 +250,8 @@
     claim (r);
   else if (r->now_ms - r->claim_sent_ms >= CLAIM_OPEN_MS)
     {
-      r->state = ROLE_FOLLOW;
-      r->claim_open = false;
+      r->state = ROLE_FOLLOWER;
+      r->claim_uncertain = false;
     }
 }
 
@@ -265,12 +265,12 @@
   row = row_named (rep, key);
   if (rep->err == 0 && r->handing_over)
     {
-      role_lost (r);
+      role_lease_lost (r);
       return;
     }
   if (rep->err == 0)
     {
-      r->row.beat++;
+      r->row.heartbeat++;
       r->row_ver = row ? row->ver : 0;
       r->lease_until_ms = r->op_sent_ms + LEASE_MS - LEASE_MARGIN_MS;
       return;
@@ -282,7 +282,7 @@
   if (row_is_mine (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
-    role_lost (r);
+    role_lease_lost (r);
 }
 
 bool
@@ -300,7 +300,7 @@
     case ROLE_CHECKING:
       check_answer (r, rep);
       break;
-    case ROLE_HOLD:
+    case ROLE_HOLDER:
       renew_answer (r, rep);
       break;
     default:
@@ -317,14 +317,14 @@
 /* Peers and promises. */
 
 void
-role_heard (struct role *r, const char *from, int64_t boot,
+role_hello (struct role *r, const char *from, int64_t boot,
             const struct hello *h)
 {
   struct role_peer *p = peer_find (r, from);
 
   if (!p)
     {
-      if (r->n_peers == MEMBERS_OF_DOMAIN_MAX)
+      if (r->n_peers == DOMAIN_MEMBERS_MAX)
         return;
       p = &r->peers[r->n_peers++];
       memset (p, 0, sizeof *p);
@@ -333,15 +333,15 @@
   if (p->boot != boot)
     {
       p->promised_until_ms = 0;
-      p->knows_me = false;
+      p->knows_self = false;
     }
   p->boot = boot;
-  p->heard_ms = r->now_ms;
-  p->knows_me |= h->known;
+  p->last_contact_ms = r->now_ms;
+  p->knows_self |= h->knows_receiver;
 }
 
 void
-role_listed (struct role *r, const struct inst_list *list)
+role_instances (struct role *r, const struct inst_list *list)
 {
   r->list_known = true;
   for (int i = 0; i < r->n_peers; i++)
@@ -352,21 +352,21 @@
       if (p)
         p->listed = true;
       else if (strcmp (list->items[i].id, r->row.holder) == 0
-               && strcmp (r->row.holder, r->me) != 0
-               && r->n_peers < MEMBERS_OF_DOMAIN_MAX)
+               && strcmp (r->row.holder, r->self_id) != 0
+               && r->n_peers < DOMAIN_MEMBERS_MAX)
         {
           p = &r->peers[r->n_peers++];
           memset (p, 0, sizeof *p);
           clb_copy (p->id, list->items[i].id, sizeof p->id);
           p->boot = r->row.boot;
-          p->heard_ms = INT64_MIN / 2;
+          p->last_contact_ms = INT64_MIN / 2;
           p->listed = true;
         }
     }
 }
 
 bool
-role_member (const struct role *r, const char *id, int64_t boot)
+role_is_member (const struct role *r, const char *id, int64_t boot)
 {
   for (int i = 0; i < r->n_peers; i++)
     if (strcmp (r->peers[i].id, id) == 0)
@@ -382,21 +382,21 @@
 
   clb_copy (o->u.peer.to, to, sizeof o->u.peer.to);
   o->u.peer.msg.kind = kind;
-  clb_copy (o->u.peer.msg.from, r->me, sizeof o->u.peer.msg.from);
+  clb_copy (o->u.peer.msg.from, r->self_id, sizeof o->u.peer.msg.from);
   o->u.peer.msg.boot = r->boot;
   o->u.peer.msg.u.promise = *p;
 }
 
 void
-role_promise_ask (struct role *r, const char *from, int64_t boot,
-                  const struct promise *p)
+role_promise_request (struct role *r, const char *from, int64_t boot,
+                      const struct promise *p)
 {
   struct promise answer = *p;
 
-  answer.given
-      = r->state == ROLE_FOLLOW && !r->claim_open && p->epoch >= r->row.epoch;
-  if (answer.given && r->now_ms + p->for_ms > r->promise_until_ms)
-    r->promise_until_ms = r->now_ms + p->for_ms;
+  answer.granted = r->state == ROLE_FOLLOWER && !r->claim_uncertain
+                   && p->epoch >= r->row.epoch;
+  if (answer.granted && r->now_ms + p->duration_ms > r->promise_until_ms)
+    r->promise_until_ms = r->now_ms + p->duration_ms;
   (void)boot;
   send_promise (r, PM_PROMISE, from, &answer);
 }
@@ -407,18 +407,20 @@
 {
   struct role_peer *peer = peer_find (r, from);
 
-  if (!peer || peer->boot != boot || !p->given || p->epoch != r->epoch
-      || p->no != peer->ask_no)
+  if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
+      || p->seq != peer->promise_seq)
     return;
   /* Counted from before it was asked, so it ends here first. */
-  peer->promised_until_ms = peer->asked_ms + p->for_ms - LEASE_MARGIN_MS;
+  peer->promised_until_ms
+      = peer->promise_request_ms + p->duration_ms - LEASE_MARGIN_MS;
 }
 
 static void
 drop_gone_peers (struct role *r)
 {
   for (int i = 0; i < r->n_peers; i++)
-    if (!r->peers[i].listed && r->now_ms - r->peers[i].heard_ms > PEER_GONE_MS)
+    if (!r->peers[i].listed
+        && r->now_ms - r->peers[i].last_contact_ms > PEER_GONE_MS)
       {
         r->peers[i] = r->peers[--r->n_peers];
         i--;
@@ -428,17 +430,17 @@
 static void
 ask_promises (struct role *r)
 {
-  struct promise p = { .epoch = r->epoch, .for_ms = PROMISE_MS };
+  struct promise p = { .epoch = r->epoch, .duration_ms = PROMISE_MS };
 
   clb_copy (p.domain, r->domain, sizeof p.domain);
-  p.no = ++r->ask_no;
+  p.seq = ++r->promise_seq;
   for (int i = 0; i < r->n_peers; i++)
     {
-      r->peers[i].asked_ms = r->now_ms;
-      r->peers[i].ask_no = p.no;
-      send_promise (r, PM_PROMISE_ASK, r->peers[i].id, &p);
+      r->peers[i].promise_request_ms = r->now_ms;
+      r->peers[i].promise_seq = p.seq;
+      send_promise (r, PM_PROMISE_REQUEST, r->peers[i].id, &p);
     }
-  r->next_ask_ms = r->now_ms + ASK_PERIOD_MS;
+  r->next_promise_ms = r->now_ms + ASK_PERIOD_MS;
 }
 
 /* The lease by the peers: all of them have promised to wait. */
@@ -454,11 +456,11 @@
 }
 
 int64_t
-role_until (const struct role *r)
+role_valid_until (const struct role *r)
 {
   int64_t promised;
 
-  if (r->state != ROLE_HOLD || r->handing_over)
+  if (r->state != ROLE_HOLDER || r->handing_over)
     return 0;
   if (r->store_up || r->lease_until_ms > r->now_ms)
     return r->lease_until_ms;
@@ -469,18 +471,18 @@
 void
 role_handover (struct role *r)
 {
-  if (r->state == ROLE_FOLLOW)
+  if (r->state == ROLE_FOLLOWER)
     r->next_op_ms = r->now_ms;
   /* A read under way may have seen the row as it was before. */
   r->read_again = r->token != 0;
 }
 
 bool
-role_give_up (struct role *r)
+role_release (struct role *r)
 {
   r->stopping = true;
-  if (r->state != ROLE_HOLD)
-    return r->state == ROLE_FOLLOW;
+  if (r->state != ROLE_HOLDER)
+    return r->state == ROLE_FOLLOWER;
   if (!r->handing_over && !r->token)
     {
       r->handing_over = true;
@@ -503,18 +505,18 @@
   drop_gone_peers (r);
   if (r->token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
     op_timeout (r);
-  if (r->state == ROLE_HOLD && !r->handing_over
+  if (r->state == ROLE_HOLDER && !r->handing_over
       && r->lease_until_ms - r->now_ms < LEASE_MS - 2 * RENEW_MS
-      && r->now_ms >= r->next_ask_ms)
+      && r->now_ms >= r->next_promise_ms)
     ask_promises (r);
   if (r->token)
     return;
-  if (r->state == ROLE_FOLLOW && may_claim (r)
+  if (r->state == ROLE_FOLLOWER && may_claim (r)
       && r->now_ms >= r->next_claim_ms)
     claim (r);
   else if (r->now_ms >= r->next_op_ms)
     {
-      if (r->state == ROLE_HOLD)
+      if (r->state == ROLE_HOLDER)
         renew (r);
       else
         read_row (r);
--- a/core/sched.c
+++ b/core/sched.c
@@ -48,16 +48,16 @@
   s->boot = boot;
   s->epoch = epoch;
   s->now_ms = now_ms;
-  s->began_ms = now_ms;
+  s->started_ms = now_ms;
   s->conf = conf;
   s->out = out;
   s->tokens = tokens;
-  s->domains = 1;
+  s->n_domains = 1;
   s->snap_every = SNAP_EVERY_ROWS;
-  s->events = calloc (EVENTS_KEPT, sizeof *s->events);
+  s->events = calloc (EVENTS_MAX, sizeof *s->events);
   if (!s->events)
     abort ();
-  pl_init (&s->pl);
+  pool_init (&s->pool);
   RB_INIT (&s->tasks);
   RB_INIT (&s->requests);
   RB_INIT (&s->teams);
@@ -83,10 +83,10 @@
       codec_free (&grant_row_desc, &team->row);
       free (team);
     }
-  pl_clear (&s->pl);
+  pool_clear (&s->pool);
   journal_free (s);
   free (s->load_after);
-  free (s->want_told);
+  free (s->want_written);
   free (s->events);
   free (s);
 }
@@ -144,13 +144,13 @@
 sched_event (struct sched *s, int reason, const char *id, const char *team,
              const char *where, int64_t looked_at)
 {
-  struct event *e = &s->events[s->event_no % EVENTS_KEPT];
+  struct event *e = &s->events[s->event_seq % EVENTS_MAX];
 
   memset (e, 0, sizeof *e);
-  e->no = ++s->event_no;
-  e->ms = s->now_ms;
+  e->seq = ++s->event_seq;
+  e->time_ms = s->now_ms;
   e->reason = reason;
-  e->looked_at = looked_at;
+  e->detail = looked_at;
   clb_copy (e->id, id, sizeof e->id);
   clb_copy (e->team, team, sizeof e->team);
   clb_copy (e->where, where, sizeof e->where);
@@ -162,11 +162,11 @@
 sched_why (struct sched *s, const char *id)
 {
   json_auto_t *list = json_array ();
-  int64_t first = s->event_no > EVENTS_KEPT ? s->event_no - EVENTS_KEPT : 0;
+  int64_t first = s->event_seq > EVENTS_MAX ? s->event_seq - EVENTS_MAX : 0;
 
-  for (int64_t n = first; n < s->event_no; n++)
+  for (int64_t n = first; n < s->event_seq; n++)
     {
-      const struct event *e = &s->events[n % EVENTS_KEPT];
+      const struct event *e = &s->events[n % EVENTS_MAX];
       if (strcmp (e->id, id) != 0)
         continue;
       json_t *item = codec_write (&event_desc, e);
@@ -198,16 +198,16 @@
 static void
 expire_askers (struct sched *s, struct task *t)
 {
-  struct asker *a;
-  struct asker *next;
+  struct waiter *a;
+  struct waiter *next;
 
-  for (a = TAILQ_FIRST (&t->askers); a; a = next)
+  for (a = TAILQ_FIRST (&t->waiters); a; a = next)
     {
       next = TAILQ_NEXT (a, link);
-      if (a->until_ms > s->now_ms || t->lane == LANE_SERVICE)
+      if (a->expires_ms > s->now_ms || t->lane == LANE_SERVICE)
         continue;
-      TAILQ_REMOVE (&t->askers, a, link);
-      task_reply_durable (s, t, a->entry, a->no);
+      TAILQ_REMOVE (&t->waiters, a, link);
+      task_reply_durable (s, t, a->entry, a->call_seq);
       free (a);
     }
 }
@@ -216,9 +216,9 @@
 static void
 expire_task (struct sched *s, struct task *t)
 {
-  if (!t->durable)
+  if (!t->accept_durable)
     return; /* told when its accept is known */
-  t->until_ms = 0;
+  t->expires_ms = 0;
   if (t->in_queue)
     task_ended (s, t, TASK_CANCELLED, WHY_DEADLINE);
   else if (t->lane == LANE_SERVICE)
@@ -236,14 +236,14 @@
   s->next_expire_ms = s->now_ms + EXPIRE_PERIOD_MS;
   RB_FOREACH_SAFE (t, task_tree, &s->tasks, next)
     {
-      if (!TAILQ_EMPTY (&t->askers))
+      if (!TAILQ_EMPTY (&t->waiters))
         expire_askers (s, t);
       if (t->not_before_ms && t->not_before_ms <= s->now_ms)
         {
           t->not_before_ms = 0;
           s->dirty = true;
         }
-      if (t->until_ms && t->until_ms <= s->now_ms
+      if (t->expires_ms && t->expires_ms <= s->now_ms
           && !task_state_final (t->state))
         expire_task (s, t);
     }
@@ -258,7 +258,7 @@
     return;
   TAILQ_REMOVE (&s->ended, t, ended);
   t->in_ended = false;
-  task_record (s, t, REC_FORGET);
+  task_journal (s, t, REC_FORGET);
   journal_effect (s, EFFECT_DROP, t->id);
 }
 
@@ -270,7 +270,7 @@
   char seen[CLB_DOMAINS_MAX][CLB_NAME_MAX];
   int n_seen = 0;
 
-  RB_FOREACH (w, worker_tree, &s->pl.workers)
+  RB_FOREACH (w, worker_tree, &s->pool.workers)
     w->listed = false;
   for (size_t i = 0; i < list->n_items; i++)
     {
@@ -282,15 +282,15 @@
         clb_copy (seen[n_seen++], in->domain, CLB_NAME_MAX);
       if (in->kind == INST_ENTRY || strcmp (in->domain, s->domain) != 0)
         continue;
-      w = pl_add (&s->pl, in);
+      w = pool_add (&s->pool, in);
       w->listed = true;
       w->leaving = in->leaving;
-      w->due |= in->leaving;
-      if (w->heard_ms == 0)
-        w->heard_ms = s->now_ms;
+      w->sync_due |= in->leaving;
+      if (w->last_contact_ms == 0)
+        w->last_contact_ms = s->now_ms;
     }
   s->list_ms = asked_ms;
-  s->domains = n_seen > 0 ? n_seen : 1;
+  s->n_domains = n_seen > 0 ? n_seen : 1;
   s->dirty = true;
 }
 
@@ -304,16 +304,16 @@
 sched_sync (struct sched *s, const char *worker, int64_t seq,
             const struct sync_rep *rep)
 {
-  struct worker *w = pl_worker (&s->pl, worker);
+  struct worker *w = pool_worker (&s->pool, worker);
 
   if (w)
-    recon_rep (s, w, seq, rep);
+    recon_report (s, w, seq, rep);
 }
 
 bool
 sched_idle (const struct sched *s)
 {
-  return !s->journal.in_flight && s->journal.open.row.n_recs == 0;
+  return !s->journal.committing && s->journal.open.row.n_recs == 0;
 }
 
 void
--- a/core/sched.h
+++ b/core/sched.h
@@ -12,15 +12,15 @@
 
 enum
 {
-  TASK_LEASE_MS = 15000,     /* a worker runs a task this long unrenewed */
-  LIST_FRESH_MS = 3000,      /* no start goes out by an older list */
-  KEY_SIZE = 256,            /* bytes of a table row's key */
-  JOURNAL_RETRY_MS = 200,    /* before a read or write is sent again */
-  SNAP_EVERY_ROWS = 1000,    /* journal rows between snapshots */
-  SYNC_PERIOD_MS = 2000,     /* between syncs with one worker, at most */
-  SYNC_TIMEOUT_MS = 2000,    /* then its connection is dropped */
-  WORKER_SILENT_MS = 5000,   /* without a report: not placed on */
-  WORKER_CONDEMN_MS = 10000, /* without a report: leases not renewed */
+  TASK_LEASE_MS = 15000,        /* a worker runs a task this long unrenewed */
+  LIST_FRESH_MS = 3000,         /* no start goes out by an older list */
+  ROW_KEY_SIZE = 256,           /* bytes of a table row's key */
+  JOURNAL_RETRY_MS = 200,       /* before a read or write is sent again */
+  SNAP_EVERY_ROWS = 1000,       /* journal rows between snapshots */
+  SYNC_PERIOD_MS = 2000,        /* between syncs with one worker, at most */
+  SYNC_TIMEOUT_MS = 2000,       /* then its connection is dropped */
+  WORKER_UNREACHABLE_MS = 5000, /* without a report: not placed on */
+  WORKER_EXPIRING_MS = 10000,   /* without a report: leases not renewed */
   /* A lapsed scheduler renews its tasks' leases this long. */
   LAPSED_RENEW_MS = 60000,
   TASK_FAILURES_MAX = 3,   /* then the task is at fault */
@@ -36,18 +36,18 @@
   MEMBER_SENT,    /* may or may not have reached the worker */
   MEMBER_RUNNING, /* reported */
   MEMBER_STOP,    /* to be stopped, or proved never started */
-  MEMBER_CLEAR,   /* certainly not running */
+  MEMBER_ENDED,   /* certainly not running */
 };
 
 /** enum member_end - how a member became clear */
 enum member_end
 {
-  END_OK,
-  END_FAILED,
-  END_STOPPED, /* it had started */
-  END_NEVER,   /* it had not and never will */
-  END_REFUSED, /* the worker would not start it */
-  END_LOST,    /* it may have run; its lease has run out */
+  MEMBER_END_OK,
+  MEMBER_END_FAILED,
+  MEMBER_END_STOPPED,     /* it had started */
+  MEMBER_END_NOT_STARTED, /* it had not and never will */
+  MEMBER_END_REFUSED,     /* the worker would not start it */
+  MEMBER_END_LOST,        /* it may have run; its lease has run out */
 };
 
 struct task;
@@ -60,24 +60,24 @@
   char worker_id[CLB_ID_MAX];
   int64_t boot;
   int index;
-  int state;            /* enum member_state */
-  int end;              /* enum member_end */
-  bool seen;            /* it was reported running */
-  int64_t ends_ms;      /* by its declared run time; 0: not known */
-  int64_t sent_seq;     /* sync that carried its start */
-  int64_t reported_seq; /* latest sync whose report lists it */
+  int state;               /* enum member_state */
+  int end;                 /* enum member_end */
+  bool was_running;        /* it was reported running */
+  int64_t expected_end_ms; /* by its declared run time; 0: not known */
+  int64_t sent_seq;        /* sync that carried its start */
+  int64_t reported_seq;    /* latest sync whose report lists it */
 };
 
-/** struct asker - who waits for an answer about a task */
-struct asker
+/** struct waiter - who waits for an answer about a task */
+struct waiter
 {
-  TAILQ_ENTRY (asker) link;
+  TAILQ_ENTRY (waiter) link;
   char entry[CLB_ID_MAX]; /* empty: nobody */
-  int64_t no;
+  int64_t call_seq;
   int64_t stamp; /* its clock when it last asked */
-  int64_t until_ms;
+  int64_t expires_ms;
 };
-TAILQ_HEAD (asker_list, asker);
+TAILQ_HEAD (waiter_list, waiter);
 
 struct team;
 
@@ -93,13 +93,13 @@
   int class;
   int lane;
   bool idempotent;
-  bool recorded; /* in the journal; else lost with the holder */
-  bool durable;  /* its accept is in the table */
+  bool recorded;       /* in the journal; else lost with the holder */
+  bool accept_durable; /* its accept is in the table */
   bool in_queue;
   bool in_ended;
   bool cancelled;
   bool end_durable; /* its end is in the table */
-  bool settled;     /* its end or retry is in the journal */
+  bool end_decided; /* its end or retry is in the journal */
   bool intent_durable;
   int state; /* enum task_state */
   int reason;
@@ -108,15 +108,15 @@
   char failed_on[CLB_ID_MAX]; /* worker of its latest failure, or empty */
   int64_t accepted_ms;
   int64_t placed_ms;
-  int64_t nofit_ms;      /* since when no worker could hold it, or 0 */
-  int64_t gave_way;      /* times that it was stopped for urgent work */
-  bool giving_way;       /* being stopped for that */
-  int64_t made_room_ms;  /* urgent: when it last had others stopped */
-  int64_t not_before_ms; /* of the next attempt */
-  int64_t until_ms;      /* pending: given up then; 0 never */
+  int64_t no_fit_since_ms; /* since when no worker could hold it, or 0 */
+  int64_t n_preemptions;   /* times that it was stopped for urgent work */
+  bool being_preempted;    /* being stopped for that */
+  int64_t last_preempt_ms; /* urgent: when it last had others stopped */
+  int64_t not_before_ms;   /* of the next attempt */
+  int64_t expires_ms;      /* pending: given up then; 0 never */
   struct member *members;
   int64_t n_members; /* 0 unless placed */
-  struct asker_list askers;
+  struct waiter_list waiters;
 };
 RB_HEAD (task_tree, task);
 RB_HEAD (request_tree, task);
@@ -134,13 +134,13 @@
   struct grant_row row;   /* all domains' parts, as last read */
   int64_t row_ver;
   bool row_known;
-  struct clb_res limit_seen; /* limit at the last change */
+  struct clb_res last_limit; /* limit at the last change */
   bool frozen;               /* parts exceed the limit, or may: nothing new */
-  bool restamp;              /* the row must say which limit is gone by */
-  bool told_want;            /* the row says that this domain is short */
-  bool want;                 /* work waits for more grant */
-  struct clb_res wanted;
-  uint64_t op;               /* outstanding store token */
+  bool rewrite_due;          /* the row must say which limit is gone by */
+  bool want_written;         /* the row says that this domain is short */
+  bool wants_more;           /* work waits for more grant */
+  struct clb_res demand;
+  uint64_t op_token;         /* outstanding store token */
   int op_kind;               /* enum store_kind of that */
   struct clb_res op_granted; /* what the outstanding write makes it */
   int64_t next_op_ms;
@@ -191,8 +191,8 @@
   int64_t epoch_ver;
   int64_t seq; /* of the next row */
   struct group open;
-  struct group flight;
-  bool in_flight;
+  struct group commit;
+  bool committing;
   uint64_t token;
   int64_t sent_ms;
   int64_t retry_ms; /* when a refused write is tried again */
@@ -202,7 +202,7 @@
   int snap_step;     /* enum snap_step, in journal.c */
   uint64_t snap_token;
   char *snap_text; /* made, not yet written */
-  int64_t snap_to;
+  int64_t snap_last_seq;
   int64_t snap_retry_ms;
   int64_t nonce;
 };
@@ -211,7 +211,7 @@
 {
   SCHED_LOADING, /* reading snapshot, journal and grants */
   SCHED_READY,
-  SCHED_LOST, /* another holder's epoch was seen */
+  SCHED_SUPERSEDED, /* another holder's epoch was seen */
 };
 
 enum
@@ -244,21 +244,21 @@
   int64_t epoch;
   int phase; /* enum sched_phase */
   int64_t now_ms;
-  int64_t began_ms;
-  bool may_start;    /* the lease holds; set before each input */
-  bool store_up;     /* the table answered the holder's latest operation */
-  bool conf_fresh;   /* the configuration is proved current */
-  int64_t lapsed_ms; /* since when it does not, 0 while it does */
-  bool stopping;     /* handing over: nothing new is placed */
-  bool dirty;        /* room or queues changed since the last round */
+  int64_t started_ms;
+  bool may_start;  /* the lease holds; set before each input */
+  bool store_up;   /* the table answered the holder's latest operation */
+  bool conf_fresh; /* the configuration is proved current */
+  int64_t lapsed_since_ms; /* since when it does not, 0 while it does */
+  bool stopping;           /* handing over: nothing new is placed */
+  bool dirty;              /* room or queues changed since the last round */
   int64_t next_id;
   int64_t next_expire_ms;
   int64_t snap_every; /* journal rows between snapshots */
-  int domains;        /* failure domains that share the limits */
+  int n_domains;      /* failure domains that share the limits */
   const struct conf *conf;
   struct outq *out;
   uint64_t *tokens; /* source of store tokens, shared with the node */
-  struct pl pl;
+  struct pool pool;
   struct task_tree tasks;
   struct request_tree requests;
   struct team_tree teams;
@@ -270,14 +270,14 @@
   int load_step; /* enum load_step, in journal.c */
   int64_t load_retry_ms;
   char *load_after;
-  int64_t list_ms;     /* when the latest list was asked for */
-  uint64_t want_token; /* reading what other domains are short of */
-  uint64_t want_put;   /* writing what this one is */
+  int64_t list_ms;           /* when the latest list was asked for */
+  uint64_t want_read_token;  /* reading what other domains are short of */
+  uint64_t want_write_token; /* writing what this one is */
   int64_t next_want_ms;
-  int64_t want_sent_ms;
-  char *want_told;  /* as last written */
-  bool slots_known; /* every entry has said which slots it uses */
-  int64_t event_no;
+  int64_t want_read_ms;
+  char *want_written; /* as last written */
+  bool slots_known;   /* every entry has said which slots it uses */
+  int64_t event_seq;
   struct event *events; /* ring of the latest decisions */
 };
 
@@ -303,8 +303,8 @@
                       int64_t asked_ms);
 /** sched_call() - A request from the entry instance @entry. */
 void sched_call (struct sched *s, const char *entry, const struct call *c);
-/** sched_held() - Slots that an entry instance says it still uses. */
-void sched_held (struct sched *s, const struct held_list *held);
+/** sched_used_slots() - Slots that an entry instance says it still uses. */
+void sched_used_slots (struct sched *s, const struct held_list *held);
 /** sched_store() - Whether @token was one of the scheduler's, and handled. */
 bool sched_store (struct sched *s, uint64_t token,
                   const struct store_rep *rep);
@@ -327,7 +327,7 @@
 
 enum
 {
-  EVENTS_KEPT = 16384,
+  EVENTS_MAX = 16384,
 };
 
 struct task *task_new (struct sched *s, const char *id, const char *team);
@@ -336,22 +336,22 @@
 void task_dequeue (struct task *t);
 void task_place (struct sched *s, struct task *t, struct worker **picked);
 void task_unplace (struct sched *s, struct task *t);
-/** task_settle() - Decide what follows once every member is clear. */
-void task_settle (struct sched *s, struct task *t);
+/** task_evaluate() - Decide what follows once every member is clear. */
+void task_evaluate (struct sched *s, struct task *t);
 void task_stop_members (struct sched *s, struct task *t);
 void task_ended (struct sched *s, struct task *t, int state, int reason);
-void task_answer_askers (struct sched *s, struct task *t);
-/** member_clear() - The member is certainly not running: frees its room. */
-void member_clear (struct sched *s, struct member *m, int end);
+void task_answer_waiters (struct sched *s, struct task *t);
+/** member_ended() - The member is certainly not running: frees its room. */
+void member_ended (struct sched *s, struct member *m, int end);
 void member_run_id (const struct member *m, char out[CLB_ID_MAX]);
 /** task_unsent() - Placed, and no worker can have heard of it. */
 bool task_unsent (const struct task *t);
 /** sched_withdraw() - Take back what @team has placed and not yet sent. */
 void sched_withdraw (struct sched *s, struct team *team);
 void sched_reply (struct sched *s, const char *entry, const struct reply *r);
-struct rec rec_of (const struct task *t, int kind);
-/** task_record() - Journal one step of a recorded task. */
-void task_record (struct sched *s, const struct task *t, int kind);
+struct rec task_rec (const struct task *t, int kind);
+/** task_journal() - Journal one step of a recorded task. */
+void task_journal (struct sched *s, const struct task *t, int kind);
 void task_event (struct sched *s, const struct task *t, int reason,
                  const char *where, int64_t looked_at);
 struct reply task_reply (const struct task *t, int64_t no);
@@ -360,8 +360,9 @@
 /** task_reply_durable() - Answer @entry once the open group is durable. */
 void task_reply_durable (struct sched *s, const struct task *t,
                          const char *entry, int64_t no);
-/** task_slot_until() - When a slot that nobody gives back is free again. */
-int64_t task_slot_until (const struct sched *s, const struct task *t);
+/** task_slot_expiry_ms() - When a slot that nobody gives back is free again.
+ */
+int64_t task_slot_expiry_ms (const struct sched *s, const struct task *t);
 /** service_release() - A service request has ended in @state. */
 void service_release (struct sched *s, struct task *t, int state);
 /** service_reply() - Tell @entry which executor it may use. */
@@ -370,27 +371,28 @@
 /** place_round() - Start all waiting work that can start now. */
 void place_round (struct sched *s);
 
-/** urgent_make_room() - Have the cheapest running work stopped for @t. */
-void urgent_make_room (struct sched *s, struct task *t);
+/** urgent_preempt() - Have the cheapest running work stopped for @t. */
+void urgent_preempt (struct sched *s, struct task *t);
 
 /* journal.c and load.c, used by each other */
 
 /** struct snap_row - where the latest snapshot lies */
 struct snap_row
 {
-  int64_t seq;   /* last journal row that the object covers */
-  int64_t first; /* rows before this one are deleted */
+  int64_t seq;       /* last journal row that the object covers */
+  int64_t first_seq; /* rows before this one are deleted */
   char object[CLB_ID_MAX];
 };
 extern const struct desc snap_row_desc;
 
-void journal_row_key (const struct sched *s, int64_t seq, char out[KEY_SIZE]);
-void journal_snap_key (const struct sched *s, char out[KEY_SIZE]);
-/** journal_op() - A new store operation and its token. */
-struct store_op *journal_op (struct sched *s, int kind, uint64_t *token);
-/** load_ask() - Read the next piece. */
-void load_ask (struct sched *s);
-void load_answer (struct sched *s, const struct store_rep *rep);
+void journal_row_key (const struct sched *s, int64_t seq,
+                      char out[ROW_KEY_SIZE]);
+void journal_snap_key (const struct sched *s, char out[ROW_KEY_SIZE]);
+/** journal_store_op() - A new store operation and its token. */
+struct store_op *journal_store_op (struct sched *s, int kind, uint64_t *token);
+/** load_read() - Read the next piece. */
+void load_read (struct sched *s);
+void load_reply (struct sched *s, const struct store_rep *rep);
 
 void journal_init (struct sched *s, int64_t epoch_ver);
 void journal_free (struct sched *s);
@@ -406,15 +408,15 @@
 void journal_replay (struct sched *s, const struct rec *rec);
 
 void recon_tick (struct sched *s);
-void recon_rep (struct sched *s, struct worker *w, int64_t seq,
-                const struct sync_rep *rep);
+void recon_report (struct sched *s, struct worker *w, int64_t seq,
+                   const struct sync_rep *rep);
 void recon_ack (struct worker *w, const char *run);
 /** recon_service_end() - A service request on @w has ended. */
 void recon_service_end (struct sched *s, struct worker *w, bool bad);
 
-/** escrow_room() - Whether the team may run @need times @n more here. */
-bool escrow_room (struct sched *s, struct team *team,
-                  const struct clb_res *need, int64_t n);
+/** escrow_allows() - Whether the team may run @need times @n more here. */
+bool escrow_allows (struct sched *s, struct team *team,
+                    const struct clb_res *need, int64_t n);
 bool escrow_store (struct sched *s, uint64_t token,
                    const struct store_rep *rep);
 void escrow_row (struct sched *s, const struct row *row);
--- a/core/service.c
+++ b/core/service.c
@@ -16,8 +16,9 @@
 {
   clb_copy (p->domain, domain, sizeof p->domain);
   snprintf (p->call.id, sizeof p->call.id, "%.30s.%.30s-%llx-%lld", domain,
-            n->set.id, (unsigned long long)n->set.boot, (long long)p->call.no);
-  p->step = STEP_ASKING;
+            n->settings.id, (unsigned long long)n->settings.boot,
+            (long long)p->call.seq);
+  p->step = STEP_AWAIT_REPLY;
   p->holder[0] = '\0';
   entry_pending_send (n, p);
 }
@@ -59,12 +60,12 @@
     err = CLB_ENOHOLDER;
   if (err)
     {
-      entry_refuse (n, rq->call, err, wrong_field (err));
+      entry_refuse (n, rq->http_call, err, wrong_field (err));
       return;
     }
   spec.duration_ms = q->max_run_ms;
   clb_copy (spec.queue, q->name, sizeof spec.queue);
-  p = entry_pending_new (n, rq->call, CALL_ACQUIRE);
+  p = entry_pending_new (n, rq->http_call, CALL_ACQUIRE);
   if (rq->request_id)
     clb_copy (spec.request_id, rq->request_id, sizeof spec.request_id);
   p->call.spec = spec;
@@ -75,7 +76,7 @@
   p->call.wait_ms = q->max_wait_ms;
   p->max_run_ms = q->max_run_ms;
   clb_copy (p->call.team, team, sizeof p->call.team);
-  p->until_ms = n->now_ms + q->max_wait_ms + REPLY_SLACK_MS;
+  p->deadline_ms = n->now_ms + q->max_wait_ms + REPLY_SLACK_MS;
   acquire (n, p, domain);
 }
 
@@ -86,18 +87,19 @@
 
   clb_copy (p->executor, r->executor, sizeof p->executor);
   /* A holder may have given the slot to somebody else since. */
-  if (n->now_ms - r->stamp > FORWARD_WITHIN_MS)
+  if (n->now_ms - r->call_sent_ms > FORWARD_DEADLINE_MS)
     {
       n->stats.stale_slots++;
-      entry_answer_err (n, p->caller, CLB_ELEASE, NULL, NULL, RETRY_HINT_MS);
+      entry_answer_err (n, p->http_call, CLB_ELEASE, NULL, NULL,
+                        RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, false);
       return;
     }
   p->step = STEP_FORWARDED;
-  p->sent_ms = r->stamp;
-  p->until_ms = n->now_ms + p->max_run_ms;
+  p->sent_ms = r->call_sent_ms;
+  p->deadline_ms = n->now_ms + p->max_run_ms;
   o = out_new (&n->out, OUT_FORWARD);
-  o->u.forward.call = p->caller;
+  o->u.forward.call = p->http_call;
   clb_copy (o->u.forward.executor, r->executor, CLB_ID_MAX);
   clb_copy (o->u.forward.addr, r->addr, CLB_ADDR_MAX);
   clb_copy (o->u.forward.id, p->call.id, CLB_ID_MAX);
@@ -107,10 +109,10 @@
 bool
 node_may_forward (const struct node *n, int64_t now_ms, uint64_t call)
 {
-  struct pending *p = entry_pending_by_caller ((struct node *)n, call);
+  struct pending *p = entry_pending_by_http_call ((struct node *)n, call);
 
   return p && p->step == STEP_FORWARDED
-         && now_ms - p->sent_ms <= FORWARD_WITHIN_MS;
+         && now_ms - p->sent_ms <= FORWARD_DEADLINE_MS;
 }
 
 /* An idempotent request that no executor has answered goes to another. */
@@ -119,24 +121,24 @@
 {
   struct pending *again;
   const char *domain;
-  int64_t left = p->began_ms + p->call.wait_ms - n->now_ms;
+  int64_t left = p->arrival_ms + p->call.wait_ms - n->now_ms;
 
-  if (!p->caller || !p->call.idempotent || ++p->tries >= FORWARD_TRIES
+  if (!p->http_call || !p->call.idempotent || ++p->tries >= FORWARD_TRIES
       || left <= 0)
     return false;
   domain = entry_pick_domain (n, &p->call.spec);
   if (!domain)
     return false;
-  uint64_t caller = p->caller;
-  entry_pending_uncall (n, p);
+  uint64_t caller = p->http_call;
+  entry_pending_detach (n, p);
   again = entry_pending_new (n, caller, CALL_ACQUIRE);
-  int64_t no = again->call.no;
+  int64_t no = again->call.seq;
   again->call = p->call;
-  again->call.no = no;
+  again->call.seq = no;
   again->tries = p->tries;
-  again->began_ms = p->began_ms;
+  again->arrival_ms = p->arrival_ms;
   again->max_run_ms = p->max_run_ms;
-  again->until_ms = n->now_ms + left + REPLY_SLACK_MS;
+  again->deadline_ms = n->now_ms + left + REPLY_SLACK_MS;
   acquire (n, again, domain);
   return true;
 }
@@ -144,7 +146,7 @@
 void
 node_forwarded (struct node *n, int64_t now_ms, uint64_t call, int end)
 {
-  struct pending *p = entry_pending_by_caller (n, call);
+  struct pending *p = entry_pending_by_http_call (n, call);
 
   n->now_ms = now_ms;
   n->stats.forward_ends[end]++;
@@ -160,23 +162,24 @@
       break;
     case FORWARD_UNREACHED:
       if (!forward_again (n, p))
-        entry_answer_err (n, p->caller, CLB_EREACH, NULL, NULL, RETRY_HINT_MS);
+        entry_answer_err (n, p->http_call, CLB_EREACH, NULL, NULL,
+                          RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, true);
       break;
     case FORWARD_FAILED:
       if (!forward_again (n, p))
-        entry_answer_err (n, p->caller, CLB_EUNKNOWN, NULL, p->call.id, 0);
+        entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, true);
       break;
-    case FORWARD_CUT:
-      entry_answer_err (n, p->caller, CLB_EUNKNOWN, NULL, p->call.id, 0);
+    case FORWARD_ABORTED:
+      entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, false);
       break;
     }
 }
 
 void
-entry_held (struct node *n, struct held_list *out)
+entry_held_slots (struct node *n, struct held_list *out)
 {
   struct pending *p;
   size_t cap = (size_t)n->n_pending;
@@ -189,10 +192,10 @@
     {
       if (p->step != STEP_FORWARDED)
         continue;
-      struct held *h = &out->items[out->n_items++];
+      struct held_slot *h = &out->items[out->n_items++];
       clb_copy (h->id, p->call.id, sizeof h->id);
       clb_copy (h->executor, p->executor, sizeof h->executor);
       clb_copy (h->team, p->call.team, sizeof h->team);
-      h->run_ms = p->until_ms > n->now_ms ? p->until_ms - n->now_ms : 0;
+      h->run_ms = p->deadline_ms > n->now_ms ? p->deadline_ms - n->now_ms : 0;
     }
 }
--- a/core/task.c
+++ b/core/task.c
@@ -28,7 +28,7 @@
   clb_copy (t->id, id, sizeof t->id);
   t->team = sched_team (s, team);
   t->accepted_ms = s->now_ms;
-  TAILQ_INIT (&t->askers);
+  TAILQ_INIT (&t->waiters);
   RB_INSERT (task_tree, &s->tasks, t);
   s->n_tasks++;
   return t;
@@ -37,7 +37,7 @@
 void
 task_free (struct sched *s, struct task *t)
 {
-  struct asker *a;
+  struct waiter *a;
 
   task_dequeue (t);
   task_unplace (s, t);
@@ -45,9 +45,9 @@
     TAILQ_REMOVE (&s->ended, t, ended);
   if (RB_FIND (request_tree, &s->requests, t) == t)
     RB_REMOVE (request_tree, &s->requests, t);
-  while ((a = TAILQ_FIRST (&t->askers)))
+  while ((a = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->askers, a, link);
+      TAILQ_REMOVE (&t->waiters, a, link);
       free (a);
     }
   RB_REMOVE (task_tree, &s->tasks, t);
@@ -78,7 +78,7 @@
 struct reply
 task_reply (const struct task *t, int64_t no)
 {
-  struct reply r = { .no = no, .state = t->state, .reason = t->reason };
+  struct reply r = { .call_seq = no, .state = t->state, .reason = t->reason };
 
   clb_copy (r.id, t->id, sizeof r.id);
   return r;
@@ -100,7 +100,7 @@
 
 /* When a slot that nobody gives back is free again. */
 int64_t
-task_slot_until (const struct sched *s, const struct task *t)
+task_slot_expiry_ms (const struct sched *s, const struct task *t)
 {
   return s->now_ms + t->spec.duration_ms + SERVICE_GRACE_MS;
 }
@@ -117,7 +117,7 @@
 }
 
 struct rec
-rec_of (const struct task *t, int kind)
+task_rec (const struct task *t, int kind)
 {
   struct rec r = {
     .kind = kind,
@@ -153,11 +153,11 @@
 }
 
 void
-task_record (struct sched *s, const struct task *t, int kind)
+task_journal (struct sched *s, const struct task *t, int kind)
 {
   if (!t->recorded)
     return;
-  struct rec r = rec_of (t, kind);
+  struct rec r = task_rec (t, kind);
   journal_add (s, &r);
 }
 
@@ -189,16 +189,16 @@
   t->team->idle_since_ms = s->now_ms;
   t->state = TASK_STARTING;
   t->placed_ms = s->now_ms;
-  t->settled = false;
+  t->end_decided = false;
   t->intent_durable = false;
 }
 
 void
-member_clear (struct sched *s, struct member *m, int end)
+member_ended (struct sched *s, struct member *m, int end)
 {
-  if (m->state == MEMBER_CLEAR)
+  if (m->state == MEMBER_ENDED)
     return;
-  m->state = MEMBER_CLEAR;
+  m->state = MEMBER_ENDED;
   m->end = end;
   if (!m->worker)
     return;
@@ -214,7 +214,7 @@
 task_unplace (struct sched *s, struct task *t)
 {
   for (int64_t i = 0; i < t->n_members; i++)
-    member_clear (s, &t->members[i], END_NEVER);
+    member_ended (s, &t->members[i], MEMBER_END_NOT_STARTED);
   free (t->members);
   t->members = NULL;
   t->n_members = 0;
@@ -227,23 +227,23 @@
     {
       struct member *m = &t->members[i];
       if (m->state == MEMBER_INTENT)
-        member_clear (s, m, END_NEVER);
-      else if (m->state != MEMBER_CLEAR)
+        member_ended (s, m, MEMBER_END_NOT_STARTED);
+      else if (m->state != MEMBER_ENDED)
         m->state = MEMBER_STOP;
       if (m->worker)
-        m->worker->due = true;
+        m->worker->sync_due = true;
     }
 }
 
 void
-task_answer_askers (struct sched *s, struct task *t)
+task_answer_waiters (struct sched *s, struct task *t)
 {
-  struct asker *a;
+  struct waiter *a;
 
-  while ((a = TAILQ_FIRST (&t->askers)))
+  while ((a = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->askers, a, link);
-      struct reply r = task_reply (t, a->no);
+      TAILQ_REMOVE (&t->waiters, a, link);
+      struct reply r = task_reply (t, a->call_seq);
       if (t->lane == LANE_SERVICE)
         {
           r.err = t->reason == WHY_DEADLINE ? CLB_ETIMEOUT : CLB_ECANCELLED;
@@ -266,11 +266,11 @@
 {
   t->state = state;
   t->reason = reason;
-  t->settled = true;
+  t->end_decided = true;
   task_dequeue (t);
   task_event (s, t, reason, "", 0);
-  task_record (s, t, REC_END);
-  task_answer_askers (s, t);
+  task_journal (s, t, REC_END);
+  task_answer_waiters (s, t);
   if (!t->recorded)
     {
       task_free (s, t);
@@ -299,7 +299,7 @@
   task_unplace (s, t);
   t->attempt++;
   t->not_before_ms = s->now_ms + backoff_ms (t);
-  task_record (s, t, REC_RETRY);
+  task_journal (s, t, REC_RETRY);
   task_enqueue (s, t);
 }
 
@@ -326,7 +326,7 @@
 /* struct tally - how a placed task's members ended */
 struct tally
 {
-  int64_t of[END_LOST + 1];
+  int64_t of[MEMBER_END_LOST + 1];
   int64_t open; /* not yet clear */
 };
 
@@ -336,7 +336,7 @@
   struct tally n = { 0 };
 
   for (int64_t i = 0; i < t->n_members; i++)
-    if (t->members[i].state == MEMBER_CLEAR)
+    if (t->members[i].state == MEMBER_ENDED)
       n.of[t->members[i].end]++;
     else
       n.open++;
@@ -346,22 +346,22 @@
 static int
 failure_reason (const struct tally *n)
 {
-  if (n->of[END_FAILED])
+  if (n->of[MEMBER_END_FAILED])
     return WHY_ENDED_FAILED;
-  if (n->of[END_LOST])
+  if (n->of[MEMBER_END_LOST])
     return WHY_WORKER_LOST;
-  if (n->of[END_REFUSED])
+  if (n->of[MEMBER_END_REFUSED])
     return WHY_WORKER_REFUSED;
-  return n->of[END_STOPPED] ? WHY_GANG_MEMBER_FAILED : WHY_START_UNSEEN;
+  return n->of[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED : WHY_START_UNSEEN;
 }
 
 /* A service request is never tried again here: its entry instance asks. */
 static void
 settle_service (struct sched *s, struct task *t, const struct tally *n)
 {
-  if (n->of[END_FAILED])
+  if (n->of[MEMBER_END_FAILED])
     task_ended (s, t, TASK_FAILED, WHY_ENDED_FAILED);
-  else if (n->of[END_LOST])
+  else if (n->of[MEMBER_END_LOST])
     task_ended (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
   else
     task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
@@ -371,24 +371,24 @@
 static void
 settle_failed (struct sched *s, struct task *t, const struct tally *n)
 {
-  bool ran = n->of[END_OK] || n->of[END_FAILED] || n->of[END_STOPPED]
-             || n->of[END_LOST];
+  bool ran = n->of[MEMBER_END_OK] || n->of[MEMBER_END_FAILED]
+             || n->of[MEMBER_END_STOPPED] || n->of[MEMBER_END_LOST];
   int reason = failure_reason (n);
 
-  if (n->of[END_FAILED])
+  if (n->of[MEMBER_END_FAILED])
     t->failures++;
-  if (t->giving_way)
+  if (t->being_preempted)
     {
-      t->giving_way = false;
-      reason = WHY_GAVE_WAY;
+      t->being_preempted = false;
+      reason = WHY_PREEMPTED;
     }
   if (t->lane == LANE_SERVICE)
     settle_service (s, t, n);
-  else if (t->cancelled && (!n->of[END_LOST] || t->idempotent))
+  else if (t->cancelled && (!n->of[MEMBER_END_LOST] || t->idempotent))
     task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else if (!ran)
     task_retry (s, t, reason);
-  else if (!t->idempotent && n->of[END_FAILED] == 0)
+  else if (!t->idempotent && n->of[MEMBER_END_FAILED] == 0)
     task_ended (s, t, TASK_UNKNOWN, reason);
   else if (!t->idempotent)
     task_ended (s, t, TASK_FAILED, reason);
@@ -399,19 +399,19 @@
 }
 
 void
-task_settle (struct sched *s, struct task *t)
+task_evaluate (struct sched *s, struct task *t)
 {
   struct tally n = tally_members (t);
 
-  if (t->settled || t->n_members == 0)
+  if (t->end_decided || t->n_members == 0)
     return;
-  if (n.of[END_OK] == t->n_members)
+  if (n.of[MEMBER_END_OK] == t->n_members)
     {
       task_ended (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
   /* A gang runs whole or not at all. */
-  if (n.of[END_OK] + n.open < t->n_members)
+  if (n.of[MEMBER_END_OK] + n.open < t->n_members)
     task_stop_members (s, t);
   n = tally_members (t);
   if (n.open == 0)
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -22,7 +22,7 @@
 {
   return t->idempotent && t->class > CLASS_URGENT && t->n_members == 1
          && t->lane == LANE_TASK && t->state == TASK_RUNNING && !t->cancelled
-         && t->gave_way < GIVE_WAY_MAX;
+         && t->n_preemptions < GIVE_WAY_MAX;
 }
 
 /* Work that would be done again, in core milliseconds. */
@@ -63,7 +63,7 @@
 plan_worker (const struct sched *s, const struct worker *w,
              const struct clb_res *need, struct plan *p)
 {
-  struct clb_res room = w->inst.room;
+  struct clb_res room = w->inst.capacity;
 
   clb_res_add (&room, &w->used, -1);
   *p = (struct plan){ .n = 0 };
@@ -86,7 +86,7 @@
   struct member *m;
 
   TAILQ_FOREACH (m, &w->members, on_worker)
-    if (m->task->giving_way)
+    if (m->task->being_preempted)
       return true;
   return false;
 }
@@ -97,16 +97,16 @@
   for (int i = 0; i < p->n; i++)
     {
       struct task *v = p->victims[i];
-      v->giving_way = true;
-      v->gave_way++;
+      v->being_preempted = true;
+      v->n_preemptions++;
       v->state = TASK_STOPPING;
       task_stop_members (s, v);
     }
-  sched_event (s, WHY_MAKES_ROOM, t->id, t->team->name, "", p->n);
+  sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n);
 }
 
 void
-urgent_make_room (struct sched *s, struct task *t)
+urgent_preempt (struct sched *s, struct task *t)
 {
   struct worker *w;
   struct plan p;
@@ -114,11 +114,11 @@
   bool found = false;
 
   if (t->spec.members != 1 || t->lane != LANE_TASK
-      || (t->made_room_ms && s->now_ms - t->made_room_ms < MAKE_ROOM_MS))
+      || (t->last_preempt_ms && s->now_ms - t->last_preempt_ms < MAKE_ROOM_MS))
     return;
-  RB_FOREACH (w, worker_tree, &s->pl.workers)
+  RB_FOREACH (w, worker_tree, &s->pool.workers)
     {
-      if (!pl_usable (w, s->now_ms) || w->inst.kind != INST_WORKER
+      if (!pool_usable (w, s->now_ms) || w->inst.kind != INST_WORKER
           || being_cleared (w) || !plan_worker (s, w, &t->spec.need, &p))
         continue;
       if (!found || p.cost < best.cost)
@@ -127,6 +127,6 @@
     }
   if (!found)
     return;
-  t->made_room_ms = s->now_ms;
+  t->last_preempt_ms = s->now_ms;
   carry_out (s, t, &best);
 }
--- a/core/view.c
+++ b/core/view.c
@@ -41,7 +41,8 @@
       add_str (item, "id", p->id);
       add_str (item, "domain", p->domain);
       add_bool (item, "alive",
-                p->heard_ms && n->now_ms - p->heard_ms < PEER_SILENT_MS);
+                p->last_contact_ms
+                    && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS);
       add_bool (item, "holder", p->hello.holder);
       add_int (item, "epoch", p->hello.epoch);
       add_int (item, "config_version", p->hello.conf_version);
@@ -56,7 +57,7 @@
   json_t *list = json_array ();
   struct worker *w;
 
-  RB_FOREACH (w, worker_tree, &n->sched->pl.workers)
+  RB_FOREACH (w, worker_tree, &n->sched->pool.workers)
     {
       json_t *item = json_object ();
       add_str (item, "id", w->inst.id);
@@ -68,7 +69,7 @@
       add_bool (item, "leaving", w->leaving);
       add_bool (item, "quarantined", n->now_ms < w->quarantine_until_ms);
       json_object_set_new (item, "room",
-                           codec_write (&res_desc, &w->inst.room));
+                           codec_write (&res_desc, &w->inst.capacity));
       json_object_set_new (item, "used", codec_write (&res_desc, &w->used));
       json_array_append_new (list, item);
     }
@@ -133,13 +134,13 @@
   json_auto_t *obj = json_object ();
   char *text;
 
-  add_str (obj, "id", n->set.id);
-  add_str (obj, "domain", n->set.domain);
+  add_str (obj, "id", n->settings.id);
+  add_str (obj, "domain", n->settings.domain);
   add_int (obj, "config_version", n->head.version);
-  add_int (obj, "config_age_ms", n->now_ms - n->fresh_ms);
+  add_int (obj, "config_age_ms", n->now_ms - n->conf_verified_ms);
   add_bool (obj, "stopping", n->stopping);
   add_int (obj, "requests_in_hand", n->n_pending);
-  const char *holder = node_holder (n, n->set.domain);
+  const char *holder = node_holder (n, n->settings.domain);
   add_str (obj, "holder", holder ? holder : "");
   json_object_set_new (obj, "peers", view_peers (n));
   if (n->sched)
@@ -157,8 +158,8 @@
   metric_print (f, "service_requests_total", NULL, NULL, st->service_requests);
   for (int i = 0; i < -CLB_ERR_LAST; i++)
     metric_print (f, "answers_total", "error", clb_err_name (-i),
-                  st->errors[i]);
-  for (int i = 0; i <= FORWARD_CUT; i++)
+                  st->answers[i]);
+  for (int i = 0; i <= FORWARD_ABORTED; i++)
     metric_print (f, "forward_ends_total", "end", end_names[i],
                   st->forward_ends[i]);
   metric_print (f, "call_retries_total", NULL, NULL, st->retries);
@@ -167,13 +168,13 @@
   metric_print (f, "store_errors_total", NULL, NULL, st->store_errors);
   metric_print (f, "hellos_total", NULL, NULL, st->hellos);
   for (int i = 0; i < WHY_N; i++)
-    if (st->changes[i])
+    if (st->role_changes[i])
       metric_print (f, "changes_total", "reason", clb_reason_name (i),
-                    st->changes[i]);
+                    st->role_changes[i]);
   metric_print (f, "requests_in_hand", NULL, NULL, (uint64_t)n->n_pending);
   metric_print (f, "config_version", NULL, NULL, (uint64_t)n->head.version);
   metric_print (f, "config_age_ms", NULL, NULL,
-                (uint64_t)(n->now_ms - n->fresh_ms));
+                (uint64_t)(n->now_ms - n->conf_verified_ms));
 }
 
 /* A Prometheus histogram for each class: buckets count what is below them. */
--- a/net/httpc.c
+++ b/net/httpc.c
@@ -363,8 +363,8 @@
   curl_easy_setopt (e, CURLOPT_HTTPHEADER, x->headers);
   curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)rq->timeout_ms);
   curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)rq->connect_ms);
-  curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, (long)rq->fresh);
-  curl_easy_setopt (e, CURLOPT_FORBID_REUSE, (long)rq->fresh);
+  curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, (long)rq->new_connection);
+  curl_easy_setopt (e, CURLOPT_FORBID_REUSE, (long)rq->new_connection);
   curl_multi_add_handle (c->multi, e);
   return x->no;
 }
--- a/net/httpc.h
+++ b/net/httpc.h
@@ -11,8 +11,8 @@
 
 struct httpc;
 
-/** enum httpc_end - what is known of a request that has ended */
-enum httpc_end
+/** enum httpc_result - what is known of a request that has ended */
+enum httpc_result
 {
   HTTPC_OK,        /* a whole answer came, whatever its status */
   HTTPC_UNREACHED, /* no byte of the request left */
@@ -31,7 +31,8 @@
   size_t body_len;
   int64_t timeout_ms;
   int64_t connect_ms;
-  bool fresh; /* on a new connection, never sent twice by the library */
+  bool new_connection; /* on a new connection, never sent twice by the library
+                        */
   void *arg;
   /** on_head - may be NULL; then the whole body comes with on_end */
   void (*on_head) (void *arg, int status, const char *type);
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -25,7 +25,7 @@
   h2o_req_t *req;
   h2o_generator_t gen;
   uint64_t no;
-  char *text; /* strings of struct hreq */
+  char *text; /* strings of struct httpd_req */
   char *buf;  /* streamed bytes waiting */
   size_t len;
   char *sending; /* streamed bytes handed to the server */
@@ -91,7 +91,7 @@
   free (l->sending);
   free (l);
   if (gone)
-    d->conf.on_gone (d->conf.arg, no);
+    d->conf.on_disconnect (d->conf.arg, no);
 }
 
 static const char *
@@ -117,7 +117,7 @@
 }
 
 static void
-fill_request (struct live *l, struct hreq *rq)
+fill_request (struct live *l, struct httpd_req *rq)
 {
   h2o_req_t *req = l->req;
   size_t size = req->method.len + req->path.len + req->authority.len + 8;
@@ -129,7 +129,7 @@
   if (!l->text)
     abort ();
   char *at = l->text;
-  rq->no = l->no;
+  rq->id = l->no;
   rq->method = copy_text (&at, req->method.base, req->method.len);
   rq->path = copy_text (&at, req->path.base, req->path.len);
   rq->bearer = copy_header (&at, req, "authorization");
@@ -145,7 +145,7 @@
 }
 
 const char *
-hreq_header (const struct hreq *rq, const char *name)
+httpd_req_header (const struct httpd_req *rq, const char *name)
 {
   h2o_req_t *req = rq->impl;
   ssize_t i = h2o_find_header_by_str (&req->headers, name, strlen (name), -1);
@@ -209,7 +209,7 @@
   struct httpd *d = ((struct handler *)self)->d;
   struct live *l = calloc (1, sizeof *l);
   struct live **slot;
-  struct hreq rq;
+  struct httpd_req rq;
 
   if (!l)
     return -1;
@@ -441,7 +441,7 @@
 }
 
 size_t
-httpd_in_hand (const struct httpd *d)
+httpd_n_pending (const struct httpd *d)
 {
   return d->n_live;
 }
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -11,10 +11,11 @@
 
 struct httpd;
 
-/** struct hreq - a request; valid until its answer is done or on_gone */
-struct hreq
+/** struct httpd_req - a request; valid until its answer is done or
+ * on_disconnect */
+struct httpd_req
 {
-  uint64_t no; /* never reused by this server */
+  uint64_t id; /* never reused by this server */
   const char *method;
   const char *path;       /* with the query, terminated */
   const char *bearer;     /* of the Authorization header, or NULL */
@@ -27,12 +28,12 @@
 };
 
 /**
- * hreq_header() - Another header of the request, or NULL.
+ * httpd_req_header() - Another header of the request, or NULL.
  * @name: in lower case
  *
  * Return: valid as long as @rq; call it only from on_request.
  */
-const char *hreq_header (const struct hreq *rq, const char *name);
+const char *httpd_req_header (const struct httpd_req *rq, const char *name);
 
 struct httpd_conf
 {
@@ -41,9 +42,9 @@
   const char *cert; /* files of a PEM chain and key, or NULL for clear text */
   const char *key;
   void *arg;
-  void (*on_request) (void *arg, const struct hreq *rq);
-  /** on_gone - the connection went away before the answer was whole */
-  void (*on_gone) (void *arg, uint64_t no);
+  void (*on_request) (void *arg, const struct httpd_req *rq);
+  /** on_disconnect - the connection went away before the answer was whole */
+  void (*on_disconnect) (void *arg, uint64_t no);
   /** on_drained - a streamed answer may be sent more; may be NULL */
   void (*on_drained) (void *arg, uint64_t no);
 };
@@ -58,8 +59,8 @@
 /** httpd_stop() - Take no more connections; requests in hand go on. */
 void httpd_stop (struct httpd *d);
 
-/** httpd_in_hand() - Requests whose answer is not done. */
-size_t httpd_in_hand (const struct httpd *d);
+/** httpd_n_pending() - Requests whose answer is not done. */
+size_t httpd_n_pending (const struct httpd *d);
 
 /** httpd_answer() - The whole answer; unknown numbers are passed over. */
 void httpd_answer (struct httpd *d, uint64_t no, int status, const char *type,
--- a/net/links.c
+++ b/net/links.c
@@ -68,7 +68,7 @@
   if (len != 32 || !zmq_z85_encode (z85, raw, len))
     return false;
   for (int i = 0; i < conf->n_permitted; i++)
-    if (strcmp (conf->permitted[i], z85) == 0)
+    if (strcmp (conf->permitted_keys[i], z85) == 0)
       return true;
   return false;
 }
@@ -218,13 +218,13 @@
 
   p->router = zmq_socket (p->ctx, ZMQ_ROUTER);
   set_common (p->router);
-  if (conf->public)
+  if (conf->public_key)
     {
       p->zap = zmq_socket (p->ctx, ZMQ_REP);
       if (zmq_bind (p->zap, "inproc://zeromq.zap.01"))
         return -1;
       set_int (p->router, ZMQ_CURVE_SERVER, 1);
-      zmq_setsockopt (p->router, ZMQ_CURVE_SECRETKEY, conf->secret,
+      zmq_setsockopt (p->router, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
       zmq_setsockopt (p->router, ZMQ_ZAP_DOMAIN, "peers", 5);
     }
@@ -278,13 +278,13 @@
   snprintf (l->addr, sizeof l->addr, "%s", addr);
   l->sock = zmq_socket (p->ctx, ZMQ_DEALER);
   set_common (l->sock);
-  if (conf->public)
+  if (conf->public_key)
     {
-      zmq_setsockopt (l->sock, ZMQ_CURVE_SERVERKEY, conf->public,
+      zmq_setsockopt (l->sock, ZMQ_CURVE_SERVERKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->sock, ZMQ_CURVE_PUBLICKEY, conf->public,
+      zmq_setsockopt (l->sock, ZMQ_CURVE_PUBLICKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->sock, ZMQ_CURVE_SECRETKEY, conf->secret,
+      zmq_setsockopt (l->sock, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
     }
   snprintf (url, sizeof url, "tcp://%s", addr);
--- a/net/links.h
+++ b/net/links.h
@@ -23,10 +23,10 @@
 struct links_conf
 {
   uv_loop_t *loop;
-  const char *listen; /* "ip:port" */
-  const char *public; /* own key; NULL: clear text */
-  const char *secret;
-  const char (*permitted)[LINKS_KEY_SIZE]; /* keys that peers may show */
+  const char *listen;     /* "ip:port" */
+  const char *public_key; /* own key; NULL: clear text */
+  const char *secret_key;
+  const char (*permitted_keys)[LINKS_KEY_SIZE]; /* keys that peers may show */
   int n_permitted;
   void *arg;
   void (*on_message) (void *arg, const char *buf, size_t len);
--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -80,7 +80,8 @@
   if (m)
     m->running--;
   /* Orders to stop the member may have been lost as well (walk, seed 184). */
-  if (how == END_ALONE && s->now_ms - e->fault_ms > FAULT_NEAR_MS)
+  if (how == RUN_END_GANG_INCOMPLETE
+      && s->now_ms - e->fault_ms > FAULT_NEAR_MS)
     fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s waited in vain",
                     r->task.job, (long long)r->task.step,
                     (long long)r->task.index, (long long)r->run, e->id);
@@ -88,7 +89,7 @@
     {
       e->n_ends++;
       *end = (struct end_row){
-        .no = ++e->last_end, .task = r->task, .run = r->run, .how = how
+        .seq = ++e->last_end, .task = r->task, .run_id = r->run, .how = how
       };
     }
   e->runs[i] = e->runs[--e->n_runs];
@@ -104,9 +105,9 @@
         {
           struct frun *r = &e->runs[i];
           if (s->now_ms >= e->lease_until_ms)
-            end_run (s, e, i, END_LAPSED);
+            end_run (s, e, i, RUN_END_LAPSED);
           else if (s->now_ms >= r->end_ms)
-            end_run (s, e, i, r->stopping ? END_STOPPED : r->how);
+            end_run (s, e, i, r->stopping ? RUN_END_STOPPED : r->how);
         }
     }
 }
@@ -139,7 +140,7 @@
 
   r->waits = false;
   r->end_ms = s->now_ms + j->task_ms[r->task.step];
-  r->how = END_DONE;
+  r->how = RUN_END_DONE;
 }
 
 /* A gang works only once all are there, and waits for GANG_MS. */
@@ -148,7 +149,7 @@
 {
   r->waits = true;
   r->end_ms = s->now_ms + GANG_MS;
-  r->how = END_ALONE;
+  r->how = RUN_END_GANG_INCOMPLETE;
   if (members (s, &r->task, r->run, NULL) == step->tasks)
     members (s, &r->task, r->run, set_to_work);
 }
@@ -170,15 +171,15 @@
   if (m->running > 1)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: runs elsewhere",
                     o->task.job, (long long)o->task.step,
-                    (long long)o->task.index, (long long)o->run, e->id);
+                    (long long)o->task.index, (long long)o->run_id, e->id);
   if (m->noted)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: done before",
                     o->task.job, (long long)o->task.step,
-                    (long long)o->task.index, (long long)o->run, e->id);
+                    (long long)o->task.index, (long long)o->run_id, e->id);
   if (m->failed >= j->spec.attempts)
     fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d have failed",
                     o->task.job, (long long)o->task.step,
-                    (long long)o->task.index, (long long)o->run, m->failed);
+                    (long long)o->task.index, (long long)o->run_id, m->failed);
   if (j->refused)
     fsim_violation (s, "REFUSED %s starts", o->task.job);
 }
@@ -197,18 +198,19 @@
     }
   e->n_runs++;
   *r = (struct frun){ .task = o->task,
-                      .run = o->run,
+                      .run = o->run_id,
                       .begin_ms = s->now_ms,
                       .end_ms = s->now_ms + j->task_ms[o->task.step],
-                      .how = j->poison || e->fails ? END_FAILED : END_DONE,
+                      .how
+                      = j->poison || e->fails ? RUN_END_FAILED : RUN_END_DONE,
                       .need = j->spec.steps[o->task.step].need };
-  if (r->how == END_FAILED)
+  if (r->how == RUN_END_FAILED)
     r->end_ms = s->now_ms + 50;
   if (e->hangs)
     r->end_ms = INT64_MAX;
   m->running++;
   m->starts++;
-  if (j->spec.steps[o->task.step].gang && r->how == END_DONE)
+  if (j->spec.steps[o->task.step].gang && r->how == RUN_END_DONE)
     join_gang (s, r, &j->spec.steps[o->task.step]);
   check_start (s, e, o, j, m);
 }
@@ -216,16 +218,16 @@
 static int
 start (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  if (o->fence < e->fence)
+  if (o->fencing_token < e->fence)
     return REFUSED_FENCE;
-  if (o->deadline_ms <= s->now_ms - e->born_ms)
-    return REFUSED_LATE;
+  if (o->lease_deadline_ms <= s->now_ms - e->born_ms)
+    return REFUSED_LEASE_OVER;
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run)
+    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
       return -1;
   for (int i = 0; i < e->n_past; i++)
-    if (same_task (&e->past[i].task, &o->task) && e->past[i].run >= o->run)
-      return REFUSED_OLD;
+    if (same_task (&e->past[i].task, &o->task) && e->past[i].run >= o->run_id)
+      return REFUSED_STALE_RUN;
   begin_run (s, e, o);
   return -1;
 }
@@ -244,9 +246,9 @@
 static void
 stop (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  remember (e, &o->task, o->run);
+  remember (e, &o->task, o->run_id);
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run)
+    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
       {
         e->runs[i].stopping = true;
         if (e->runs[i].end_ms > s->now_ms + STOP_MS)
@@ -263,17 +265,17 @@
     {
       const struct end_row *end = &e->ends[i];
       struct fmark *m = mark_of (s, &end->task);
-      if (end->no > recorded)
+      if (end->seq > recorded)
         {
           e->ends[kept++] = *end;
           continue;
         }
-      if (m && end->how == END_DONE)
+      if (m && end->how == RUN_END_DONE)
         {
           m->done = true;
           m->noted = true;
         }
-      if (m && end->how == END_FAILED)
+      if (m && end->how == RUN_END_FAILED)
         m->failed++;
     }
   e->n_ends = kept;
@@ -290,7 +292,7 @@
       int64_t whole = r->end_ms - r->begin_ms;
       res->runs[res->n_runs++] = (struct run_row){
         .task = r->task,
-        .run = r->run,
+        .run_id = r->run,
         .percent = whole > 0 ? (s->now_ms - r->begin_ms) * 100 / whole : 0
       };
     }
@@ -316,7 +318,7 @@
     }
   order_result_clear (&d->res);
   free (d->order.text);
-  free (d->order.names);
+  free (d->order.execs);
   free (d);
 }
 
@@ -342,15 +344,15 @@
 
   fexec_tick (s);
   res->clock_ms = s->now_ms - e->born_ms;
-  res->born_ms = e->born_ms;
+  res->boot_start_ms = e->born_ms;
   res->outcome = ORDER_DONE;
-  if (o->fence < e->fence)
+  if (o->fencing_token < e->fence)
     refusal = REFUSED_FENCE;
   else
     {
-      e->fence = o->fence;
-      if (o->deadline_ms)
-        extend (s, e, o->deadline_ms);
+      e->fence = o->fencing_token;
+      if (o->lease_deadline_ms)
+        extend (s, e, o->lease_deadline_ms);
       if (o->kind == ORDER_STOP)
         stop (s, e, o);
       else if (o->kind == ORDER_START)
@@ -362,10 +364,10 @@
       res->reason = refusal;
       return true;
     }
-  if (o->kind != ORDER_HOLD)
+  if (o->kind != ORDER_POLL)
     return true;
   if (first)
-    forget_ends (s, e, o->recorded);
+    forget_ends (s, e, o->recorded_end_seq);
   if (e->n_ends == 0 && !waited)
     return false;
   fill_lists (s, e, res);
@@ -403,7 +405,7 @@
   d->life = s->inst[i]->life;
   d->order = *o;
   d->order.text = o->text ? strdup (o->text) : NULL;
-  d->order.names = NULL;
+  d->order.execs = NULL;
   clb_copy (d->exec, o->exec, sizeof d->exec);
   d->until_ms = s->now_ms + o->wait_ms;
   return d;
@@ -431,7 +433,7 @@
       fsim_at (s, FSIM_LINK_MS, result, d);
       return;
     }
-  if (o->kind != ORDER_HOLD && fsim_random (s) < e->late)
+  if (o->kind != ORDER_POLL && fsim_random (s) < e->late)
     {
       struct delivery *late = delivery_new (s, i, o);
       late->born_ms = e->born_ms;
@@ -466,12 +468,12 @@
 {
   res->outcome = ORDER_DONE;
   res->valid_ms = ADVICE_VALID_MS;
-  res->good = calloc (o->n_names + 1, sizeof *res->good);
-  for (size_t k = 0; k < o->n_names; k++)
-    if (is_good (s, o->task.job, o->task.step, o->names[k]))
+  res->permitted = calloc (o->n_execs + 1, sizeof *res->permitted);
+  for (size_t k = 0; k < o->n_execs; k++)
+    if (is_good (s, o->task.job, o->task.step, o->execs[k]))
       {
-        struct good_row *g = &res->good[res->n_good++];
-        clb_copy (g->exec, o->names[k], sizeof g->exec);
+        struct permitted_exec *g = &res->permitted[res->n_permitted++];
+        clb_copy (g->exec, o->execs[k], sizeof g->exec);
         clb_copy (g->ticket, "t", sizeof g->ticket);
       }
 }
@@ -483,7 +485,7 @@
   struct finst *in = s->inst[i];
   struct fjob *j = fsim_job (s, o->task.job);
   double cost = j ? j->spec.advice.base_ms
-                        + j->spec.advice.each_ms * (double)o->n_names
+                        + j->spec.advice.per_exec_ms * (double)o->n_execs
                   : 1;
   int64_t begin
       = in->advice_until_ms > s->now_ms ? in->advice_until_ms : s->now_ms;
