--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -140,8 +140,8 @@
   clb_copy (out->id, id, sizeof out->id);
   clb_copy (out->addr, id, sizeof out->addr);
   clb_copy (out->service, "svc", sizeof out->service);
-  out->room.millicores = cores;
-  out->room.mem_mb = mem;
+  out->capacity.millicores = cores;
+  out->capacity.mem_mb = mem;
   out->draining = draining;
   return 0;
 }
@@ -174,7 +174,7 @@
         c->version = n;
       else if (sscanf (line, "queue %47s %lld %lld %lf %lld %lf %lf", q.name,
                        &prio, &attempts, &q.slack, &target, &q.advice.base_ms,
-                       &q.advice.each_ms)
+                       &q.advice.per_exec_ms)
                == 7)
         {
           q.priority = prio;
@@ -243,7 +243,7 @@
 inst_of (const struct fsim *s, const char *addr)
 {
   for (int i = 0; i < s->n_inst; i++)
-    if (strcmp (s->inst[i]->fleet.set.mesh_addr, addr) == 0)
+    if (strcmp (s->inst[i]->fleet.settings.mesh_addr, addr) == 0)
       return i;
   return -1;
 }
@@ -261,7 +261,7 @@
     }
   if (in->up && in->life == d->life && in->cut_until_ms <= s->now_ms)
     {
-      fleet_mesh (&in->fleet, s->now_ms, d->msg);
+      fleet_mesh_msg (&in->fleet, s->now_ms, d->msg);
       fsim_pump (s, d->to);
     }
   mesh_free (d->msg);
@@ -442,9 +442,9 @@
 fsim_leader (const struct fsim *s)
 {
   for (int i = 0; i < s->n_inst; i++)
-    if (s->inst[i]->up && !s->inst[i]->frozen && s->inst[i]->fleet.cell
-        && s->inst[i]->fleet.cell->going
-        && lead_may_admit (&s->inst[i]->fleet.lead, s->now_ms))
+    if (s->inst[i]->up && !s->inst[i]->frozen && s->inst[i]->fleet.fsched
+        && s->inst[i]->fleet.fsched->loaded
+        && leader_lease_valid (&s->inst[i]->fleet.leader, s->now_ms))
       return i;
   return -1;
 }
@@ -467,7 +467,7 @@
   rq.host = "h";
   rq.path = id;
   rq.key = key;
-  rq.within_ms = 3000;
+  rq.timeout_ms = 3000;
   rq.body = body;
   rq.body_len = body ? strlen (body) : 0;
   if (!s->inst[instance]->up || s->inst[instance]->frozen)
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -199,7 +199,7 @@
     }
   if (in->up && in->life == q->life)
     {
-      fleet_store (&in->fleet, s->now_ms, q->token, &q->rep);
+      fleet_store_reply (&in->fleet, s->now_ms, q->token, &q->rep);
       fsim_pump (s, q->inst);
     }
   codec_free (&store_op_desc, &q->op);
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -104,7 +104,8 @@
   lua_pop (l, 1);
   /* What advice costs, as in the configuration of regress/fleet/lib.lua. */
   j->spec.advice.base_ms = (double)field (l, 1, "advice_base_us", 0) / 1000;
-  j->spec.advice.each_ms = (double)field (l, 1, "advice_each_us", 0) / 1000;
+  j->spec.advice.per_exec_ms
+      = (double)field (l, 1, "advice_each_us", 0) / 1000;
   j->poison = field (l, 1, "poison", 0);
   j->spec.attempts = field (l, 1, "attempts", 3);
   j->state = -1;
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -217,7 +217,7 @@
              const struct frun *run)
 {
   clb_res_add (&s->used, &run->need, 1);
-  if (!clb_res_fits (&s->used, &s->inst.room))
+  if (!clb_res_fits (&s->used, &s->inst.capacity))
     broken (c, "%s overcommitted by %s", s->inst.id, run->id);
   if (++k->running[i] > 1)
     broken (c, "%s member %d runs in two places", k->name, i);
@@ -260,7 +260,7 @@
   clb_res_add (&s->used, &slot, started ? 1 : -1);
   if (started)
     {
-      if (!clb_res_fits (&s->used, &s->inst.room))
+      if (!clb_res_fits (&s->used, &s->inst.capacity))
         broken (c, "%s has more requests than slots", s->inst.id);
       if (++k->served > 1 && !wc->idempotent)
         broken (c, "%s is not idempotent and was sent again", k->name);
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -330,7 +330,7 @@
       struct wnode *n = &world.nodes[i];
       if (n->up && strcmp (n->set.domain, domain) == 0 && n->node.sched
           && n->node.sched->phase == SCHED_READY
-          && n->node.role.state == ROLE_HOLD
+          && n->node.role.state == ROLE_HOLDER
           && (!best || n->node.role.epoch > best->node.role.epoch))
         best = n;
     }
@@ -442,7 +442,7 @@
               "still %lld promise %lld up %d sched %d\n",
               n->set.id, n->up, n->frozen, r->state, r->row.holder,
               (long long)r->row.boot, (long long)r->row.epoch, r->row_known,
-              (long long)(world.now_ms - r->still_since_ms),
+              (long long)(world.now_ms - r->row_changed_ms),
               (long long)(r->promise_until_ms - world.now_ms), r->store_up,
               n->up && n->node.sched ? n->node.sched->phase : -1);
     }
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -682,7 +682,7 @@
   s->world = w;
   s->listed = true;
   s->inst.kind = kind;
-  s->inst.room = *room;
+  s->inst.capacity = *room;
   clb_copy (s->inst.id, id, sizeof s->inst.id);
   clb_copy (s->inst.domain, domain, sizeof s->inst.domain);
   clb_copy (s->inst.rack, rack, sizeof s->inst.rack);
@@ -730,7 +730,7 @@
   struct wnode *n = world_node (w, proto->entry);
   struct wcall *c = &w->calls[w->n_calls++];
   struct request rq = {
-    .call = (uint64_t)w->n_calls,
+    .http_call = (uint64_t)w->n_calls,
     .method = method,
     .path = path,
     .bearer = bearer,
--- a/regress/standin/backendd.c
+++ b/regress/standin/backendd.c
@@ -75,7 +75,7 @@
 }
 
 static void
-on_service (struct server *s, const struct hreq *rq)
+on_service (struct server *s, const struct httpd_req *rq)
 {
   struct job *j = calloc (1, sizeof *j);
   size_t pad = (size_t)query (rq->path, "bytes=", 0);
@@ -84,7 +84,7 @@
   if (!j)
     abort ();
   j->s = s;
-  j->no = rq->no;
+  j->no = rq->id;
   j->status = (int)query (rq->path, "status=", s->w.fail_all ? 500 : 200);
   j->text = malloc (rq->body_len + pad + 256);
   if (!j->text)
@@ -102,7 +102,7 @@
 }
 
 static void
-on_sync (struct server *s, const struct hreq *rq)
+on_sync (struct server *s, const struct httpd_req *rq)
 {
   struct sync_req req;
   struct sync_rep rep;
@@ -112,15 +112,15 @@
   if (codec_parse (&sync_req_desc, rq->body, rq->body_len, CODEC_LENIENT, &req,
                    &ce))
     {
-      httpd_answer (s->http, rq->no, 400, NULL, "", 0, 0);
+      httpd_answer (s->http, rq->id, 400, NULL, "", 0, 0);
       return;
     }
   if (fworker_sync (&s->w, now_ms (), &req, &rep))
-    httpd_answer (s->http, rq->no, 409, NULL, "", 0, 0);
+    httpd_answer (s->http, rq->id, 409, NULL, "", 0, 0);
   else
     {
       text = codec_text (&sync_rep_desc, &rep);
-      httpd_answer (s->http, rq->no, 200, "application/json", text,
+      httpd_answer (s->http, rq->id, 200, "application/json", text,
                     strlen (text), 0);
       free (text);
       codec_free (&sync_rep_desc, &rep);
@@ -130,7 +130,7 @@
 
 /* {"fail_all": true, "leaving": true, "fence": true, "reboot": 7} */
 static void
-on_control (struct server *s, const struct hreq *rq)
+on_control (struct server *s, const struct httpd_req *rq)
 {
   json_t *json = json_loadb (rq->body, rq->body_len, 0, NULL);
   json_t *v;
@@ -144,11 +144,11 @@
   if ((v = json_object_get (json, "reboot")))
     fworker_reboot (&s->w, now_ms (), json_integer_value (v));
   json_decref (json);
-  httpd_answer (s->http, rq->no, 200, NULL, "", 0, 0);
+  httpd_answer (s->http, rq->id, 200, NULL, "", 0, 0);
 }
 
 static void
-on_request (void *arg, const struct hreq *rq)
+on_request (void *arg, const struct httpd_req *rq)
 {
   struct server *s = arg;
 
@@ -198,7 +198,7 @@
                              .body_max = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
-                             .on_gone = on_gone };
+                             .on_disconnect = on_gone };
   int err;
 
   fworker_init (&s->w, now_ms () + 1);
@@ -215,12 +215,12 @@
   clb_copy (s->inst.addr, httpd_addr (s->http), sizeof s->inst.addr);
   s->inst.kind = executor ? INST_EXECUTOR : INST_WORKER;
   if (executor)
-    s->inst.room.slots = SLOTS;
+    s->inst.capacity.slots = SLOTS;
   else
     {
-      s->inst.room.cores = 16;
-      s->inst.room.mem_mb = 32768;
-      s->inst.room.accels = i % 4 == 0 ? 1 : 0;
+      s->inst.capacity.cores = 16;
+      s->inst.capacity.mem_mb = 32768;
+      s->inst.capacity.accels = i % 4 == 0 ? 1 : 0;
     }
   return 0;
 }
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -174,7 +174,7 @@
 
 /* 0, or -1 for a transaction that cannot be read. */
 static int
-read_op (const struct hreq *rq, struct store_op *op)
+read_op (const struct httpd_req *rq, struct store_op *op)
 {
   char name[128], part[128], from[256], number[32];
   json_auto_t *body = NULL;
@@ -259,15 +259,15 @@
 }
 
 static void
-on_table (void *arg, const struct hreq *rq)
+on_table (void *arg, const struct httpd_req *rq)
 {
   struct wait *w = calloc (1, sizeof *w);
 
   w->server = arg;
-  w->no = rq->no;
+  w->no = rq->id;
   if (read_op (rq, &w->op))
     {
-      answer (&table, rq->no, 400, json_object ());
+      answer (&table, rq->id, 400, json_object ());
       codec_free (&store_op_desc, &w->op);
       free (w);
       return;
@@ -275,7 +275,7 @@
   w->until_ms = now () + w->op.wait_ms;
   if (now () < sim->table.down_until_ms)
     {
-      answer (&table, rq->no, 503, json_object ());
+      answer (&table, rq->id, 503, json_object ());
       codec_free (&store_op_desc, &w->op);
       free (w);
       return;
@@ -290,7 +290,7 @@
       free (w);
       return;
     }
-  if (!try_op (rq->no, &w->op, w->until_ms))
+  if (!try_op (rq->id, &w->op, w->until_ms))
     {
       TAILQ_INSERT_TAIL (&waits, w, link);
       return;
@@ -316,22 +316,23 @@
     {
       const struct run_row *r = &res->runs[i];
       pf_task_name (&r->task, true, name, sizeof name);
-      json_array_append_new (running,
-                             json_pack ("[s,I,s,I]", name, (json_int_t)r->run,
-                                        r->saved, (json_int_t)r->percent));
+      json_array_append_new (
+          running, json_pack ("[s,I,s,I]", name, (json_int_t)r->run_id,
+                              r->checkpoint, (json_int_t)r->percent));
     }
   for (size_t i = 0; i < res->n_ends; i++)
     {
       const struct end_row *e = &res->ends[i];
       pf_task_name (&e->task, true, name, sizeof name);
-      json_array_append_new (
-          finished, json_pack ("[I,s,I,s,s]", (json_int_t)e->no, name,
-                               (json_int_t)e->run, hows[e->how], e->saved));
+      json_array_append_new (finished,
+                             json_pack ("[I,s,I,s,s]", (json_int_t)e->seq,
+                                        name, (json_int_t)e->run_id,
+                                        hows[e->how], e->checkpoint));
     }
   return json_pack ("{s:I, s:I, s:o, s:o, s:s}", "clock_ms",
                     (json_int_t)res->clock_ms, "born",
-                    (json_int_t)res->born_ms, "running", running, "finished",
-                    finished, "reason", reasons[res->reason]);
+                    (json_int_t)res->boot_start_ms, "running", running,
+                    "finished", finished, "reason", reasons[res->reason]);
 }
 
 static int64_t
@@ -341,7 +342,7 @@
 }
 
 static void
-read_order (const struct hreq *rq, struct order *o)
+read_order (const struct httpd_req *rq, struct order *o)
 {
   json_error_t je;
   json_auto_t *body = json_loadb (rq->body, rq->body_len, 0, &je);
@@ -349,13 +350,13 @@
 
   o->kind = strcmp (rq->path, "/api/run-start") == 0  ? ORDER_START
             : strcmp (rq->path, "/api/run-stop") == 0 ? ORDER_STOP
-                                                      : ORDER_HOLD;
+                                                      : ORDER_POLL;
   if (task)
     pf_task_parse (task, &o->task);
-  o->run = number (body, "run");
-  o->fence = number (body, "fencing_token");
-  o->deadline_ms = number (body, "deadline_ms");
-  o->recorded = number (body, "last_seen");
+  o->run_id = number (body, "run");
+  o->fencing_token = number (body, "fencing_token");
+  o->lease_deadline_ms = number (body, "deadline_ms");
+  o->recorded_end_seq = number (body, "last_seen");
   o->wait_ms = number (body, "wait_ms");
 }
 
@@ -388,21 +389,21 @@
   j->spec.steps = calloc (j->spec.n_steps, sizeof *j->spec.steps);
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
-      j->spec.steps[i].tasks = JOB_TASKS_MAX;
+      j->spec.steps[i].tasks = JOB_STEP_TASKS_MAX;
       j->task_ms[i] = 300;
     }
-  j->marks = calloc (4 * JOB_TASKS_MAX, sizeof *j->marks);
+  j->marks = calloc (4 * JOB_STEP_TASKS_MAX, sizeof *j->marks);
   RB_INSERT (fjob_tree, &sim->jobs, j);
 }
 
 static void
-on_exec (void *arg, const struct hreq *rq)
+on_exec (void *arg, const struct httpd_req *rq)
 {
   struct wait *w = calloc (1, sizeof *w);
 
   sim->now_ms = now ();
   w->server = arg;
-  w->no = rq->no;
+  w->no = rq->id;
   if (!w->server->exec->up || now () < w->server->exec->cut_until_ms)
     {
       /* Dark: the caller gives up. */
@@ -412,14 +413,14 @@
   read_order (rq, &w->order);
   learn_job (&w->order);
   w->until_ms = now () + w->order.wait_ms;
-  if (!try_order (w->server, rq->no, &w->order, true, w->order.wait_ms == 0))
+  if (!try_order (w->server, rq->id, &w->order, true, w->order.wait_ms == 0))
     TAILQ_INSERT_TAIL (&waits, w, link);
   else
     free (w);
 }
 
 static void
-on_advice (void *arg, const struct hreq *rq)
+on_advice (void *arg, const struct httpd_req *rq)
 {
   struct server *s = arg;
   json_error_t je;
@@ -431,7 +432,7 @@
   json_array_foreach (json_object_get (body, "workers"), i, name)
     json_array_append_new (
         good, json_pack ("[s,s]", json_string_value (name), "ticket"));
-  answer (s, rq->no, 200,
+  answer (s, rq->id, 200,
           json_pack ("{s:o, s:i}", "good", good, "valid_ms", 2000));
 }
 
@@ -486,13 +487,13 @@
 
 static void
 serve (struct server *s, int port,
-       void (*on_request) (void *arg, const struct hreq *rq))
+       void (*on_request) (void *arg, const struct httpd_req *rq))
 {
   struct httpd_conf conf = { .addr = s->addr,
                              .body_max = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
-                             .on_gone = on_gone };
+                             .on_disconnect = on_gone };
   int err;
 
   snprintf (s->addr, sizeof s->addr, "127.0.0.1:%d", port);
--- a/regress/standin/platformd.c
+++ b/regress/standin/platformd.c
@@ -85,7 +85,7 @@
 }
 
 static void
-on_store (struct platform *p, const struct hreq *rq)
+on_store (struct platform *p, const struct httpd_req *rq)
 {
   struct store_op op;
   struct store_rep rep;
@@ -94,26 +94,26 @@
 
   if (p->outage)
     {
-      refuse (p, rq->no, STATUS_NO_EFFECT);
+      refuse (p, rq->id, STATUS_NO_EFFECT);
       return;
     }
   if (codec_parse (&store_op_desc, rq->body, rq->body_len, CODEC_STRICT, &op,
                    &ce))
     {
-      refuse (p, rq->no, 400);
+      refuse (p, rq->id, 400);
       return;
     }
   fstore_apply (p->store, &op, &rep);
   lose = op.kind == STORE_TXN && p->lose_every > 0
          && ++p->writes % p->lose_every == 0;
   if (!lose)
-    answer (p, rq->no, codec_text (&store_rep_desc, &rep));
+    answer (p, rq->id, codec_text (&store_rep_desc, &rep));
   codec_free (&store_rep_desc, &rep);
   codec_free (&store_op_desc, &op);
 }
 
 static void
-on_control (struct platform *p, const struct hreq *rq)
+on_control (struct platform *p, const struct httpd_req *rq)
 {
   json_t *json = json_loadb (rq->body, rq->body_len, 0, NULL);
   json_t *list = json_object_get (json, "instances");
@@ -132,23 +132,23 @@
       free (text);
     }
   json_decref (json);
-  refuse (p, rq->no, json ? 200 : 400);
+  refuse (p, rq->id, json ? 200 : 400);
 }
 
 static void
-on_stats (struct platform *p, const struct hreq *rq)
+on_stats (struct platform *p, const struct httpd_req *rq)
 {
   char text[96];
   int len = snprintf (text, sizeof text, "{\"writes\":%llu,\"reads\":%llu}",
                       (unsigned long long)fstore_writes (p->store),
                       (unsigned long long)fstore_reads (p->store));
 
-  httpd_answer (p->http, rq->no, 200, "application/json", text, (size_t)len,
+  httpd_answer (p->http, rq->id, 200, "application/json", text, (size_t)len,
                 0);
 }
 
 static void
-on_request (void *arg, const struct hreq *rq)
+on_request (void *arg, const struct httpd_req *rq)
 {
   struct platform *p = arg;
 
@@ -174,7 +174,7 @@
   struct httpd_conf conf = { .arg = &p,
                              .body_max = BODY_MAX,
                              .on_request = on_request,
-                             .on_gone = on_gone };
+                             .on_disconnect = on_gone };
   int err;
 
   if (argc != 2)
--- a/regress/unit/codec_test.c
+++ b/regress/unit/codec_test.c
@@ -24,7 +24,7 @@
   struct pmsg m = { .kind = PM_CALL, .boot = 7 };
 
   clb_copy (m.from, "a1", sizeof m.from);
-  m.u.call.no = 99;
+  m.u.call.seq = 99;
   m.u.call.verb = CALL_ACQUIRE;
   clb_copy (m.u.call.id, "a.a1-7-99", sizeof m.u.call.id);
   clb_copy (m.u.call.team, "red", sizeof m.u.call.team);
@@ -48,7 +48,7 @@
   CU_ASSERT_EQUAL (back.kind, PM_CALL);
   CU_ASSERT_EQUAL (back.boot, 7);
   CU_ASSERT_STRING_EQUAL (back.from, "a1");
-  CU_ASSERT_EQUAL (back.u.call.no, 99);
+  CU_ASSERT_EQUAL (back.u.call.seq, 99);
   CU_ASSERT_EQUAL (back.u.call.verb, CALL_ACQUIRE);
   CU_ASSERT_STRING_EQUAL (back.u.call.id, "a.a1-7-99");
   CU_ASSERT_STRING_EQUAL (back.u.call.team, "red");
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -68,10 +68,10 @@
 
   clb_copy (hello.from, from, sizeof hello.from);
   clb_copy (hello.addr, from, sizeof hello.addr);
-  fleet_mesh (f, now_ms, &hello);
+  fleet_mesh_msg (f, now_ms, &hello);
   while ((o = fleet_next_out (f)))
     {
-      if (o->kind == OUT_MESH && o->u.mesh.msg->kind == MESH_LEADER)
+      if (o->kind == OUT_MESH && o->u.mesh.msg->kind == MESH_HELLO_REPLY)
         rank = o->u.mesh.msg->rank;
       out_free (o);
     }
@@ -85,9 +85,9 @@
   struct fleet f;
 
   start (&f, 1796352007000);
-  f.lead.state = LEAD_HOLD;
-  f.lead.renewed_ms = 1000;
-  f.cell = cell_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.cell);
+  f.leader.state = LEADER_LEADING;
+  f.leader.renewed_ms = 1000;
+  f.fsched = fsched_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.fsched);
   CU_ASSERT_EQUAL (rank_told (&f, 1100, "n2"), 0);
   CU_ASSERT_EQUAL (rank_told (&f, 2600, "n2"), 1);
   fleet_fini (&f);
@@ -96,15 +96,15 @@
 static void
 test_earlier_rank_stands (void)
 {
-  struct lead l;
+  struct leader l;
   struct outq out = TAILQ_HEAD_INITIALIZER (out);
   uint64_t tokens = 0;
 
-  lead_init (&l, 0, "n1", "a", 1, 120, &out, &tokens);
-  lead_heard (&l, 100, 1, 8);
-  lead_heard (&l, 200, 2, -1);
+  leader_init (&l, 0, "n1", "a", 1, 120, &out, &tokens);
+  leader_contact (&l, 100, 1, 8);
+  leader_contact (&l, 200, 2, -1);
   CU_ASSERT_EQUAL (l.rank, 8);
-  lead_fini (&l);
+  leader_fini (&l);
 }
 
 UNIT_MAIN ("fleet",
--- a/regress/unit/place_test.c
+++ b/regress/unit/place_test.c
@@ -4,18 +4,18 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct pl pl;
+static struct pool pool;
 
 static struct worker *
 add (const char *id, const char *rack, int64_t cores, int64_t accels)
 {
   struct inst in
       = { .kind = INST_WORKER,
-          .room = { .cores = cores, .mem_mb = 1000, .accels = accels } };
+          .capacity = { .cores = cores, .mem_mb = 1000, .accels = accels } };
 
   clb_copy (in.id, id, sizeof in.id);
   clb_copy (in.rack, rack, sizeof in.rack);
-  struct worker *w = pl_add (&pl, &in);
+  struct worker *w = pool_add (&pool, &in);
   w->state = WORKER_LIVE;
   w->listed = true;
   return w;
@@ -26,7 +26,7 @@
 {
   int64_t looked_at;
 
-  return pl_pick (&pl, spec, avoid, 0, out, &looked_at);
+  return pool_pick (&pool, spec, avoid, 0, out, &looked_at);
 }
 
 static void
@@ -35,7 +35,7 @@
   struct spec spec = { .members = 1, .need = { .cores = 3 } };
   struct worker *got[1];
 
-  pl_init (&pl);
+  pool_init (&pool);
   add ("big", "r", 16, 0);
   add ("small", "r", 4, 0);
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_BEST_FIT);
@@ -43,7 +43,7 @@
   CU_ASSERT_EQUAL (got[0]->used.cores, 3);
   CU_ASSERT_EQUAL (pick (&spec, "big", got), WHY_BEST_FIT);
   CU_ASSERT_STRING_EQUAL (got[0]->inst.id, "big");
-  pl_clear (&pl);
+  pool_clear (&pool);
 }
 
 static void
@@ -52,12 +52,12 @@
   struct spec spec = { .members = 1, .need = { .cores = 4 } };
   struct worker *got[1];
 
-  pl_init (&pl);
+  pool_init (&pool);
   add ("accel", "r", 4, 1);
   add ("plain", "r", 16, 0);
   pick (&spec, "", got);
   CU_ASSERT_STRING_EQUAL (got[0]->inst.id, "plain");
-  pl_clear (&pl);
+  pool_clear (&pool);
 }
 
 static void
@@ -66,7 +66,7 @@
   struct spec spec = { .members = 3, .need = { .cores = 8 } };
   struct worker *got[3];
 
-  pl_init (&pl);
+  pool_init (&pool);
   struct worker *a = add ("a", "r1", 16, 0);
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_WORKER_FITS);
   CU_ASSERT_EQUAL (a->used.cores, 0);
@@ -76,7 +76,7 @@
   CU_ASSERT_EQUAL (a->used.cores, 0);
   b->used.cores = 0;
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_BEST_FIT);
-  pl_clear (&pl);
+  pool_clear (&pool);
 }
 
 static void
@@ -88,20 +88,20 @@
       = { .members = 2, .same_rack = true, .need = { .cores = 8 } };
   struct worker *got[2];
 
-  pl_init (&pl);
+  pool_init (&pool);
   add ("a", "r1", 8, 0);
   add ("b", "r1", 8, 0);
   add ("c", "r2", 8, 0);
   pick (&spread, "", got);
   CU_ASSERT_STRING_NOT_EQUAL (got[0]->inst.rack, got[1]->inst.rack);
-  pl_clear (&pl);
-  pl_init (&pl);
+  pool_clear (&pool);
+  pool_init (&pool);
   add ("a", "r1", 8, 0);
   add ("b", "r2", 8, 0);
   add ("c", "r2", 8, 0);
   CU_ASSERT_EQUAL (pick (&near, "", got), WHY_BEST_FIT);
   CU_ASSERT_STRING_EQUAL (got[0]->inst.rack, got[1]->inst.rack);
-  pl_clear (&pl);
+  pool_clear (&pool);
 }
 
 static void
@@ -110,7 +110,7 @@
   struct spec spec = { .members = 1, .need = { .cores = 1 } };
   struct worker *got[1];
 
-  pl_init (&pl);
+  pool_init (&pool);
   struct worker *w = add ("a", "r", 8, 0);
   w->leaving = true;
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
@@ -118,9 +118,9 @@
   w->quarantine_until_ms = 5;
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
   w->quarantine_until_ms = 0;
-  w->state = WORKER_SILENT;
+  w->state = WORKER_UNREACHABLE;
   CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
-  pl_clear (&pl);
+  pool_clear (&pool);
 }
 
 UNIT_MAIN ("place", { "tightest worker", test_tightest },
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -43,8 +43,8 @@
   CU_ASSERT_STRING_EQUAL (rep.addr, "10.0.0.9:80");
   CU_ASSERT_STRING_EQUAL (rep.rack, "r1-3");
   CU_ASSERT_STRING_EQUAL (rep.labels, ",kind,r1-3,");
-  CU_ASSERT_EQUAL (rep.room.millicores, 16000);
-  CU_ASSERT_EQUAL (rep.born_ms, 7);
+  CU_ASSERT_EQUAL (rep.capacity.millicores, 16000);
+  CU_ASSERT_EQUAL (rep.boot_start_ms, 7);
 }
 
 static void
@@ -84,7 +84,7 @@
       fconf_free (c);
       return;
     }
-  CU_ASSERT_DOUBLE_EQUAL (q->advice.each_ms, 4.4, 1e-9);
+  CU_ASSERT_DOUBLE_EQUAL (q->advice.per_exec_ms, 4.4, 1e-9);
   CU_ASSERT_DOUBLE_EQUAL (q->slack, 2.2, 1e-9);
   CU_ASSERT_PTR_NULL (fconf_queue_for (c, "h", "/other/"));
   CU_ASSERT_PTR_NOT_NULL (fconf_tenant_of_key (c, "k2"));
@@ -143,16 +143,16 @@
 {
   struct order_result res;
 
-  pf_order_decode (ORDER_HOLD, HTTPC_OK, 200, hold, strlen (hold), &res);
+  pf_order_decode (ORDER_POLL, HTTPC_OK, 200, hold, strlen (hold), &res);
   CU_ASSERT_EQUAL (res.outcome, ORDER_DONE);
   CU_ASSERT_EQUAL (res.clock_ms, 5);
-  CU_ASSERT_EQUAL (res.born_ms, 9);
+  CU_ASSERT_EQUAL (res.boot_start_ms, 9);
   CU_ASSERT_EQUAL_FATAL (res.n_runs, 1);
   CU_ASSERT_EQUAL (res.runs[0].percent, 41);
   CU_ASSERT_EQUAL (res.runs[0].task.index, 2);
   /* Rows that make no sense are left out, the others hold. */
   CU_ASSERT_EQUAL_FATAL (res.n_ends, 1);
-  CU_ASSERT_EQUAL (res.ends[0].no, 58);
+  CU_ASSERT_EQUAL (res.ends[0].seq, 58);
   order_result_clear (&res);
 }
 
@@ -172,7 +172,7 @@
       REFUSED_TICKET },
     { HTTPC_OK, 409, "{\"reason\":\"new\"}", ORDER_REFUSED, REFUSED_OTHER },
     { HTTPC_OK, 400, "", ORDER_REFUSED, REFUSED_OTHER },
-    { HTTPC_OK, 421, "", ORDER_WRONG, REFUSED_OTHER },
+    { HTTPC_OK, 421, "", ORDER_WRONG_BOOT, REFUSED_OTHER },
     { HTTPC_OK, 429, "", ORDER_BUSY, REFUSED_OTHER },
     { HTTPC_OK, 503, "", ORDER_BUSY, REFUSED_OTHER },
     { HTTPC_OK, 500, "", ORDER_LOST, REFUSED_OTHER },
@@ -265,7 +265,7 @@
           codec_free (&job_spec_desc, &spec);
         }
       len = damage (hold, text, sizeof text);
-      pf_order_decode (ORDER_HOLD, HTTPC_OK, 200, text, len, &res);
+      pf_order_decode (ORDER_POLL, HTTPC_OK, 200, text, len, &res);
       order_result_clear (&res);
     }
   CU_PASS ("nothing crashed");
