--- a/core/fsched.c
+++ b/core/fsched.c
@@ -1,3 +1,7 @@
+/*
+ * The fleet's scheduler: jobs and their tasks in memory, loading, events and
+ * the periodic work.
+ */
 #include "fsched_impl.h"
 
 #include <stdio.h>
@@ -6,7 +10,7 @@
 
 enum
 {
-  RUNS_A_TERM = 1000, /* run numbers that one leader's term may use up */
+  TERM_RUNS_MAX = 1000, /* run ids of one task that a leader's term may use */
 };
 
 int
@@ -53,30 +57,30 @@
 fsched_new (struct outq *out, uint64_t *tokens, int64_t now_ms, int64_t epoch,
             int64_t wait_ms, struct fsched_stats *stats)
 {
-  struct fsched *c = fsched_zalloc (1, sizeof *c);
-
-  c->out = out;
-  c->tokens = tokens;
-  c->now_ms = now_ms;
-  c->epoch = epoch;
-  c->claimed_ms = now_ms;
-  c->old_leases_end_ms = now_ms + wait_ms;
-  c->stats = stats;
-  TAILQ_INIT (&c->queues);
-  RB_INIT (&c->jobs);
-  RB_INIT (&c->execs_by_id);
-  RB_INIT (&c->ended_jobs);
-  RB_INIT (&c->orders);
-  RB_INIT (&c->early_progress);
-  TAILQ_INIT (&c->queue);
-  TAILQ_INIT (&c->execs);
-  TAILQ_INIT (&c->tenants);
-  intents_init (&c->intents);
-  return c;
+  struct fsched *fs = fsched_zalloc (1, sizeof *fs);
+
+  fs->out = out;
+  fs->tokens = tokens;
+  fs->now_ms = now_ms;
+  fs->epoch = epoch;
+  fs->claimed_ms = now_ms;
+  fs->old_leases_end_ms = now_ms + wait_ms;
+  fs->stats = stats;
+  TAILQ_INIT (&fs->queues);
+  RB_INIT (&fs->jobs);
+  RB_INIT (&fs->execs_by_id);
+  RB_INIT (&fs->ended_jobs);
+  RB_INIT (&fs->orders);
+  RB_INIT (&fs->early_progress);
+  TAILQ_INIT (&fs->queue);
+  TAILQ_INIT (&fs->execs);
+  TAILQ_INIT (&fs->tenants);
+  intents_init (&fs->intents);
+  return fs;
 }
 
 static void
-job_free (struct fsched *c, struct job *j)
+job_free (struct fsched *fs, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
@@ -90,9 +94,9 @@
       advice_free (s);
     }
   free (j->steps);
-  RB_REMOVE (job_tree, &c->jobs, j);
-  TAILQ_REMOVE (&c->queue, j, link);
-  c->n_jobs--;
+  RB_REMOVE (job_tree, &fs->jobs, j);
+  TAILQ_REMOVE (&fs->queue, j, link);
+  fs->n_jobs--;
   codec_free (&job_spec_desc, &j->spec);
   free (j);
 }
@@ -118,7 +122,7 @@
 }
 
 void
-fsched_free (struct fsched *c)
+fsched_free (struct fsched *fs)
 {
   struct job *j;
   struct exec *e;
@@ -128,69 +132,69 @@
   struct ended_job *f, *next_f;
   struct pending_order *p, *next_p;
 
-  if (!c)
+  if (!fs)
     return;
-  while ((e = TAILQ_FIRST (&c->execs)))
+  while ((e = TAILQ_FIRST (&fs->execs)))
     {
-      TAILQ_REMOVE (&c->execs, e, link);
+      TAILQ_REMOVE (&fs->execs, e, link);
       exec_free (e);
     }
-  while ((j = TAILQ_FIRST (&c->queue)))
-    job_free (c, j);
-  while ((t = TAILQ_FIRST (&c->tenants)))
+  while ((j = TAILQ_FIRST (&fs->queue)))
+    job_free (fs, j);
+  while ((t = TAILQ_FIRST (&fs->tenants)))
     {
-      TAILQ_REMOVE (&c->tenants, t, link);
+      TAILQ_REMOVE (&fs->tenants, t, link);
       free (t);
     }
-  RB_FOREACH_SAFE (y, early_tree, &c->early_progress, next_y)
+  RB_FOREACH_SAFE (y, early_tree, &fs->early_progress, next_y)
     {
-      RB_REMOVE (early_tree, &c->early_progress, y);
+      RB_REMOVE (early_tree, &fs->early_progress, y);
       early_free (y);
     }
-  while ((q = TAILQ_FIRST (&c->queues)))
+  while ((q = TAILQ_FIRST (&fs->queues)))
     {
-      TAILQ_REMOVE (&c->queues, q, link);
+      TAILQ_REMOVE (&fs->queues, q, link);
       free (q);
     }
-  RB_FOREACH_SAFE (f, ended_job_tree, &c->ended_jobs, next_f)
+  RB_FOREACH_SAFE (f, ended_job_tree, &fs->ended_jobs, next_f)
     {
-      RB_REMOVE (ended_job_tree, &c->ended_jobs, f);
+      RB_REMOVE (ended_job_tree, &fs->ended_jobs, f);
       free (f);
     }
-  RB_FOREACH_SAFE (p, pending_order_tree, &c->orders, next_p)
+  RB_FOREACH_SAFE (p, pending_order_tree, &fs->orders, next_p)
     {
-      RB_REMOVE (pending_order_tree, &c->orders, p);
+      RB_REMOVE (pending_order_tree, &fs->orders, p);
       free (p);
     }
-  intents_fini (&c->intents);
-  fsched_intern_free (&c->services);
-  fsched_intern_free (&c->racks);
-  fsched_intern_free (&c->labels);
-  free (c->eligible);
-  free (c->ready_jobs);
-  free (c);
+  intents_fini (&fs->intents);
+  fsched_intern_free (&fs->services);
+  fsched_intern_free (&fs->racks);
+  fsched_intern_free (&fs->labels);
+  free (fs->eligible);
+  free (fs->ready_jobs);
+  free (fs);
 }
 
 void
-fsched_set_conf (struct fsched *c, const struct fconf *conf)
+fsched_set_conf (struct fsched *fs, const struct fconf *conf)
 {
-  c->conf = conf;
-  c->pass_due = true;
+  fs->conf = conf;
+  fs->pass_due = true;
 }
 
 struct job *
-fsched_find_job (const struct fsched *c, const char *id)
+fsched_find_job (const struct fsched *fs, const char *id)
 {
   struct job key;
 
   clb_copy (key.spec.id, id, sizeof key.spec.id);
-  return RB_FIND (job_tree, (struct job_tree *)&c->jobs, &key);
+  return RB_FIND (job_tree, (struct job_tree *)&fs->jobs, &key);
 }
 
 struct job *
-fsched_task_job (const struct fsched *c, const struct task_ref *t)
+fsched_task_job (const struct fsched *fs, const struct task_ref *t)
 {
-  struct job *j = fsched_find_job (c, t->job);
+  struct job *j = fsched_find_job (fs, t->job);
 
   if (!j || t->occurrence != 0 || t->step < 0
       || t->step >= (int64_t)j->spec.n_steps || t->index < 0
@@ -206,53 +210,53 @@
 }
 
 struct fsched_tenant *
-fsched_tenant (struct fsched *c, const char *name)
+fsched_tenant (struct fsched *fs, const char *name)
 {
   struct fsched_tenant *t;
 
-  TAILQ_FOREACH (t, &c->tenants, link)
+  TAILQ_FOREACH (t, &fs->tenants, link)
     if (strcmp (t->name, name) == 0)
       return t;
   t = fsched_zalloc (1, sizeof *t);
   clb_copy (t->name, name, sizeof t->name);
-  t->credited_ms = c->now_ms;
+  t->credited_ms = fs->now_ms;
   t->share_credit = 1e9;
-  TAILQ_INSERT_TAIL (&c->tenants, t, link);
+  TAILQ_INSERT_TAIL (&fs->tenants, t, link);
   return t;
 }
 
 struct fsched_queue *
-fsched_queue (struct fsched *c, const char *name)
+fsched_queue (struct fsched *fs, const char *name)
 {
   struct fsched_queue *q;
 
-  TAILQ_FOREACH (q, &c->queues, link)
+  TAILQ_FOREACH (q, &fs->queues, link)
     if (strcmp (q->name, name) == 0)
       return q;
   q = fsched_zalloc (1, sizeof *q);
   clb_copy (q->name, name, sizeof q->name);
   q->permitted_share = 0.5;
-  TAILQ_INSERT_TAIL (&c->queues, q, link);
+  TAILQ_INSERT_TAIL (&fs->queues, q, link);
   return q;
 }
 
 void
-fsched_mark_dirty (struct fsched *c, struct job *j)
+fsched_mark_dirty (struct fsched *fs, struct job *j)
 {
   j->dirty = true;
-  c->record_due = true;
+  fs->record_due = true;
 }
 
 struct order *
-fsched_order_new (struct fsched *c, int kind, const struct exec *e,
+fsched_order_new (struct fsched *fs, int kind, const struct exec *e,
                   struct pending_order **pend)
 {
   struct order *o = fsched_zalloc (1, sizeof *o);
   struct pending_order *p = fsched_zalloc (1, sizeof *p);
 
   o->kind = kind;
-  o->id = ++*c->tokens;
-  o->fencing_token = c->epoch;
+  o->id = ++*fs->tokens;
+  o->fencing_token = fs->epoch;
   o->timeout_ms = FSCHED_CALL_TIMEOUT_MS;
   if (e)
     {
@@ -261,16 +265,16 @@
     }
   p->id = o->id;
   p->kind = kind;
-  p->sent_ms = c->now_ms;
-  RB_INSERT (pending_order_tree, &c->orders, p);
+  p->sent_ms = fs->now_ms;
+  RB_INSERT (pending_order_tree, &fs->orders, p);
   *pend = p;
-  out_new (c->out, OUT_ORDER)->u.order = o;
+  out_new (fs->out, OUT_ORDER)->u.order = o;
   return o;
 }
 
-/* Steps whose predecessors are done may be placed. */
+/* Marks the steps as ready whose predecessors are done. */
 static void
-find_ready (struct fsched *c, struct job *j)
+mark_ready_steps (struct fsched *fs, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
@@ -282,27 +286,31 @@
       if (ready && !j->steps[i].ready)
         {
           j->steps[i].ready = true;
-          j->steps[i].ready_ms = c->now_ms;
-          c->pass_due = true;
+          j->steps[i].ready_ms = fs->now_ms;
+          fs->pass_due = true;
         }
     }
 }
 
-/* Whether a client account sends more than it is owed; see docs/OPERATIONS.md.
-   The allowance is refilled by its weight, up to four seconds of it. */
+/*
+ * Takes one job from the credit of a client account.  Returns whether the job
+ * exceeds the account's share; see docs/OPERATIONS.md.  The credit grows by
+ * the account's weight each second, up to four seconds' worth.
+ */
 static bool
-beyond_owed (struct fsched *c, const char *tenant)
+exceeds_share (struct fsched *fs, const char *tenant)
 {
-  const struct fconf_tenant *ft
-      = c->conf ? fconf_tenant (c->conf, tenant) : NULL;
-  struct fsched_tenant *t = fsched_tenant (c, tenant);
+  const struct fconf_tenant *conf
+      = fs->conf ? fconf_tenant (fs->conf, tenant) : NULL;
+  struct fsched_tenant *t = fsched_tenant (fs, tenant);
 
-  if (!ft || ft->weight <= 0)
+  if (!conf || conf->weight <= 0)
     return false;
-  t->share_credit += ft->weight * (double)(c->now_ms - t->credited_ms) / 1000;
-  t->credited_ms = c->now_ms;
-  if (t->share_credit > 4 * ft->weight)
-    t->share_credit = 4 * ft->weight;
+  t->share_credit
+      += conf->weight * (double)(fs->now_ms - t->credited_ms) / 1000;
+  t->credited_ms = fs->now_ms;
+  if (t->share_credit > 4 * conf->weight)
+    t->share_credit = 4 * conf->weight;
   t->share_credit -= 1;
   if (t->share_credit >= 0)
     return false;
@@ -310,68 +318,73 @@
   return true;
 }
 
+/* Remembers the final state of a job; @trim: its row must be trimmed. */
 static void
-add_final (struct fsched *c, const char *id, int state, bool trim)
+add_ended_job (struct fsched *fs, const char *id, int state, bool trim)
 {
   struct ended_job *f = fsched_zalloc (1, sizeof *f);
 
   clb_copy (f->id, id, sizeof f->id);
   f->state = state;
   f->trim_due = trim;
-  if (RB_INSERT (ended_job_tree, &c->ended_jobs, f))
+  if (RB_INSERT (ended_job_tree, &fs->ended_jobs, f))
     free (f);
 }
 
+/* Stops all runs of a job. */
 static void
-stop_all (struct fsched *c, struct job *j)
+stop_runs (struct fsched *fs, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     for (int t = 0; t < j->steps[i].n_tasks; t++)
       if (j->steps[i].tasks[t].run)
-        start_stop (c, j->steps[i].tasks[t].run);
+        start_stop (fs, j->steps[i].tasks[t].run);
 }
 
+/* Ends a job with a final state, and stops its runs unless it is completed. */
 static void
-finish (struct fsched *c, struct job *j, int state, const char *why)
+end_job (struct fsched *fs, struct job *j, int state, const char *why)
 {
   if (job_state_final (j->state))
     return;
   j->state = state;
-  c->stats->jobs_ended[state]++;
-  hist_add (&c->stats->job_ms[state], c->now_ms - j->arrival_ms);
-  fsched_mark_dirty (c, j);
-  out_line (c->out,
+  fs->stats->jobs_ended[state]++;
+  hist_add (&fs->stats->job_ms[state], fs->now_ms - j->arrival_ms);
+  fsched_mark_dirty (fs, j);
+  out_line (fs->out,
             "event=job-%s job=%s queue=%s after_ms=%lld late_ms=%lld "
             "why=%s",
             job_state_names[state], j->spec.id, j->spec.queue,
-            (long long)(c->now_ms - j->arrival_ms),
-            (long long)(c->now_ms - j->due_ms), why);
+            (long long)(fs->now_ms - j->arrival_ms),
+            (long long)(fs->now_ms - j->due_ms), why);
   if (state != JOB_COMPLETED)
-    stop_all (c, j);
+    stop_runs (fs, j);
 }
 
-/* Once recorded and with nothing running, only its state is kept. */
+/* Of a job whose end is recorded and that has no runs, only the final state is
+   kept. */
 bool
-fsched_forget_job (struct fsched *c, struct job *j)
+fsched_forget_job (struct fsched *fs, struct job *j)
 {
   if (!j->recorded || j->n_runs > 0 || j->dirty || j->writing)
     return false;
-  add_final (c, j->spec.id, j->state, true);
-  job_free (c, j);
+  add_ended_job (fs, j->spec.id, j->state, true);
+  job_free (fs, j);
   return true;
 }
 
 void
-fsched_cancel (struct fsched *c, const char *id)
+fsched_cancel (struct fsched *fs, const char *id)
 {
-  struct job *j = fsched_find_job (c, id);
+  struct job *j = fsched_find_job (fs, id);
 
   if (j)
-    finish (c, j, JOB_CANCELLED, "cancelled");
+    end_job (fs, j, JOB_CANCELLED, "cancelled");
 }
 
+/* Marks a task as done, and its step and job if this was the last task. */
 static void
-mark_done (struct fsched *c, struct job *j, int step, int index)
+mark_done (struct fsched *fs, struct job *j, int step, int index)
 {
   struct jstep *s = &j->steps[step];
   struct jtask *t = &s->tasks[index];
@@ -380,32 +393,33 @@
     return;
   t->done = true;
   s->n_done++;
-  fsched_mark_dirty (c, j);
+  fsched_mark_dirty (fs, j);
   if (t->run && !j->spec.steps[step].gang)
-    start_stop (c, t->run);
+    start_stop (fs, t->run);
   if (s->n_done < s->n_tasks)
     return;
   j->n_steps_left--;
-  find_ready (c, j);
+  mark_ready_steps (fs, j);
   if (j->n_steps_left == 0)
-    finish (c, j, JOB_COMPLETED, "all-tasks-done");
+    end_job (fs, j, JOB_COMPLETED, "all-tasks-done");
 }
 
-/* The members of a gang end together: one that is done stands for all, and
-   the others' ends are on their way. */
+/* Marks all members of a gang as done.  They end together, so when one is done
+   the reports of the others' ends are about to arrive. */
 static void
-gang_done (struct fsched *c, struct job *j, int step)
+mark_gang_done (struct fsched *fs, struct job *j, int step)
 {
   for (int t = 0; t < j->steps[step].n_tasks; t++)
-    mark_done (c, j, step, t);
+    mark_done (fs, j, step, t);
 }
 
-/* A run may be told of twice, by an executor and by the record. */
+/* Adds a failed run to a task, unless it is known: an executor and the
+   recorded progress may both report it.  Returns whether it was added. */
 static bool
-add_failed (struct jtask *t, int64_t run)
+add_failed_run (struct jtask *t, int64_t run_id)
 {
   for (int i = 0; i < t->n_failed; i++)
-    if (t->failed_runs[i].id == run)
+    if (t->failed_runs[i].id == run_id)
       return false;
   if (t->n_failed == JOB_FAILURES_MAX)
     return false;
@@ -413,54 +427,58 @@
                                                 * sizeof *t->failed_runs);
   if (!t->failed_runs)
     abort ();
-  t->failed_runs[t->n_failed++].id = run;
+  t->failed_runs[t->n_failed++].id = run_id;
   return true;
 }
 
+/* Counts a failed run; the job fails once a task has used up its attempts. */
 static void
-count_failure (struct fsched *c, struct job *j, int step, int index,
-               int64_t run)
+count_failure (struct fsched *fs, struct job *j, int step, int index,
+               int64_t run_id)
 {
   bool gang = j->spec.steps[step].gang;
   struct jtask *t = &j->steps[step].tasks[gang ? 0 : index];
 
-  if (!add_failed (t, run))
+  if (!add_failed_run (t, run_id))
     return;
-  fsched_mark_dirty (c, j);
+  fsched_mark_dirty (fs, j);
   if (t->n_failed >= j->spec.attempts)
-    finish (c, j, JOB_FAILED, "attempts-used-up");
+    end_job (fs, j, JOB_FAILED, "attempts-used-up");
 }
 
 void
-fsched_task_ended (struct fsched *c, struct job *j, int step, int index,
-                   int64_t run, int how)
+fsched_task_ended (struct fsched *fs, struct job *j, int step, int index,
+                   int64_t run_id, int how)
 {
   bool gang = j->spec.steps[step].gang;
 
-  c->pass_due = true;
+  fs->pass_due = true;
   if (how == RUN_END_DONE && gang)
-    gang_done (c, j, step);
+    mark_gang_done (fs, j, step);
   else if (how == RUN_END_DONE)
-    mark_done (c, j, step, index);
+    mark_done (fs, j, step, index);
   else if (how == RUN_END_FAILED && !job_state_final (j->state))
-    count_failure (c, j, step, index, run);
+    count_failure (fs, j, step, index, run_id);
 }
 
 void
-fsched_keep_checkpoint (struct job *j, int step, int index, const char *saved)
+fsched_keep_checkpoint (struct job *j, int step, int index,
+                        const char *checkpoint)
 {
   struct jtask *t = &j->steps[step].tasks[index];
 
-  if (!*saved || (t->checkpoint && strcmp (t->checkpoint, saved) == 0))
+  if (!*checkpoint
+      || (t->checkpoint && strcmp (t->checkpoint, checkpoint) == 0))
     return;
   free (t->checkpoint);
-  t->checkpoint = strdup (saved);
+  t->checkpoint = strdup (checkpoint);
 }
 
 /* Records. */
 
+/* Applies the recorded progress of a step. */
 static void
-take_marks (struct fsched *c, struct job *j, const struct job_step_marks *m)
+apply_marks (struct fsched *fs, struct job *j, const struct job_step_marks *m)
 {
   if (m->step < 0 || m->step >= (int64_t)j->spec.n_steps)
     return;
@@ -472,35 +490,36 @@
         continue;
       struct jtask *t = &s->tasks[k->index];
       for (size_t r = 0; r < k->n_failed; r++)
-        add_failed (t, k->failed[r].id);
+        add_failed_run (t, k->failed[r].id);
       if (k->done)
-        mark_done (c, j, (int)m->step, (int)k->index);
+        mark_done (fs, j, (int)m->step, (int)k->index);
     }
 }
 
+/* Applies the progress that was loaded before the job, if any. */
 static void
-take_early (struct fsched *c, struct job *j)
+apply_early_progress (struct fsched *fs, struct job *j)
 {
   struct early_progress key;
   struct early_progress *e;
 
   clb_copy (key.id, j->spec.id, sizeof key.id);
-  e = RB_FIND (early_tree, &c->early_progress, &key);
+  e = RB_FIND (early_tree, &fs->early_progress, &key);
   if (!e)
     return;
-  RB_REMOVE (early_tree, &c->early_progress, e);
+  RB_REMOVE (early_tree, &fs->early_progress, e);
   for (size_t i = 0; i < e->progress.n_steps; i++)
-    take_marks (c, j, &e->progress.steps[i]);
+    apply_marks (fs, j, &e->progress.steps[i]);
   early_free (e);
 }
 
 void
-fsched_add_job (struct fsched *c, struct job_spec *spec, bool old,
+fsched_add_job (struct fsched *fs, struct job_spec *spec, bool inherited,
                 int64_t age_ms)
 {
   struct job *j;
 
-  if (fsched_find_job (c, spec->id) || fsched_job_state (c, spec->id) >= 0)
+  if (fsched_find_job (fs, spec->id) || fsched_job_state (fs, spec->id) >= 0)
     {
       codec_free (&job_spec_desc, spec);
       return;
@@ -508,48 +527,50 @@
   j = fsched_zalloc (1, sizeof *j);
   j->spec = *spec;
   memset (spec, 0, sizeof *spec);
-  j->inherited = old;
-  j->service = fsched_intern (&c->services, j->spec.service);
-  j->arrival_ms = c->now_ms - age_ms;
+  j->inherited = inherited;
+  j->service = fsched_intern (&fs->services, j->spec.service);
+  j->arrival_ms = fs->now_ms - age_ms;
   j->critical_path_ms = job_critical_path_ms (&j->spec);
   j->due_ms = j->arrival_ms + j->spec.target_ms
               + (int64_t)(j->spec.slack * (double)j->critical_path_ms);
-  j->over_share = !old && beyond_owed (c, j->spec.tenant);
+  j->over_share = !inherited && exceeds_share (fs, j->spec.tenant);
   j->steps = fsched_zalloc (j->spec.n_steps, sizeof *j->steps);
   j->n_steps_left = (int)j->spec.n_steps;
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
       struct jstep *s = &j->steps[i];
       s->n_tasks = (int)j->spec.steps[i].tasks;
-      s->label = fsched_intern_label (c, j->spec.steps[i].label);
-      s->data_rack = fsched_intern (&c->racks, j->spec.steps[i].data_rack);
+      s->label = fsched_intern_label (fs, j->spec.steps[i].label);
+      s->data_rack = fsched_intern (&fs->racks, j->spec.steps[i].data_rack);
       s->tasks = fsched_zalloc ((size_t)s->n_tasks, sizeof *s->tasks);
       for (int t = 0; t < s->n_tasks; t++)
-        s->tasks[t].next_run_id = old ? (int32_t)(c->epoch * RUNS_A_TERM) : 1;
+        s->tasks[t].next_run_id
+            = inherited ? (int32_t)(fs->epoch * TERM_RUNS_MAX) : 1;
     }
-  RB_INSERT (job_tree, &c->jobs, j);
-  TAILQ_INSERT_TAIL (&c->queue, j, link);
-  c->n_jobs++;
-  c->stats->jobs_added++;
-  find_ready (c, j);
-  if (old)
-    take_early (c, j);
-  if (c->loaded)
-    out_line (c->out,
+  RB_INSERT (job_tree, &fs->jobs, j);
+  TAILQ_INSERT_TAIL (&fs->queue, j, link);
+  fs->n_jobs++;
+  fs->stats->jobs_added++;
+  mark_ready_steps (fs, j);
+  if (inherited)
+    apply_early_progress (fs, j);
+  if (fs->loaded)
+    out_line (fs->out,
               "event=job-taken job=%s queue=%s tenant=%s steps=%zu "
               "due_in_ms=%lld over_share=%d jobs=%d",
               j->spec.id, j->spec.queue, j->spec.tenant, j->spec.n_steps,
-              (long long)(j->due_ms - c->now_ms), j->over_share, c->n_jobs);
+              (long long)(j->due_ms - fs->now_ms), j->over_share, fs->n_jobs);
 }
 
 void
-fsched_load_progress (struct fsched *c, const char *id, struct job_progress *p)
+fsched_load_progress (struct fsched *fs, const char *id,
+                      struct job_progress *p)
 {
   struct early_progress *e;
 
   if (job_state_final (p->state))
     {
-      add_final (c, id, p->state, false);
+      add_ended_job (fs, id, p->state, false);
       codec_free (&job_progress_desc, p);
       return;
     }
@@ -557,37 +578,37 @@
   clb_copy (e->id, id, sizeof e->id);
   e->progress = *p;
   memset (p, 0, sizeof *p);
-  if (RB_INSERT (early_tree, &c->early_progress, e))
+  if (RB_INSERT (early_tree, &fs->early_progress, e))
     early_free (e);
 }
 
 int
-fsched_job_state (const struct fsched *c, const char *id)
+fsched_job_state (const struct fsched *fs, const char *id)
 {
   struct ended_job key;
   struct ended_job *f;
-  const struct job *j = fsched_find_job (c, id);
+  const struct job *j = fsched_find_job (fs, id);
 
   if (j && j->state == JOB_CANCELLED)
     return JOB_CANCELLED;
   if (j && job_state_final (j->state) && !j->recorded)
-    return JOB_RUNNING; /* not told before it is durable */
+    return JOB_RUNNING; /* a final state is reported only once it is durable */
   if (j)
     return job_state_final (j->state) ? j->state
            : j->task_started          ? JOB_RUNNING
                                       : JOB_PENDING;
   clb_copy (key.id, id, sizeof key.id);
-  f = RB_FIND (ended_job_tree, (struct ended_job_tree *)&c->ended_jobs, &key);
+  f = RB_FIND (ended_job_tree, (struct ended_job_tree *)&fs->ended_jobs, &key);
   return f ? f->state : -1;
 }
 
 int64_t
-fsched_jobs_waiting (const struct fsched *c, const char *queue)
+fsched_jobs_waiting (const struct fsched *fs, const char *queue)
 {
   const struct job *j;
   int64_t n = 0;
 
-  TAILQ_FOREACH (j, &c->queue, link)
+  TAILQ_FOREACH (j, &fs->queue, link)
     if (!j->task_started && !job_state_final (j->state)
         && strcmp (j->spec.queue, queue) == 0)
       n++;
@@ -595,86 +616,86 @@
 }
 
 void
-fsched_load_done (struct fsched *c)
+fsched_load_done (struct fsched *fs)
 {
-  intents_load_done (c);
-  c->loaded = true;
-  c->pass_due = true;
-  out_line (c->out,
+  intents_load_done (fs);
+  fs->loaded = true;
+  fs->pass_due = true;
+  out_line (fs->out,
             "event=scheduler-loaded epoch=%lld jobs=%d execs=%d "
             "took_ms=%lld",
-            (long long)c->epoch, c->n_jobs, c->n_execs,
-            (long long)(c->now_ms - c->claimed_ms));
+            (long long)fs->epoch, fs->n_jobs, fs->n_execs,
+            (long long)(fs->now_ms - fs->claimed_ms));
 }
 
 void
-fsched_order_result (struct fsched *c, int64_t now_ms, uint64_t order,
+fsched_order_result (struct fsched *fs, int64_t now_ms, uint64_t order,
                      const struct order_result *res)
 {
   struct pending_order key = { .id = order };
-  struct pending_order *p = RB_FIND (pending_order_tree, &c->orders, &key);
+  struct pending_order *p = RB_FIND (pending_order_tree, &fs->orders, &key);
 
-  c->now_ms = now_ms;
+  fs->now_ms = now_ms;
   if (!p)
     return;
-  RB_REMOVE (pending_order_tree, &c->orders, p);
-  c->stats->outcomes[res->outcome]++;
-  hist_add (&c->stats->order_ms[p->kind], now_ms - p->sent_ms);
+  RB_REMOVE (pending_order_tree, &fs->orders, p);
+  fs->stats->outcomes[res->outcome]++;
+  hist_add (&fs->stats->order_ms[p->kind], now_ms - p->sent_ms);
   switch (p->kind)
     {
     case ORDER_POLL:
-      exec_poll_result (c, p->exec, res);
+      exec_poll_result (fs, p->exec, res);
       break;
     case ORDER_ADVISE:
-      advice_result (c, p, res);
+      advice_result (fs, p, res);
       break;
     default:
       if (p->run)
-        start_result (c, p->run, p->kind, res);
+        start_result (fs, p->run, p->kind, res);
       break;
     }
   free (p);
 }
 
-/* Questions whose answer got lost between the instances. */
+/* Ends advice queries whose answers were lost between the instances. */
 static void
-sweep_questions (struct fsched *c)
+end_lost_queries (struct fsched *fs)
 {
   struct pending_order *p, *next;
   struct order_result lost = { .outcome = ORDER_LOST };
 
-  if (c->now_ms < c->next_query_sweep_ms)
+  if (fs->now_ms < fs->next_query_sweep_ms)
     return;
-  c->next_query_sweep_ms = c->now_ms + 50;
-  RB_FOREACH_SAFE (p, pending_order_tree, &c->orders, next)
-    if (p->kind == ORDER_ADVISE && c->now_ms >= p->deadline_ms)
-      fsched_order_result (c, c->now_ms, p->id, &lost);
+  fs->next_query_sweep_ms = fs->now_ms + 50;
+  RB_FOREACH_SAFE (p, pending_order_tree, &fs->orders, next)
+    if (p->kind == ORDER_ADVISE && fs->now_ms >= p->deadline_ms)
+      fsched_order_result (fs, fs->now_ms, p->id, &lost);
 }
 
 void
-fsched_tick (struct fsched *c, int64_t now_ms, bool may_order)
+fsched_tick (struct fsched *fs, int64_t now_ms, bool may_order)
 {
   struct exec *e;
   struct job *j, *next;
 
-  c->now_ms = now_ms;
-  c->may_order = may_order;
-  if (!c->loaded || !may_order)
+  fs->now_ms = now_ms;
+  fs->may_order = may_order;
+  if (!fs->loaded || !may_order)
     return;
-  if (now_ms >= c->next_exec_sweep_ms)
+  if (now_ms >= fs->next_exec_sweep_ms)
     {
-      c->next_exec_sweep_ms = now_ms + FSCHED_EXEC_SWEEP_MS;
-      TAILQ_FOREACH (e, &c->execs, link)
-        exec_tick (c, e);
-      exec_reconcile_check (c);
-      sweep_questions (c);
-      fsched_trim_jobs (c);
-      TAILQ_FOREACH_SAFE (j, &c->queue, link, next)
+      fs->next_exec_sweep_ms = now_ms + FSCHED_EXEC_SWEEP_MS;
+      TAILQ_FOREACH (e, &fs->execs, link)
+        exec_tick (fs, e);
+      exec_reconcile_check (fs);
+      end_lost_queries (fs);
+      fsched_trim_jobs (fs);
+      TAILQ_FOREACH_SAFE (j, &fs->queue, link, next)
         if (job_state_final (j->state))
-          fsched_forget_job (c, j);
+          fsched_forget_job (fs, j);
     }
-  if (c->retry_pass_ms && now_ms >= c->retry_pass_ms)
-    c->pass_due = true;
-  if (c->pass_due && now_ms >= c->next_pass_ms)
-    place_pass (c);
+  if (fs->retry_pass_ms && now_ms >= fs->retry_pass_ms)
+    fs->pass_due = true;
+  if (fs->pass_due && now_ms >= fs->next_pass_ms)
+    place_pass (fs);
 }
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -1,10 +1,12 @@
 /*
- * Advice: which executors may run a step.  The answer does not change for a
- * step, its tickets lapse.  A service of the platform decides, one question
- * at a time for each instance, so questions are spread over the instances:
- * long ones over one half of them, so that short ones wait for short ones.
+ * Advice: which executors may run a step.  The platform's advice service
+ * decides that.  Its decision on a step and an executor does not change, but
+ * the ticket that it issues expires.
  *
- * Load answered: three queues with 5.6, 50 and 310 ms a question, 55 jobs/s.
+ * The service handles one query at a time for each instance, so the leader
+ * spreads its queries over all instances.  Long queries are confined to one
+ * half of the instances, so that short queries wait only for short ones.  The
+ * design load is 55 jobs/s of three queues with 5.6, 50 and 310 ms a query.
  */
 #include "fsched_impl.h"
 
@@ -13,19 +15,36 @@
 
 enum
 {
-  LONG_MS = 100,            /* questions of more go to the first half */
-  QUEUED_MAX_MS = 40,       /* a short question waits for others this long */
-  ADVISER_SILENT_MS = 1000, /* two hellos were lost */
-  ADVISER_LATE_MS = 80,     /* a question is overdue: it gets no other */
-  ADVISER_AVOID_MS = 1000,  /* after a question that got lost */
-  ASK_SLACK_MS = 400, /* beyond the expected time: links, slow instances */
-  ASK_PAUSE_MS = 30,  /* after a question that failed */
-  ASK_AGAIN_MS = 50,  /* after the second answer that no start came of, as work
-                         that goes first took the room; doubled ... */
-  ASK_AGAIN_MAX_MS = 800, /* ... up to this */
-  SPARE_FACTOR = 2,       /* executors asked about, times those needed */
+  /* Queries expected to take longer are long: only the first half of the
+     instances gets them. */
+  LONG_QUERY_MS = 100,
+  /* Longest wait of a short query behind other queries of its instance. */
+  QUEUED_MAX_MS = 40,
+  /* An instance without contact for this long is unreachable: two of its
+     hellos were lost. */
+  ADVISER_UNREACHABLE_MS = 1000,
+  /* An instance whose queries are overdue by this long gets no others. */
+  ADVISER_LATE_MS = 80,
+  /* An instance gets no queries for this long after one that failed. */
+  ADVISER_AVOID_MS = 1000,
+  /* Timeout of a query beyond its expected time, for links and for instances
+     that are slow. */
+  QUERY_SLACK_MS = 400,
+  /* Pause before a step's next query after one that failed. */
+  QUERY_RETRY_MS = 30,
+  /* Pause before a step's next query after two answers without a start, as
+     more urgent work took the capacity.  It doubles with each further one. */
+  QUERY_AGAIN_MS = 50,
+  /* Longest such pause. */
+  QUERY_AGAIN_MAX_MS = 800,
+  /* A query names executors with capacity for this many times the tasks. */
+  SPARE_FACTOR = 2,
+  /* Executors expected to be permitted of those that a query names, at
+     least. */
   SPARE_MIN = 4,
-  RUNGS = 32, /* executors with room for more tasks than this are alike */
+  /* Executors are sorted by how many tasks fit, up to one less than this;
+     those with more capacity are treated as equal. */
+  FIT_CLASSES = 32,
 };
 
 struct permit *
@@ -55,7 +74,7 @@
 }
 
 bool
-permit_valid (const struct fsched *c, const struct jstep *s,
+permit_valid (const struct fsched *fs, const struct jstep *s,
               const struct exec *e)
 {
   const struct permit *p;
@@ -64,143 +83,152 @@
     return false;
   p = &s->permits[e->index];
   return p->state == PERMIT_ALLOWED && p->boot_start_ms == e->boot_start_ms
-         && p->valid_until_ms > c->now_ms + FSCHED_TICKET_MARGIN_MS;
+         && p->valid_until_ms > fs->now_ms + FSCHED_TICKET_MARGIN_MS;
 }
 
 void
-fsched_adviser_seen (struct fsched *c, const char *id, const char *addr,
+fsched_adviser_seen (struct fsched *fs, const char *id, const char *addr,
                      int64_t millicores, int64_t fresh_ms)
 {
   struct adviser *a = NULL;
 
-  for (int i = 0; i < c->n_advisers && !a; i++)
-    if (strcmp (c->advisers[i].id, id) == 0)
-      a = &c->advisers[i];
-  if (!a && c->n_advisers == FSCHED_ADVISERS_MAX)
+  for (int i = 0; i < fs->n_advisers && !a; i++)
+    if (strcmp (fs->advisers[i].id, id) == 0)
+      a = &fs->advisers[i];
+  if (!a && fs->n_advisers == FSCHED_ADVISERS_MAX)
     return;
   if (!a)
     {
-      a = &c->advisers[c->n_advisers++];
+      a = &fs->advisers[fs->n_advisers++];
       memset (a, 0, sizeof *a);
       clb_copy (a->id, id, sizeof a->id);
-      c->pass_due = true;
+      fs->pass_due = true;
     }
   clb_copy (a->addr, addr, sizeof a->addr);
-  a->last_contact_ms = c->now_ms;
+  a->last_contact_ms = fs->now_ms;
   a->table_contact_ms = fresh_ms;
   a->millicores = millicores;
 }
 
 const struct adviser *
-fsched_adviser_freshest (const struct fsched *c)
+fsched_adviser_freshest (const struct fsched *fs)
 {
   const struct adviser *best = NULL;
 
-  for (int i = 0; i < c->n_advisers; i++)
-    if (*c->advisers[i].addr
-        && (!best || c->advisers[i].table_contact_ms > best->table_contact_ms))
-      best = &c->advisers[i];
+  for (int i = 0; i < fs->n_advisers; i++)
+    if (*fs->advisers[i].addr
+        && (!best
+            || fs->advisers[i].table_contact_ms > best->table_contact_ms))
+      best = &fs->advisers[i];
   return best;
 }
 
 int
-fsched_adviser_rank (const struct fsched *c, const char *id)
+fsched_adviser_rank (const struct fsched *fs, const char *id)
 {
-  int me = -1;
+  int own = -1;
   int rank = 0;
 
-  for (int i = 0; i < c->n_advisers; i++)
-    if (strcmp (c->advisers[i].id, id) == 0)
-      me = i;
-  for (int i = 0; i < c->n_advisers && me >= 0; i++)
+  for (int i = 0; i < fs->n_advisers; i++)
+    if (strcmp (fs->advisers[i].id, id) == 0)
+      own = i;
+  for (int i = 0; i < fs->n_advisers && own >= 0; i++)
     {
-      const struct adviser *a = &c->advisers[i];
-      if (*a->addr && c->now_ms - a->last_contact_ms < ADVISER_SILENT_MS
-          && (a->millicores > c->advisers[me].millicores
-              || (a->millicores == c->advisers[me].millicores && i < me)))
+      const struct adviser *a = &fs->advisers[i];
+      if (*a->addr && fs->now_ms - a->last_contact_ms < ADVISER_UNREACHABLE_MS
+          && (a->millicores > fs->advisers[own].millicores
+              || (a->millicores == fs->advisers[own].millicores && i < own)))
         rank++;
     }
   return rank;
 }
 
-/* The instance that will be free first, of those for such questions. */
+/*
+ * Returns the index of the instance that is expected to be free first, of
+ * those that may get a query of this expected duration; -1 if none may.
+ */
 static int
-pick_adviser (const struct fsched *c, double cost_ms)
+pick_adviser (const struct fsched *fs, double cost_ms)
 {
   int best = -1;
-  int half = (c->n_advisers + 1) / 2;
-  bool is_long = cost_ms > LONG_MS;
+  int half = (fs->n_advisers + 1) / 2;
+  bool is_long = cost_ms > LONG_QUERY_MS;
 
-  for (int i = 0; i < c->n_advisers; i++)
+  for (int i = 0; i < fs->n_advisers; i++)
     {
-      const struct adviser *a = &c->advisers[i];
-      bool here = !*a->addr;
-      if (!here && c->now_ms - a->last_contact_ms > ADVISER_SILENT_MS)
+      const struct adviser *a = &fs->advisers[i];
+      bool is_self = !*a->addr;
+      if (!is_self && fs->now_ms - a->last_contact_ms > ADVISER_UNREACHABLE_MS)
         continue;
-      if (c->now_ms < a->avoid_until_ms
-          || (a->n_queries && c->now_ms > a->busy_until_ms + ADVISER_LATE_MS))
+      if (fs->now_ms < a->avoid_until_ms
+          || (a->n_queries && fs->now_ms > a->busy_until_ms + ADVISER_LATE_MS))
         continue;
       if (is_long && (i >= half || a->n_queries))
         continue;
-      if (a->n_queries && a->busy_until_ms - c->now_ms > QUEUED_MAX_MS)
+      if (a->n_queries && a->busy_until_ms - fs->now_ms > QUEUED_MAX_MS)
         continue;
-      /* Short questions leave the first half free where they can. */
+      /* Of instances that are free at the same time, short queries take the
+         last one, which keeps the first half free for long ones. */
       if (best < 0
-          || (is_long ? a->busy_until_ms < c->advisers[best].busy_until_ms
-                      : a->busy_until_ms <= c->advisers[best].busy_until_ms))
+          || (is_long ? a->busy_until_ms < fs->advisers[best].busy_until_ms
+                      : a->busy_until_ms <= fs->advisers[best].busy_until_ms))
         best = i;
     }
   return best;
 }
 
+/** struct candidate - an executor that a query may name */
 struct candidate
 {
   struct exec *e;
-  int fits;
+  int fits; /* tasks of the step that it has capacity for */
 };
 
+/* Sort class of a candidate. */
 static int
-rung (const struct candidate *k)
+fit_class (const struct candidate *cand)
 {
-  return k->fits < RUNGS ? k->fits : RUNGS - 1;
+  return cand->fits < FIT_CLASSES ? cand->fits : FIT_CLASSES - 1;
 }
 
-/* Those with most room first, else in the order given. */
+/* Sorts candidates by capacity, most first; the sort is stable. */
 static void
 sort_by_room (struct candidate *to, const struct candidate *from, size_t n)
 {
-  size_t begin[RUNGS + 1] = { 0 };
+  size_t begin[FIT_CLASSES + 1] = { 0 };
 
   for (size_t i = 0; i < n; i++)
-    begin[rung (&from[i])]++;
-  for (size_t sum = 0, k = RUNGS; k-- > 0;)
+    begin[fit_class (&from[i])]++;
+  for (size_t sum = 0, k = FIT_CLASSES; k-- > 0;)
     {
       size_t count = begin[k];
       begin[k] = sum;
       sum += count;
     }
   for (size_t i = 0; i < n; i++)
-    to[begin[rung (&from[i])]++] = from[i];
+    to[begin[fit_class (&from[i])]++] = from[i];
 }
 
-/* struct names - whom to ask about */
-struct names
+/** struct query_execs - the executors that a query names */
+struct query_execs
 {
   struct candidate list[ORDER_ADVICE_EXECS_MAX];
   size_t n;
-  int good_fits; /* tasks that executors known as good have room for */
-  int unasked;   /* executors never asked about */
+  int permitted_fits; /* tasks that permitted executors have capacity for */
+  int n_unknown;      /* usable executors that no query has named */
 };
 
-/* Executors known as good, with room, whose tickets have lapsed. */
+/* Adds permitted executors that have capacity but whose tickets have expired.
+   Also computes the counts in @out. */
 static void
-add_lapsed (struct fsched *c, struct job *j, int step, struct names *out)
+add_expired (struct fsched *fs, struct job *j, int step,
+             struct query_execs *out)
 {
   struct jstep *s = &j->steps[step];
 
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      struct exec *e = c->eligible[i];
+      struct exec *e = fs->eligible[i];
       struct permit *p;
       int fits;
       if (!exec_usable (e, j, step))
@@ -208,92 +236,98 @@
       p = permit_get (s, e);
       if (p->state == PERMIT_ALLOWED && p->boot_start_ms != e->boot_start_ms)
         p->state = PERMIT_UNKNOWN;
-      out->unasked += p->state == PERMIT_UNKNOWN;
+      out->n_unknown += p->state == PERMIT_UNKNOWN;
       if (p->state != PERMIT_ALLOWED)
         continue;
       fits = exec_fits (e, j, step, s->n_tasks);
-      out->good_fits += fits;
-      if (fits > 0 && !permit_valid (c, s, e)
+      out->permitted_fits += fits;
+      if (fits > 0 && !permit_valid (fs, s, e)
           && out->n < ORDER_ADVICE_EXECS_MAX)
         out->list[out->n++] = (struct candidate){ e, fits };
     }
 }
 
-/* Executors never asked about, those with most room first. */
+/*
+ * Adds executors that no query has named, those with the most capacity first,
+ * until the permitted ones among them are expected to take @n_tasks tasks.
+ */
 static void
-add_unasked (struct fsched *c, struct job *j, int step, struct names *out,
-             int want)
+add_unknown (struct fsched *fs, struct job *j, int step,
+             struct query_execs *out, int n_tasks)
 {
   struct jstep *s = &j->steps[step];
   struct candidate *all
-      = fsched_zalloc (2 * (size_t)c->n_eligible, sizeof *all);
-  struct candidate *sorted = all + c->n_eligible;
-  double share = fsched_queue (c, j->spec.queue)->permitted_share;
-  double found = 0;
+      = fsched_zalloc (2 * (size_t)fs->n_eligible, sizeof *all);
+  struct candidate *sorted = all + fs->n_eligible;
+  double share = fsched_queue (fs, j->spec.queue)->permitted_share;
+  double n_expected = 0;
   size_t n = 0;
 
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      struct exec *e = c->eligible[i];
+      struct exec *e = fs->eligible[i];
       if (exec_usable (e, j, step)
           && permit_get (s, e)->state == PERMIT_UNKNOWN)
         all[n++] = (struct candidate){ e, exec_fits (e, j, step, s->n_tasks) };
     }
   sort_by_room (sorted, all, n);
   for (size_t i = 0; i < n && out->n < ORDER_ADVICE_EXECS_MAX
-                     && (found < want || i < SPARE_MIN / share);
+                     && (n_expected < n_tasks || i < SPARE_MIN / share);
        i++)
     {
       out->list[out->n++] = sorted[i];
-      found += share * (sorted[i].fits > 0 ? sorted[i].fits : 0.5);
+      n_expected += share * (sorted[i].fits > 0 ? sorted[i].fits : 0.5);
     }
   free (all);
 }
 
+/* Sends a query through an instance. */
 static void
-send_question (struct fsched *c, struct job *j, int step,
-               const struct names *names, int adviser, double cost_ms)
+send_query (struct fsched *fs, struct job *j, int step,
+            const struct query_execs *execs, int adviser, double cost_ms)
 {
-  struct adviser *a = &c->advisers[adviser];
+  struct adviser *a = &fs->advisers[adviser];
   struct jstep *s = &j->steps[step];
   struct pending_order *pend;
-  struct order *o = fsched_order_new (c, ORDER_ADVISE, NULL, &pend);
-  int64_t begin = a->busy_until_ms > c->now_ms ? a->busy_until_ms : c->now_ms;
+  struct order *o = fsched_order_new (fs, ORDER_ADVISE, NULL, &pend);
+  int64_t begin_ms
+      = a->busy_until_ms > fs->now_ms ? a->busy_until_ms : fs->now_ms;
 
   clb_copy (o->task.job, j->spec.id, sizeof o->task.job);
   o->task.step = step;
-  o->execs = calloc (names->n, sizeof *o->execs);
+  o->execs = calloc (execs->n, sizeof *o->execs);
   if (!o->execs)
     abort ();
-  for (size_t i = 0; i < names->n; i++)
+  for (size_t i = 0; i < execs->n; i++)
     {
-      clb_copy (o->execs[i], names->list[i].e->rep.id, CLB_ID_MAX);
-      struct permit *p = permit_get (s, names->list[i].e);
+      clb_copy (o->execs[i], execs->list[i].e->rep.id, CLB_ID_MAX);
+      struct permit *p = permit_get (s, execs->list[i].e);
       if (p->state == PERMIT_UNKNOWN)
         p->state = PERMIT_QUERIED;
     }
-  o->n_execs = names->n;
-  a->busy_until_ms = begin + (int64_t)cost_ms;
+  o->n_execs = execs->n;
+  a->busy_until_ms = begin_ms + (int64_t)cost_ms;
   a->n_queries++;
-  o->timeout_ms = a->busy_until_ms - c->now_ms + ASK_SLACK_MS;
-  /* The instance that asks; this one where it is empty. */
+  o->timeout_ms = a->busy_until_ms - fs->now_ms + QUERY_SLACK_MS;
+  /* Address of the instance that puts the query; empty: this instance. */
   clb_copy (o->addr, a->addr, sizeof o->addr);
   clb_copy (pend->job, j->spec.id, sizeof pend->job);
   pend->step = step;
   pend->adviser = adviser;
-  pend->deadline_ms = c->now_ms + o->timeout_ms + QUEUED_MAX_MS;
-  pend->n_execs = names->n;
+  pend->deadline_ms = fs->now_ms + o->timeout_ms + QUEUED_MAX_MS;
+  pend->n_execs = execs->n;
   s->query_id = o->id;
-  c->stats->queries++;
-  c->queries_left--;
+  fs->stats->queries++;
+  fs->queries_left--;
 }
 
-/* Room on @e for some of the step's tasks is not for work behind it. */
+/* Reserves capacity on @e for at most @max tasks of the step, against less
+   urgent work in the same pass.  Returns the number of tasks. */
 static int
-promise (struct exec *e, const struct job *j, int step, int most)
+reserve (struct exec *e, const struct job *j, int step, int max)
 {
   const struct job_step *s = &j->spec.steps[step];
-  int n = exec_fits (e, j, step, most);
+  int n = exec_fits (e, j, step, max);
 
   if (!s->best_effort_cpu)
     e->reserved.millicores += n * s->need.millicores;
@@ -302,23 +336,25 @@
   return n;
 }
 
+/* Reserves capacity for @waiting tasks on the executors that a query names. */
 static void
-promise_names (const struct job *j, int step, const struct names *names,
+reserve_named (const struct job *j, int step, const struct query_execs *execs,
                int waiting)
 {
-  for (size_t i = 0; i < names->n && waiting > 0; i++)
-    waiting -= promise (names->list[i].e, j, step, waiting);
+  for (size_t i = 0; i < execs->n && waiting > 0; i++)
+    waiting -= reserve (execs->list[i].e, j, step, waiting);
 }
 
-/* A question is under way: its executors' room stays promised. */
+/* Reserves capacity for @waiting tasks of a step whose query is outstanding,
+   on the executors that it names and on permitted ones. */
 static void
-promise_asked (struct fsched *c, struct job *j, int step, int waiting)
+reserve_queried (struct fsched *fs, struct job *j, int step, int waiting)
 {
   struct jstep *s = &j->steps[step];
 
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      struct exec *e = c->eligible[i];
+      struct exec *e = fs->eligible[i];
       const struct permit *p;
       if (waiting <= 0)
         return;
@@ -326,68 +362,70 @@
         continue;
       p = &s->permits[e->index];
       if (p->state == PERMIT_QUERIED || p->state == PERMIT_ALLOWED)
-        waiting -= promise (e, j, step, waiting);
+        waiting -= reserve (e, j, step, waiting);
     }
 }
 
 void
-advice_query (struct fsched *c, struct job *j, int step)
+advice_query (struct fsched *fs, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
-  const struct job_advice *adv = &j->spec.advice;
-  struct names names = { .n = 0 };
+  const struct job_advice *advice = &j->spec.advice;
+  struct query_execs execs = { .n = 0 };
   int waiting = s->n_tasks - s->n_done - s->n_running;
   bool gang = j->spec.steps[step].gang;
   int adviser;
-  double cost;
+  double cost_ms;
 
   if (s->query_id)
     {
-      promise_asked (c, j, step, waiting);
+      reserve_queried (fs, j, step, waiting);
       return;
     }
-  if (c->now_ms < s->next_query_ms || waiting <= 0 || c->queries_left <= 0
-      || !(adv->base_ms > LONG_MS ? c->long_adviser_free
-                                  : c->short_adviser_free))
+  if (fs->now_ms < s->next_query_ms || waiting <= 0 || fs->queries_left <= 0
+      || !(advice->base_ms > LONG_QUERY_MS ? fs->long_adviser_free
+                                           : fs->short_adviser_free))
     return;
-  add_lapsed (c, j, step, &names);
-  if (names.good_fits < waiting && names.unasked > 0)
-    add_unasked (c, j, step, &names,
-                 SPARE_FACTOR * (waiting - names.good_fits));
-  /* A gang needs room for all: until then its tickets would lapse unused. */
-  else if (gang && names.good_fits < waiting)
+  add_expired (fs, j, step, &execs);
+  if (execs.permitted_fits < waiting && execs.n_unknown > 0)
+    add_unknown (fs, j, step, &execs,
+                 SPARE_FACTOR * (waiting - execs.permitted_fits));
+  /* A gang starts only when all members fit.  Tickets that it got sooner would
+     expire unused. */
+  else if (gang && execs.permitted_fits < waiting)
     return;
-  if (names.n == 0)
+  if (execs.n == 0)
     return;
-  cost = adv->base_ms + adv->per_exec_ms * (double)names.n;
-  adviser = pick_adviser (c, cost);
-  promise_names (j, step, &names, waiting);
+  cost_ms = advice->base_ms + advice->per_exec_ms * (double)execs.n;
+  adviser = pick_adviser (fs, cost_ms);
+  reserve_named (j, step, &execs, waiting);
   if (adviser >= 0)
-    send_question (c, j, step, &names, adviser, cost);
-  advice_begin_pass (c);
+    send_query (fs, j, step, &execs, adviser, cost_ms);
+  advice_begin_pass (fs);
 }
 
 void
-advice_begin_pass (struct fsched *c)
+advice_begin_pass (struct fsched *fs)
 {
-  c->short_adviser_free = pick_adviser (c, 1) >= 0;
-  c->long_adviser_free = pick_adviser (c, LONG_MS + 1) >= 0;
+  fs->short_adviser_free = pick_adviser (fs, 1) >= 0;
+  fs->long_adviser_free = pick_adviser (fs, LONG_QUERY_MS + 1) >= 0;
 }
 
+/* Stores the permits and tickets in an answer. */
 static void
-take_good (struct fsched *c, struct jstep *s, const struct order_result *res,
-           int64_t valid_ms)
+store_permits (struct fsched *fs, struct jstep *s,
+               const struct order_result *res, int64_t valid_ms)
 {
   for (size_t i = 0; i < res->n_permitted; i++)
     {
-      struct exec *e = exec_find (c, res->permitted[i].exec);
+      struct exec *e = exec_find (fs, res->permitted[i].exec);
       struct permit *p;
       if (!e)
         continue;
       p = permit_get (s, e);
       p->state = PERMIT_ALLOWED;
       p->boot_start_ms = e->boot_start_ms;
-      p->valid_until_ms = c->now_ms + valid_ms;
+      p->valid_until_ms = fs->now_ms + valid_ms;
       if (p->valid_until_ms > s->tickets_until_ms)
         s->tickets_until_ms = p->valid_until_ms;
       free (p->ticket);
@@ -395,56 +433,59 @@
     }
 }
 
+/* Pause before a step's next query after @n_queries answers without a start.
+ */
 static int64_t
-again_pause (int n_asks)
+query_pause (int n_queries)
 {
-  int64_t pause = ASK_AGAIN_MS;
+  int64_t pause = QUERY_AGAIN_MS;
 
-  if (n_asks < 2)
+  if (n_queries < 2)
     return 0;
-  for (int i = 2; i < n_asks && pause < ASK_AGAIN_MAX_MS; i++)
+  for (int i = 2; i < n_queries && pause < QUERY_AGAIN_MAX_MS; i++)
     pause *= 2;
   return pause;
 }
 
 void
-advice_result (struct fsched *c, const struct pending_order *pend,
+advice_result (struct fsched *fs, const struct pending_order *pend,
                const struct order_result *res)
 {
-  struct job *j = fsched_find_job (c, pend->job);
-  struct adviser *a = &c->advisers[pend->adviser];
+  struct job *j = fsched_find_job (fs, pend->job);
+  struct adviser *a = &fs->advisers[pend->adviser];
   struct jstep *s;
-  bool good = res->outcome == ORDER_DONE;
+  bool answered = res->outcome == ORDER_DONE;
 
   if (--a->n_queries == 0)
-    a->busy_until_ms = c->now_ms;
-  c->pass_due = true;
-  if (!good)
+    a->busy_until_ms = fs->now_ms;
+  fs->pass_due = true;
+  if (!answered)
     {
-      c->stats->queries_failed++;
-      a->avoid_until_ms = c->now_ms + ADVISER_AVOID_MS;
+      fs->stats->queries_failed++;
+      a->avoid_until_ms = fs->now_ms + ADVISER_AVOID_MS;
     }
   if (!j || j->steps[pend->step].query_id != pend->id)
     return;
   s = &j->steps[pend->step];
   s->query_id = 0;
   s->next_query_ms
-      = c->now_ms + (good ? again_pause (++s->n_queries) : ASK_PAUSE_MS);
-  if (good)
-    take_good (c, s, res,
-               res->valid_ms ? res->valid_ms : j->spec.advice.valid_ms);
+      = fs->now_ms
+        + (answered ? query_pause (++s->n_queries) : QUERY_RETRY_MS);
+  if (answered)
+    store_permits (fs, s, res,
+                   res->valid_ms ? res->valid_ms : j->spec.advice.valid_ms);
   for (int i = 0; i < s->n_permits; i++)
     if (s->permits[i].state == PERMIT_QUERIED)
-      s->permits[i].state = good ? PERMIT_DENIED : PERMIT_UNKNOWN;
-  if (good && pend->n_execs)
+      s->permits[i].state = answered ? PERMIT_DENIED : PERMIT_UNKNOWN;
+  if (answered && pend->n_execs)
     {
-      struct fsched_queue *q = fsched_queue (c, j->spec.queue);
+      struct fsched_queue *q = fsched_queue (fs, j->spec.queue);
       double share = (double)res->n_permitted / (double)pend->n_execs;
       q->permitted_share += 0.05 * (share - q->permitted_share);
       if (q->permitted_share < 0.1)
         q->permitted_share = 0.1;
     }
-  out_line (c->out,
+  out_line (fs->out,
             "event=advice job=%s step=%d by=%s outcome=%s asked=%zu "
             "good=%zu",
             pend->job, pend->step, *a->id ? a->id : "self",
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -1,5 +1,6 @@
 /*
- * Executors: their leases, and what they say runs and has ended there.
+ * Executors of the fleet's scheduler: discovery, leases, and reconciliation of
+ * the lists of running and ended tasks that executors report.
  */
 #include "fsched_impl.h"
 
@@ -9,9 +10,14 @@
 
 enum
 {
-  CLOCK_RATE_LOW = 98,  /* percent: executors' clocks may be 2% slow */
-  CLOCK_FALL_MS = 1500, /* more than 2% of the longest silence by far */
-  STOP_AGAIN_MS = 2000, /* acknowledged, and still listed after this long */
+  /* Slowest rate of an executor's clock, in percent: it may lose 2%. */
+  CLOCK_RATE_LOW = 98,
+  /* A clock that reads this much less than expected belongs to a new boot.
+     It is far more than 2% of the longest silence. */
+  CLOCK_RESET_MS = 1500,
+  /* A stop is sent again if the run is still listed this long after the
+     executor acknowledged the stop. */
+  STOP_RESEND_MS = 2000,
 };
 
 int
@@ -23,118 +29,123 @@
 RB_GENERATE (exec_tree, exec, by_id, exec_cmp)
 
 struct exec *
-exec_find (const struct fsched *c, const char *id)
+exec_find (const struct fsched *fs, const char *id)
 {
   struct exec key;
 
   clb_copy (key.rep.id, id, sizeof key.rep.id);
-  return RB_FIND (exec_tree, (struct exec_tree *)&c->execs_by_id, &key);
+  return RB_FIND (exec_tree, (struct exec_tree *)&fs->execs_by_id, &key);
 }
 
 static struct exec *
-exec_add (struct fsched *c, const char *id)
+exec_add (struct fsched *fs, const char *id)
 {
   struct exec *e = calloc (1, sizeof *e);
 
   if (!e)
     abort ();
   clb_copy (e->rep.id, id, sizeof e->rep.id);
-  e->index = c->n_execs++;
+  e->index = fs->n_execs++;
   TAILQ_INIT (&e->runs);
-  TAILQ_INSERT_TAIL (&c->execs, e, link);
-  RB_INSERT (exec_tree, &c->execs_by_id, e);
+  TAILQ_INSERT_TAIL (&fs->execs, e, link);
+  RB_INSERT (exec_tree, &fs->execs_by_id, e);
   return e;
 }
 
-/* What ran in a boot that is over has ended with it.  A start that is not
-   acknowledged may still reach the new boot. */
+/*
+ * Ends the runs of an executor's earlier boot and resets what was known of it.
+ * A start that is not acknowledged may still reach the new boot, so it is
+ * stopped instead.
+ */
 static void
-boot_over (struct fsched *c, struct exec *e)
+end_boot (struct fsched *fs, struct exec *e)
 {
   struct start *r, *next;
 
   TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
     if (r->start_acked_ms)
-      start_end (c, r, RUN_END_REBOOTED);
+      start_end (fs, r, RUN_END_REBOOTED);
     else if (r->state != START_SENT)
-      start_stop (c, r);
+      start_stop (fs, r);
   e->seen_end_seq = 0;
   e->writing_end_seq = 0;
   e->recorded_end_seq = 0;
   e->failures_in_row = 0;
   e->quarantine_until_ms = 0;
   e->quarantine_ms = 0;
-  c->pass_due = true;
+  fs->pass_due = true;
 }
 
 void
-fsched_exec_report (struct fsched *c, const struct exec_report *rep)
+fsched_exec_report (struct fsched *fs, const struct exec_report *rep)
 {
-  struct exec *e = exec_find (c, rep->id);
+  struct exec *e = exec_find (fs, rep->id);
   bool moved;
 
   if (!e)
     {
-      e = exec_add (c, rep->id);
-      /* Not in the roster: no earlier leader has used it. */
+      e = exec_add (fs, rep->id);
+      /* An executor that is not in the roster was not used by any earlier
+         leader. */
       e->reconciled = true;
     }
   moved = strcmp (e->rep.addr, rep->addr) != 0;
   if (!e->listed || e->rep.draining != rep->draining)
     {
-      out_line (c->out, "event=exec-%s exec=%s zone=%s addr=%s",
+      out_line (fs->out, "event=exec-%s exec=%s zone=%s addr=%s",
                 rep->draining ? "draining" : "listed", rep->id, rep->zone,
                 rep->addr);
-      c->pass_due = true;
+      fs->pass_due = true;
     }
   e->rep = *rep;
-  fsched_intern_exec (c, e);
+  fsched_intern_exec (fs, e);
   e->listed = true;
   e->in_list = true;
   if (moved)
-    e->next_poll_ms = c->now_ms;
+    e->next_poll_ms = fs->now_ms;
   if (!e->recorded)
     {
-      c->roster_dirty = true;
-      c->record_due = true;
+      fs->roster_dirty = true;
+      fs->record_due = true;
     }
 }
 
 void
-fsched_exec_unlisted (struct fsched *c, const char *id)
+fsched_exec_unlisted (struct fsched *fs, const char *id)
 {
-  struct exec *e = exec_find (c, id);
+  struct exec *e = exec_find (fs, id);
 
   if (!e || !e->listed)
     return;
-  out_line (c->out, "event=exec-unlisted exec=%s", id);
+  out_line (fs->out, "event=exec-unlisted exec=%s", id);
   e->listed = false;
-  e->unlisted_since_ms = c->now_ms;
+  e->unlisted_since_ms = fs->now_ms;
 }
 
 void
-fsched_exec_list (struct fsched *c, bool begins)
+fsched_exec_list (struct fsched *fs, bool begins)
 {
   struct exec *e;
 
-  TAILQ_FOREACH (e, &c->execs, link)
+  TAILQ_FOREACH (e, &fs->execs, link)
     if (begins)
       e->in_list = false;
     else if (!e->in_list)
-      fsched_exec_unlisted (c, e->rep.id);
+      fsched_exec_unlisted (fs, e->rep.id);
 }
 
-/* Dropped for a moment while the platform was away, or gone. */
+/* Whether discovery lists the executor, or dropped it so recently that the
+   platform may only have lost the entry in an outage. */
 static bool
-still_there (const struct fsched *c, const struct exec *e)
+recently_listed (const struct fsched *fs, const struct exec *e)
 {
   return e->listed
          || (e->unlisted_since_ms
-             && c->now_ms - e->unlisted_since_ms < FSCHED_UNLISTED_GRACE_MS);
+             && fs->now_ms - e->unlisted_since_ms < FSCHED_UNLISTED_GRACE_MS);
 }
 
 void
-fsched_load_roster (struct fsched *c, const char *text)
+fsched_load_roster (struct fsched *fs, const char *text)
 {
   clb_auto char *copy = strdup (text);
   char *save = NULL;
@@ -147,10 +158,10 @@
       if (!addr)
         continue;
       *addr++ = '\0';
-      e = exec_find (c, line);
+      e = exec_find (fs, line);
       if (!e)
         {
-          e = exec_add (c, line);
+          e = exec_add (fs, line);
           clb_copy (e->rep.addr, addr, sizeof e->rep.addr);
         }
       e->recorded = true;
@@ -159,131 +170,142 @@
 }
 
 int64_t
-exec_clock_now (const struct fsched *c, const struct exec *e)
+exec_clock_now (const struct fsched *fs, const struct exec *e)
 {
-  return e->clock_ms + c->now_ms - e->last_contact_ms;
+  return e->clock_ms + fs->now_ms - e->last_contact_ms;
 }
 
+/* Whether all leases given to the executor have expired by its own clock, even
+   if that is slow. */
 static bool
-lease_over (const struct fsched *c, const struct exec *e)
+leases_expired (const struct fsched *fs, const struct exec *e)
 {
-  int64_t passed = c->now_ms - e->last_contact_ms - FSCHED_CLOCK_MARGIN_MS;
+  int64_t elapsed_ms
+      = fs->now_ms - e->last_contact_ms - FSCHED_CLOCK_MARGIN_MS;
 
   return e->answered
-         && e->clock_ms + passed * CLOCK_RATE_LOW / 100 > e->lease_deadline_ms;
+         && e->clock_ms + elapsed_ms * CLOCK_RATE_LOW / 100
+                > e->lease_deadline_ms;
 }
 
 static void
-send_hold (struct fsched *c, struct exec *e)
+send_poll (struct fsched *fs, struct exec *e)
 {
   struct pending_order *pend;
-  struct order *o = fsched_order_new (c, ORDER_POLL, e, &pend);
+  struct order *o = fsched_order_new (fs, ORDER_POLL, e, &pend);
 
   pend->exec = e;
   e->poll_id = o->id;
-  e->poll_sent_ms = c->now_ms;
+  e->poll_sent_ms = fs->now_ms;
   o->recorded_end_seq = e->recorded_end_seq;
-  /* A lease that is renewed in vain would never be over. */
+  /* A poll of an unreachable executor does not extend its lease.  Otherwise
+     each poll would move the assumed end, and the lease would never count as
+     expired. */
   if (e->answered && !e->unreachable)
     {
-      o->lease_deadline_ms = exec_clock_now (c, e) + FSCHED_LEASE_MS;
+      o->lease_deadline_ms = exec_clock_now (fs, e) + FSCHED_LEASE_MS;
       if (o->lease_deadline_ms > e->lease_deadline_ms)
         e->lease_deadline_ms = o->lease_deadline_ms;
     }
-  /* Ends that are not recorded yet would be answered at once. */
+  /* The answer may be delayed only if all ends that were seen are recorded:
+     the executor would report the others again at once. */
   if (e->answered && !e->unreachable && e->recorded_end_seq == e->seen_end_seq)
     o->wait_ms = FSCHED_POLL_WAIT_MS;
   o->timeout_ms = o->wait_ms + FSCHED_POLL_SLACK_MS;
 }
 
+/* Ends all runs of an executor whose leases have expired. */
 static void
-lapse_all (struct fsched *c, struct exec *e)
+end_expired_runs (struct fsched *fs, struct exec *e)
 {
   struct start *r;
 
-  out_line (c->out, "event=lease-over exec=%s silent_ms=%lld", e->rep.id,
-            (long long)(c->now_ms
-                        - (e->answered ? e->last_contact_ms : c->claimed_ms)));
+  out_line (
+      fs->out, "event=lease-over exec=%s silent_ms=%lld", e->rep.id,
+      (long long)(fs->now_ms
+                  - (e->answered ? e->last_contact_ms : fs->claimed_ms)));
   while ((r = TAILQ_FIRST (&e->runs)))
     {
-      c->stats->runs_lapsed++;
-      start_end (c, r, RUN_END_LAPSED);
+      fs->stats->runs_lapsed++;
+      start_end (fs, r, RUN_END_LAPSED);
     }
 }
 
 void
-exec_tick (struct fsched *c, struct exec *e)
+exec_tick (struct fsched *fs, struct exec *e)
 {
   struct start *r, *next;
-  bool idle = !still_there (c, e) && e->reconciled && TAILQ_EMPTY (&e->runs);
+  bool idle
+      = !recently_listed (fs, e) && e->reconciled && TAILQ_EMPTY (&e->runs);
 
-  if (!e->poll_id && !idle && c->now_ms >= e->next_poll_ms)
-    send_hold (c, e);
+  if (!e->poll_id && !idle && fs->now_ms >= e->next_poll_ms)
+    send_poll (fs, e);
   TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
-    start_tick (c, r);
-  if (e->unreachable && !TAILQ_EMPTY (&e->runs) && lease_over (c, e))
-    lapse_all (c, e);
+    start_tick (fs, r);
+  if (e->unreachable && !TAILQ_EMPTY (&e->runs) && leases_expired (fs, e))
+    end_expired_runs (fs, e);
 }
 
 void
-exec_mark_unreachable (struct fsched *c, struct exec *e)
+exec_mark_unreachable (struct fsched *fs, struct exec *e)
 {
   if (e->unreachable)
     return;
   e->unreachable = true;
-  e->unreachable_since_ms = c->now_ms;
-  out_line (c->out,
+  e->unreachable_since_ms = fs->now_ms;
+  out_line (fs->out,
             "event=exec-unreachable exec=%s outcome=order-unanswered "
             "has_runs=1",
             e->rep.id);
 }
 
 void
-exec_count_failure (struct fsched *c, struct exec *e)
+exec_count_failure (struct fsched *fs, struct exec *e)
 {
   if (++e->failures_in_row < FSCHED_QUARANTINE_FAILURES
-      || c->now_ms < e->quarantine_until_ms)
+      || fs->now_ms < e->quarantine_until_ms)
     return;
   e->quarantine_ms
       = e->quarantine_ms ? 2 * e->quarantine_ms : FSCHED_QUARANTINE_MS;
-  e->quarantine_until_ms = c->now_ms + e->quarantine_ms;
-  /* The first failure after the pause is enough for the next. */
+  e->quarantine_until_ms = fs->now_ms + e->quarantine_ms;
+  /* One failure after the quarantine is enough for the next quarantine. */
   e->failures_in_row = FSCHED_QUARANTINE_FAILURES - 1;
-  c->stats->quarantines++;
-  out_line (c->out, "event=exec-quarantined exec=%s for_ms=%lld", e->rep.id,
+  fs->stats->quarantines++;
+  out_line (fs->out, "event=exec-quarantined exec=%s for_ms=%lld", e->rep.id,
             (long long)e->quarantine_ms);
 }
 
 static struct start *
-find_run (const struct exec *e, const struct task_ref *t, int64_t no)
+find_run (const struct exec *e, const struct task_ref *t, int64_t run_id)
 {
   struct start *r;
 
   TAILQ_FOREACH (r, &e->runs, exec_link)
-    if (r->run_id == no && r->step == t->step && r->index == t->index
+    if (r->run_id == run_id && r->step == t->step && r->index == t->index
         && strcmp (r->job->spec.id, t->job) == 0)
       return r;
   return NULL;
 }
 
+/* Processes an ended run that an executor reports. */
 static void
-take_end (struct fsched *c, struct exec *e, const struct end_row *row)
+process_end (struct fsched *fs, struct exec *e, const struct end_row *row)
 {
   struct start *r = find_run (e, &row->task, row->run_id);
-  struct job *j = fsched_task_job (c, &row->task);
+  struct job *j = fsched_task_job (fs, &row->task);
 
   if (row->seq <= e->seen_end_seq)
     return;
   e->seen_end_seq = row->seq;
-  c->record_due = true;
+  fs->record_due = true;
   if (r)
     {
       clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
-      start_end (c, r, row->how);
+      start_end (fs, r, row->how);
     }
   else if (j)
     {
-      out_line (c->out,
+      out_line (fs->out,
                 "event=end-found job=%s step=%lld task=%lld run=%lld "
                 "exec=%s result=%s",
                 row->task.job, (long long)row->task.step,
@@ -291,32 +313,36 @@
                 run_end_names[row->how]);
       fsched_keep_checkpoint (j, (int)row->task.step, (int)row->task.index,
                               row->checkpoint);
-      fsched_task_ended (c, j, (int)row->task.step, (int)row->task.index,
+      fsched_task_ended (fs, j, (int)row->task.step, (int)row->task.index,
                          row->run_id, row->how);
     }
 }
 
+/* Stops a run that no job wants. */
 static void
-stop_stray (struct fsched *c, struct exec *e, const struct run_row *row)
+stop_orphan (struct fsched *fs, struct exec *e, const struct run_row *row)
 {
   struct pending_order *pend;
-  struct order *o = fsched_order_new (c, ORDER_STOP, e, &pend);
+  struct order *o = fsched_order_new (fs, ORDER_STOP, e, &pend);
 
   o->task = row->task;
   o->run_id = row->run_id;
-  c->stats->stops++;
-  out_line (c->out,
+  fs->stats->stops++;
+  out_line (fs->out,
             "event=stop-orphan job=%s step=%lld task=%lld run=%lld "
             "exec=%s",
             row->task.job, (long long)row->task.step,
             (long long)row->task.index, (long long)row->run_id, e->rep.id);
 }
 
-/* A run that this leader has not started: an earlier one has. */
+/*
+ * Creates a start for a run that an earlier leader started.  Returns NULL if
+ * no job wants the run.
+ */
 static struct start *
-adopt (struct fsched *c, struct exec *e, const struct run_row *row)
+adopt_run (struct fsched *fs, struct exec *e, const struct run_row *row)
 {
-  struct job *j = fsched_task_job (c, &row->task);
+  struct job *j = fsched_task_job (fs, &row->task);
   struct jtask *t;
 
   if (!j || job_state_final (j->state))
@@ -324,234 +350,245 @@
   t = &j->steps[row->task.step].tasks[row->task.index];
   if (t->done || t->run)
     return NULL;
-  out_line (c->out,
+  out_line (fs->out,
             "event=run-adopted job=%s step=%lld task=%lld run=%lld "
             "exec=%s percent=%lld",
             row->task.job, (long long)row->task.step,
             (long long)row->task.index, (long long)row->run_id, e->rep.id,
             (long long)row->percent);
-  return start_new (c, j, (int)row->task.step, (int)row->task.index, e,
+  return start_new (fs, j, (int)row->task.step, (int)row->task.index, e,
                     row->run_id, START_ACKED);
 }
 
+/* Processes a running task that an executor reports. */
 static void
-take_running (struct fsched *c, struct exec *e, const struct run_row *row)
+process_running (struct fsched *fs, struct exec *e, const struct run_row *row)
 {
   struct start *r = find_run (e, &row->task, row->run_id);
 
   if (!r)
-    r = adopt (c, e, row);
+    r = adopt_run (fs, e, row);
   if (!r)
     {
       e->n_orphans++;
-      if (c->now_ms >= e->next_orphan_stop_ms)
-        stop_stray (c, e, row);
+      if (fs->now_ms >= e->next_orphan_stop_ms)
+        stop_orphan (fs, e, row);
       return;
     }
   r->in_list = true;
   r->inherited = false;
   if (!r->start_acked_ms)
-    r->start_acked_ms = c->now_ms;
+    r->start_acked_ms = fs->now_ms;
   if (r->state == START_SENT || r->state == START_UNCONFIRMED)
     r->state = START_ACKED;
   if (r->percent != row->percent)
-    r->percent_changed_ms = c->now_ms;
+    r->percent_changed_ms = fs->now_ms;
   r->percent = row->percent;
   clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
 }
 
-/* Runs that a list lacks although they were known when it was asked for. */
+/* Processes a start that is missing in its executor's list of running tasks.
+   A list says nothing about orders sent after it was requested. */
 static void
-judge_absent (struct fsched *c, struct exec *e, struct start *r)
+process_missing (struct fsched *fs, struct exec *e, struct start *r)
 {
-  /* The list shows all that an earlier leader's orders have left there. */
+  /* The list contains every run that earlier leaders' orders have started. */
   if (r->inherited)
-    start_end (c, r, RUN_END_NOT_STARTED);
+    start_end (fs, r, RUN_END_NOT_STARTED);
   else if (r->state == START_STOPPING && r->stop_acked_ms
            && r->stop_acked_ms <= e->poll_sent_ms)
-    start_end (c, r, RUN_END_NOT_STARTED);
+    start_end (fs, r, RUN_END_NOT_STARTED);
   else if (r->state == START_UNCONFIRMED
            && r->answer_lost_ms < e->poll_sent_ms)
-    start_stop (c, r);
+    start_stop (fs, r);
   else if (r->state == START_ACKED && r->start_acked_ms
            && r->start_acked_ms < e->poll_sent_ms)
-    start_stop (c, r);
+    start_stop (fs, r);
 }
 
+/* Processes the lists of ended and running tasks in a poll's answer. */
 static void
-take_lists (struct fsched *c, struct exec *e, const struct order_result *res)
+process_lists (struct fsched *fs, struct exec *e,
+               const struct order_result *res)
 {
   struct start *r, *next;
-  int strays = e->n_orphans;
+  int orphans_before = e->n_orphans;
 
   TAILQ_FOREACH (r, &e->runs, exec_link)
     r->in_list = false;
   for (size_t i = 0; i < res->n_ends; i++)
-    take_end (c, e, &res->ends[i]);
+    process_end (fs, e, &res->ends[i]);
   e->n_orphans = 0;
   for (size_t i = 0; i < res->n_runs; i++)
-    take_running (c, e, &res->runs[i]);
-  if (e->n_orphans && c->now_ms >= e->next_orphan_stop_ms)
-    e->next_orphan_stop_ms = c->now_ms + FSCHED_STOP_RETRY_MS;
-  if (strays && !e->n_orphans)
-    c->pass_due = true;
+    process_running (fs, e, &res->runs[i]);
+  if (e->n_orphans && fs->now_ms >= e->next_orphan_stop_ms)
+    e->next_orphan_stop_ms = fs->now_ms + FSCHED_STOP_RETRY_MS;
+  if (orphans_before && !e->n_orphans)
+    fs->pass_due = true;
   TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
     if (!r->in_list)
-      judge_absent (c, e, r);
-    else if (r->stop_acked_ms && c->now_ms - r->stop_acked_ms > STOP_AGAIN_MS)
+      process_missing (fs, e, r);
+    else if (r->stop_acked_ms
+             && fs->now_ms - r->stop_acked_ms > STOP_RESEND_MS)
       r->stop_acked_ms = 0;
 }
 
-/* Its clock begins anew with each boot. */
+/* Whether the executor's clock has gone back: it restarts with each boot. */
 static bool
-clock_fell (const struct fsched *c, const struct exec *e, int64_t clock_ms)
+clock_went_back (const struct fsched *fs, const struct exec *e,
+                 int64_t clock_ms)
 {
   return e->answered && clock_ms > 0
-         && clock_ms + CLOCK_FALL_MS < exec_clock_now (c, e);
+         && clock_ms + CLOCK_RESET_MS < exec_clock_now (fs, e);
 }
 
-/* All that was known of the old boot is void. */
+/* Discards what was known of the executor's earlier boot. */
 static void
-new_boot (struct fsched *c, struct exec *e, int64_t clock_ms, int64_t born_ms)
+new_boot (struct fsched *fs, struct exec *e, int64_t clock_ms, int64_t born_ms)
 {
-  out_line (c->out,
+  out_line (fs->out,
             "event=exec-rebooted exec=%s clock_ms=%lld boot_start=%lld",
             e->rep.id, (long long)clock_ms, (long long)born_ms);
-  boot_over (c, e);
+  end_boot (fs, e);
   e->boot_start_ms = born_ms;
   e->clock_ms = clock_ms;
-  e->last_contact_ms = c->now_ms;
+  e->last_contact_ms = fs->now_ms;
   e->lease_deadline_ms = clock_ms + FSCHED_LEASE_MS;
 }
 
 bool
-exec_detect_reboot (struct fsched *c, struct exec *e, int64_t clock_ms)
+exec_detect_reboot (struct fsched *fs, struct exec *e, int64_t clock_ms)
 {
-  if (!clock_fell (c, e, clock_ms))
+  if (!clock_went_back (fs, e, clock_ms))
     return false;
-  new_boot (c, e, clock_ms, 0);
-  exec_mark_unreachable (c, e);
+  new_boot (fs, e, clock_ms, 0);
+  exec_mark_unreachable (fs, e);
   return true;
 }
 
+/* Notes that an executor has answered a poll. */
 static void
-heard (struct fsched *c, struct exec *e, const struct order_result *res)
+mark_reachable (struct fsched *fs, struct exec *e,
+                const struct order_result *res)
 {
-  if (clock_fell (c, e, res->clock_ms)
+  if (clock_went_back (fs, e, res->clock_ms)
       || (e->answered && res->boot_start_ms && e->boot_start_ms
           && res->boot_start_ms != e->boot_start_ms))
-    new_boot (c, e, res->clock_ms, res->boot_start_ms);
+    new_boot (fs, e, res->clock_ms, res->boot_start_ms);
   if (!e->answered || e->unreachable)
     {
       out_line (
-          c->out, "event=exec-reachable exec=%s reconciled=%d away_ms=%lld",
+          fs->out, "event=exec-reachable exec=%s reconciled=%d away_ms=%lld",
           e->rep.id, e->reconciled,
-          (long long)(e->unreachable ? c->now_ms - e->unreachable_since_ms
+          (long long)(e->unreachable ? fs->now_ms - e->unreachable_since_ms
                                      : 0));
-      c->pass_due = true;
+      fs->pass_due = true;
     }
   e->boot_start_ms
       = res->boot_start_ms ? res->boot_start_ms : e->boot_start_ms;
   e->answered = true;
   e->unreachable = false;
   e->clock_ms = res->clock_ms;
-  e->last_contact_ms = c->now_ms;
+  e->last_contact_ms = fs->now_ms;
 }
 
+/* Notes that a poll of an executor has failed. */
 static void
-not_heard (struct fsched *c, struct exec *e, const struct order_result *res)
+poll_failed (struct fsched *fs, struct exec *e, const struct order_result *res)
 {
   if (res->outcome == ORDER_REFUSED && res->reason == REFUSED_FENCE)
-    c->fenced = true;
+    fs->fenced = true;
   if (res->outcome == ORDER_WRONG_BOOT)
-    boot_over (c, e);
+    end_boot (fs, e);
   if (!e->unreachable)
     {
-      e->unreachable_since_ms = c->now_ms;
-      out_line (c->out,
+      e->unreachable_since_ms = fs->now_ms;
+      out_line (fs->out,
                 "event=exec-unreachable exec=%s outcome=%s has_runs=%d",
                 e->rep.id, order_outcome_names[res->outcome],
                 !TAILQ_EMPTY (&e->runs));
     }
   e->unreachable = true;
-  e->next_poll_ms = c->now_ms + FSCHED_POLL_RETRY_MS;
+  e->next_poll_ms = fs->now_ms + FSCHED_POLL_RETRY_MS;
 }
 
 void
-exec_poll_result (struct fsched *c, struct exec *e,
+exec_poll_result (struct fsched *fs, struct exec *e,
                   const struct order_result *res)
 {
-  bool first = !e->answered;
+  bool first_answer = !e->answered;
 
   e->poll_id = 0;
   if (res->outcome != ORDER_DONE)
     {
-      not_heard (c, e, res);
+      poll_failed (fs, e, res);
       return;
     }
-  heard (c, e, res);
-  take_lists (c, e, res);
+  mark_reachable (fs, e, res);
+  process_lists (fs, e, res);
   e->reconciled = true;
-  /* Ends wait until they are recorded, or until the lease needs renewal. */
-  e->next_poll_ms = c->now_ms + FSCHED_POLL_GAP_MS;
+  /* While ends are not recorded, the next poll is put off until they are, or
+     until the lease must be renewed. */
+  e->next_poll_ms = fs->now_ms + FSCHED_POLL_GAP_MS;
   if (e->seen_end_seq > e->recorded_end_seq)
-    e->next_poll_ms = c->now_ms + FSCHED_POLL_WAIT_MS / 2;
-  if (first)
-    e->next_poll_ms = c->now_ms;
+    e->next_poll_ms = fs->now_ms + FSCHED_POLL_WAIT_MS / 2;
+  if (first_answer)
+    e->next_poll_ms = fs->now_ms;
 }
 
-/* An earlier leader may have been lost between two members' starts. */
+/* Stops gangs that run only in part: an earlier leader may have failed between
+   the starts of two members. */
 static void
-stop_half_gangs (struct fsched *c)
+stop_partial_gangs (struct fsched *fs)
 {
   struct job *j;
 
-  TAILQ_FOREACH (j, &c->queue, link)
+  TAILQ_FOREACH (j, &fs->queue, link)
     for (size_t i = 0; i < j->spec.n_steps; i++)
       {
         const struct jstep *s = &j->steps[i];
         if (j->spec.steps[i].gang && s->n_done == 0 && s->n_running > 0
             && s->n_running < s->n_tasks)
-          start_stop_gang (c, j, (int)i);
+          start_stop_gang (fs, j, (int)i);
       }
 }
 
 void
-exec_reconcile_check (struct fsched *c)
+exec_reconcile_check (struct fsched *fs)
 {
   struct exec *e;
-  int unclear = 0;
+  int unreconciled = 0;
 
-  if (c->reconciled)
+  if (fs->reconciled)
     return;
-  TAILQ_FOREACH (e, &c->execs, link)
+  TAILQ_FOREACH (e, &fs->execs, link)
     {
-      if (!e->reconciled && c->now_ms >= c->old_leases_end_ms)
+      if (!e->reconciled && fs->now_ms >= fs->old_leases_end_ms)
         {
           if (!e->answered)
-            lapse_all (c, e);
+            end_expired_runs (fs, e);
           e->reconciled = true;
-          c->roster_dirty = true;
-          c->record_due = true;
+          fs->roster_dirty = true;
+          fs->record_due = true;
         }
-      unclear += !e->reconciled;
+      unreconciled += !e->reconciled;
     }
-  if (unclear)
+  if (unreconciled)
     return;
-  c->reconciled = true;
-  stop_half_gangs (c);
-  c->pass_due = true;
-  out_line (c->out, "event=reconciled epoch=%lld execs=%d after_ms=%lld",
-            (long long)c->epoch, c->n_execs,
-            (long long)(c->now_ms - c->claimed_ms));
+  fs->reconciled = true;
+  stop_partial_gangs (fs);
+  fs->pass_due = true;
+  out_line (fs->out, "event=reconciled epoch=%lld execs=%d after_ms=%lld",
+            (long long)fs->epoch, fs->n_execs,
+            (long long)(fs->now_ms - fs->claimed_ms));
 }
 
 bool
-exec_eligible (const struct fsched *c, const struct exec *e)
+exec_eligible (const struct fsched *fs, const struct exec *e)
 {
-  return still_there (c, e) && e->answered && !e->unreachable && e->recorded
-         && !e->n_orphans && !e->rep.draining
-         && c->now_ms >= e->quarantine_until_ms;
+  return recently_listed (fs, e) && e->answered && !e->unreachable
+         && e->recorded && !e->n_orphans && !e->rep.draining
+         && fs->now_ms >= e->quarantine_until_ms;
 }
 
 bool
@@ -576,32 +613,33 @@
                              : exec_has_label (e, j->spec.steps[step].label);
 }
 
+/* Number of needs that fit into what is left of the capacity. */
 static int64_t
-fit (int64_t room, int64_t used, int64_t need)
+fit_count (int64_t capacity, int64_t used, int64_t need)
 {
-  return need > 0 ? (room - used) / need : INT32_MAX;
+  return need > 0 ? (capacity - used) / need : INT32_MAX;
 }
 
 int
-exec_fits (const struct exec *e, const struct job *j, int step, int most)
+exec_fits (const struct exec *e, const struct job *j, int step, int max)
 {
   const struct job_step *s = &j->spec.steps[step];
-  const struct job_need *room = &e->rep.capacity;
-  int64_t n = most;
+  const struct job_need *capacity = &e->rep.capacity;
+  int64_t n = max;
   int64_t k;
 
   if (!s->best_effort_cpu
-      && (k
-          = fit (room->millicores, e->used.millicores + e->reserved.millicores,
-                 s->need.millicores))
+      && (k = fit_count (capacity->millicores,
+                         e->used.millicores + e->reserved.millicores,
+                         s->need.millicores))
              < n)
     n = k;
-  if ((k = fit (room->mem_mb, e->used.mem_mb + e->reserved.mem_mb,
-                s->need.mem_mb))
+  if ((k = fit_count (capacity->mem_mb, e->used.mem_mb + e->reserved.mem_mb,
+                      s->need.mem_mb))
       < n)
     n = k;
-  if ((k = fit (room->accels, e->used.accels + e->reserved.accels,
-                s->need.accels))
+  if ((k = fit_count (capacity->accels, e->used.accels + e->reserved.accels,
+                      s->need.accels))
       < n)
     n = k;
   if (s->max_per_exec && n > 0)
--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -1,15 +1,14 @@
 /*
- * Starts are put on record before they are sent: a successor whose executors
- * do not all answer then knows which tasks may be running on the silent ones,
- * and goes on with all others at once.
+ * Intents: a record of each start, written before the start is sent.  If some
+ * executors do not answer a new leader, it knows from the intents which tasks
+ * may be running on them, and schedules all others at once.  This keeps
+ * hundreds of waiting jobs going when a leader fails together with executors,
+ * or is cut off together with a failure domain of them.
  *
- * The record is a ring of rows, one for each write that carries starts.  A
- * row that is written anew first hands on what is still needed of it, so
- * nothing has to be removed.  A start's record is needed until its end is on
- * record too.
- *
- * Load answered: a leader lost together with executors, or cut off with a
- * domain of them, while hundreds of jobs wait.
+ * Intents are stored in a ring of rows in the table service.  Each write with
+ * new intents overwrites the next row; the intents of that row that are still
+ * needed are written again with the new ones.  Rows are therefore never
+ * deleted.  An intent is needed until the end of its start is recorded.
  */
 #include "fsched_impl.h"
 
@@ -19,18 +18,20 @@
 
 enum
 {
-  BATCH_MAX = 400, /* starts of one row: some 20 kB */
+  ROW_INTENTS_MAX = 400, /* intents of one row: some 20 kB */
 };
 
-/** struct intent - one start on record */
+/** struct intent - the record of one start */
 struct intent
 {
   TAILQ_ENTRY (intent) link;
-  struct start *start; /* NULL once it has ended */
+  /* NULL: the start has ended, or an earlier leader's run is not assumed to be
+     running. */
+  struct start *start;
   struct task_ref task;
   int64_t run_id;
   char exec[CLB_ID_MAX];
-  uint64_t end_seq; /* its end, counted by the cell; 0: has not ended */
+  uint64_t end_seq; /* intents::n_ends at the start's end; 0: not ended */
 };
 
 void
@@ -43,7 +44,7 @@
 }
 
 static void
-free_all (struct intentq *q)
+free_list (struct intentq *q)
 {
   struct intent *e;
 
@@ -58,13 +59,13 @@
 intents_fini (struct intents *p)
 {
   for (int i = 0; i < INTENT_ROWS; i++)
-    free_all (&p->rows[i]);
-  free_all (&p->waiting);
-  free_all (&p->writing);
+    free_list (&p->rows[i]);
+  free_list (&p->waiting);
+  free_list (&p->writing);
 }
 
 static struct intent *
-entry_new (struct start *r)
+intent_new (struct start *r)
 {
   struct intent *e = fsched_zalloc (1, sizeof *e);
 
@@ -79,33 +80,36 @@
 }
 
 void
-intent_start (struct fsched *c, struct start *r)
+intent_start (struct fsched *fs, struct start *r)
 {
-  struct intent *e = entry_new (r);
+  struct intent *e = intent_new (r);
 
-  TAILQ_INSERT_TAIL (&c->intents.waiting, e, link);
-  c->intents_due = true;
+  TAILQ_INSERT_TAIL (&fs->intents.waiting, e, link);
+  fs->intents_due = true;
 }
 
 void
-intent_ended (struct fsched *c, struct start *r)
+intent_ended (struct fsched *fs, struct start *r)
 {
   if (!r->intent)
     return;
   r->intent->start = NULL;
-  r->intent->end_seq = ++c->intents.n_ends;
+  r->intent->end_seq = ++fs->intents.n_ends;
   r->intent = NULL;
 }
 
+/* Whether the intent must stay in the table: its start has not ended, or the
+   end is not recorded. */
 static bool
-needed (const struct intents *p, const struct intent *e)
+still_needed (const struct intents *p, const struct intent *e)
 {
   return e->start || e->end_seq > p->recorded_ends;
 }
 
-/* What is still needed of the row that is written next joins the new one. */
+/* Moves the intents that are still needed from the row that is written next to
+   the waiting ones, and frees the others. */
 static void
-hand_on (struct intents *p)
+carry_over (struct intents *p)
 {
   struct intentq *slot = &p->rows[p->next_row];
   struct intent *e;
@@ -113,7 +117,7 @@
   while ((e = TAILQ_FIRST (slot)))
     {
       TAILQ_REMOVE (slot, e, link);
-      if (needed (p, e))
+      if (still_needed (p, e))
         TAILQ_INSERT_HEAD (&p->waiting, e, link);
       else
         free (e);
@@ -121,9 +125,9 @@
 }
 
 int
-intents_collect (struct fsched *c, struct store_op *op)
+intents_collect (struct fsched *fs, struct store_op *op)
 {
-  struct intents *p = &c->intents;
+  struct intents *p = &fs->intents;
   struct intent *e;
   char key[sizeof FSCHED_KEY_INTENTS + 16];
   clb_auto char *text = NULL;
@@ -131,14 +135,14 @@
   FILE *f;
 
   p->writing_ends = p->n_ends;
-  c->intents_due = false;
+  fs->intents_due = false;
   if (TAILQ_EMPTY (&p->waiting))
     return 0;
-  hand_on (p);
+  carry_over (p);
   f = open_memstream (&text, &len);
   if (!f)
     abort ();
-  for (int n = 0; n < BATCH_MAX && (e = TAILQ_FIRST (&p->waiting)); n++)
+  for (int n = 0; n < ROW_INTENTS_MAX && (e = TAILQ_FIRST (&p->waiting)); n++)
     {
       fprintf (f, "%s %lld %lld %lld %s\n", e->task.job,
                (long long)e->task.step, (long long)e->task.index,
@@ -146,7 +150,7 @@
       TAILQ_REMOVE (&p->waiting, e, link);
       TAILQ_INSERT_TAIL (&p->writing, e, link);
     }
-  c->intents_due = !TAILQ_EMPTY (&p->waiting);
+  fs->intents_due = !TAILQ_EMPTY (&p->waiting);
   fclose (f);
   snprintf (key, sizeof key, FSCHED_KEY_INTENTS "%03d", p->next_row);
   store_put (op, key, text);
@@ -155,91 +159,96 @@
   return 1;
 }
 
-/* What has changed since it was placed may forbid it by now. */
+/* Whether a start may still be sent: the job, the executor or the permit may
+   have changed since the task was placed. */
 static bool
-may_send (const struct fsched *c, const struct start *r)
+may_send (const struct fsched *fs, const struct start *r)
 {
-  return c->may_order && !job_state_final (r->job->state)
-         && exec_eligible (c, r->exec)
+  return fs->may_order && !job_state_final (r->job->state)
+         && exec_eligible (fs, r->exec)
          && (r->job->spec.advice.base_ms <= 0
-             || permit_valid (c, &r->job->steps[r->step], r->exec));
+             || permit_valid (fs, &r->job->steps[r->step], r->exec));
 }
 
+/* Notes that a start of the job is sent; measures the time to the first. */
 static void
-count_first (struct fsched *c, struct job *j)
+mark_sent (struct fsched *fs, struct job *j)
 {
   if (j->start_sent)
     return;
   j->start_sent = true;
   if (!j->inherited)
-    hist_add (&c->stats->first_start_ms, c->now_ms - j->arrival_ms);
+    hist_add (&fs->stats->first_start_ms, fs->now_ms - j->arrival_ms);
 }
 
-/* A gang's other members are dropped with the first, so all are looked at
-   before any is sent. */
+/* Sends the starts whose intents are durable now.  All starts are checked
+   before any is sent: if one member of a gang cannot be sent, the others are
+   dropped. */
 static void
-send_recorded (struct fsched *c)
+send_recorded (struct fsched *fs)
 {
   struct intent *e;
 
-  TAILQ_FOREACH (e, &c->intents.writing, link)
-    if (e->start && e->start->state == START_INTENT && !may_send (c, e->start))
-      start_end (c, e->start, RUN_END_NOT_STARTED);
-  TAILQ_FOREACH (e, &c->intents.writing, link)
+  TAILQ_FOREACH (e, &fs->intents.writing, link)
+    if (e->start && e->start->state == START_INTENT
+        && !may_send (fs, e->start))
+      start_end (fs, e->start, RUN_END_NOT_STARTED);
+  TAILQ_FOREACH (e, &fs->intents.writing, link)
     {
       struct start *r = e->start;
       if (r && r->state == START_DROPPED)
-        start_end (c, r, RUN_END_NOT_STARTED);
+        start_end (fs, r, RUN_END_NOT_STARTED);
       else if (r && r->state == START_INTENT)
         {
           r->state = START_SENT;
-          r->sent_ms = c->now_ms;
-          count_first (c, r->job);
+          r->sent_ms = fs->now_ms;
+          mark_sent (fs, r->job);
           start_mark_job_started (r->job);
-          start_send (c, r);
+          start_send (fs, r);
         }
     }
 }
 
 void
-intents_recorded (struct fsched *c)
+intents_recorded (struct fsched *fs)
 {
-  struct intents *p = &c->intents;
+  struct intents *p = &fs->intents;
 
   p->recorded_ends = p->writing_ends;
-  send_recorded (c);
+  send_recorded (fs);
   TAILQ_CONCAT (&p->rows[p->writing_row], &p->writing, link);
 }
 
 /* Loading. */
 
+/* Reads "job step index run_id executor". */
 static bool
 parse_line (char *line, struct intent *e)
 {
-  long long step, index, no;
-  int at = 0;
+  long long step, index, run_id;
+  int used = 0;
 
-  if (sscanf (line, "%16s %lld %lld %lld %n", e->task.job, &step, &index, &no,
-              &at)
+  if (sscanf (line, "%16s %lld %lld %lld %n", e->task.job, &step, &index,
+              &run_id, &used)
           != 4
-      || !at || !line[at] || strlen (line + at) >= CLB_ID_MAX)
+      || !used || !line[used] || strlen (line + used) >= CLB_ID_MAX)
     return false;
   e->task.step = step;
   e->task.index = index;
-  e->run_id = no;
-  clb_copy (e->exec, line + at, sizeof e->exec);
+  e->run_id = run_id;
+  clb_copy (e->exec, line + used, sizeof e->exec);
   return true;
 }
 
 int
-fsched_load_intents (struct fsched *c, const char *key, const char *text)
+fsched_load_intents (struct fsched *fs, const char *key, const char *text)
 {
   clb_auto char *copy = strdup (text);
   char *save = NULL;
-  int slot = atoi (key);
-  int bad = 0;
+  int row = atoi (key);
+  int n_bad = 0;
 
-  if (slot < 0 || slot >= INTENT_ROWS)
+  if (row < 0 || row >= INTENT_ROWS)
     return 1;
   for (char *line = strtok_r (copy, "\n", &save); line;
        line = strtok_r (NULL, "\n", &save))
@@ -247,21 +256,24 @@
       struct intent *e = fsched_zalloc (1, sizeof *e);
       if (parse_line (line, e))
         {
-          TAILQ_INSERT_TAIL (&c->intents.rows[slot], e, link);
+          TAILQ_INSERT_TAIL (&fs->intents.rows[row], e, link);
           continue;
         }
       free (e);
-      bad++;
+      n_bad++;
     }
-  return bad;
+  return n_bad;
 }
 
-/* The task that an entry may still be running; NULL if it surely is not: its
-   job or it has ended, or that run has. */
+/*
+ * Returns the task of an intent if its run may still be running, and sets
+ * *job. Returns NULL if the job, the task or the run is known to have ended.
+ */
 static struct jtask *
-open_task (const struct fsched *c, const struct intent *e, struct job **job)
+unfinished_task (const struct fsched *fs, const struct intent *e,
+                 struct job **job)
 {
-  struct job *j = fsched_task_job (c, &e->task);
+  struct job *j = fsched_task_job (fs, &e->task);
   struct jtask *t;
 
   if (!j || job_state_final (j->state))
@@ -276,38 +288,40 @@
   return t;
 }
 
+/* Creates a start for a loaded intent whose run may still be running on an
+   executor that has not answered this leader. */
 static void
-maybe_running (struct fsched *c, struct intent *e)
+assume_running (struct fsched *fs, struct intent *e)
 {
-  struct exec *x = exec_find (c, e->exec);
+  struct exec *exec = exec_find (fs, e->exec);
   struct job *j;
-  struct jtask *t = open_task (c, e, &j);
+  struct jtask *t = unfinished_task (fs, e, &j);
   struct start *r;
 
-  if (!t || t->run || t->last_run_id != e->run_id || !x || x->reconciled)
+  if (!t || t->run || t->last_run_id != e->run_id || !exec || exec->reconciled)
     return;
-  r = start_new (c, j, (int)e->task.step, (int)e->task.index, x, e->run_id,
+  r = start_new (fs, j, (int)e->task.step, (int)e->task.index, exec, e->run_id,
                  START_UNCONFIRMED);
-  r->answer_lost_ms = c->now_ms;
+  r->answer_lost_ms = fs->now_ms;
   r->inherited = true;
   r->intent = e;
   e->start = r;
 }
 
 void
-intents_load_done (struct fsched *c)
+intents_load_done (struct fsched *fs)
 {
   struct intent *e;
   struct job *j;
   struct jtask *t;
 
-  /* Of a task's runs, only the last may be running: a leader starts the next
-     when the one before is surely over. */
+  /* Only a task's last run may be running: a leader starts a task again only
+     when its earlier run has certainly ended. */
   for (int i = 0; i < INTENT_ROWS; i++)
-    TAILQ_FOREACH (e, &c->intents.rows[i], link)
-      if ((t = open_task (c, e, &j)) && e->run_id > t->last_run_id)
+    TAILQ_FOREACH (e, &fs->intents.rows[i], link)
+      if ((t = unfinished_task (fs, e, &j)) && e->run_id > t->last_run_id)
         t->last_run_id = (int32_t)e->run_id;
   for (int i = 0; i < INTENT_ROWS; i++)
-    TAILQ_FOREACH (e, &c->intents.rows[i], link)
-      maybe_running (c, e);
+    TAILQ_FOREACH (e, &fs->intents.rows[i], link)
+      assume_running (fs, e);
 }
--- a/core/fsched_intern.c
+++ b/core/fsched_intern.c
@@ -1,8 +1,7 @@
 /*
- * Numbers for names that each placing pass would compare anew for each job and
- * executor.
- *
- * Load answered: 900 jobs waiting for 350 executors.
+ * Interned names.  Each placing pass compares services, racks and labels for
+ * each job and executor, up to 900 waiting jobs and 350 executors, and
+ * compares ids instead of strings.
  */
 #include "fsched_impl.h"
 
@@ -30,32 +29,33 @@
   free (t->list);
 }
 
+/* Adds a label to the set exec::labels if the executor has it. */
 static void
-mark_label (struct exec *e, int no, const char *text)
+add_label (struct exec *e, int id, const char *text)
 {
-  if (no <= LABELS_MAX && exec_has_label (e, text))
-    e->labels |= UINT64_C (1) << no;
+  if (id <= LABELS_MAX && exec_has_label (e, text))
+    e->labels |= UINT64_C (1) << id;
 }
 
 int
-fsched_intern_label (struct fsched *c, const char *text)
+fsched_intern_label (struct fsched *fs, const char *text)
 {
-  int known = c->labels.n;
-  int no = fsched_intern (&c->labels, text);
+  int n_known = fs->labels.n;
+  int id = fsched_intern (&fs->labels, text);
   struct exec *e;
 
-  if (no > known)
-    TAILQ_FOREACH (e, &c->execs, link)
-      mark_label (e, no, text);
-  return no;
+  if (id > n_known)
+    TAILQ_FOREACH (e, &fs->execs, link)
+      add_label (e, id, text);
+  return id;
 }
 
 void
-fsched_intern_exec (struct fsched *c, struct exec *e)
+fsched_intern_exec (struct fsched *fs, struct exec *e)
 {
-  e->service = fsched_intern (&c->services, e->rep.service);
-  e->rack = fsched_intern (&c->racks, e->rep.rack);
+  e->service = fsched_intern (&fs->services, e->rep.service);
+  e->rack = fsched_intern (&fs->racks, e->rep.rack);
   e->labels = 0;
-  for (int i = 0; i < c->labels.n; i++)
-    mark_label (e, i + 1, c->labels.list[i]);
+  for (int i = 0; i < fs->labels.n; i++)
+    add_label (e, i + 1, fs->labels.list[i]);
 }
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -1,5 +1,6 @@
 /*
- * Which job goes first, and on which executors its tasks go.
+ * Placing passes: the order in which jobs are served, and the choice of
+ * executors for their tasks.
  */
 #include "fsched_impl.h"
 
@@ -8,20 +9,29 @@
 
 enum
 {
-  PASS_GAP_MS = 4,     /* events of this long are placed together */
-  PASS_RETRY_MS = 100, /* times pass also without events: pauses, tickets */
-  JOBS_A_MS = 40,      /* a pass over so many jobs is worth waiting 1 ms for */
-  LOOK_EVERY = 8,      /* jobs between looks whether any room is left */
-  ROOM_MIN_MILLICORES = 100, /* less is no room for any task seen */
+  /* Interval between passes, so that events within it share a pass. */
+  PASS_GAP_MS = 4,
+  /* Interval between passes while tasks wait and no event occurs: pauses and
+     tickets expire by time alone. */
+  PASS_RETRY_MS = 100,
+  /* The interval between passes grows by 1 ms for each so many jobs, to limit
+     the cost of passes over many jobs. */
+  PASS_JOBS_PER_MS = 40,
+  /* Jobs placed between checks of whether any executor has capacity left. */
+  CAPACITY_CHECK_JOBS = 8,
+  /* Free capacity below which an executor counts as full.  No task seen so far
+     needs less. */
+  FREE_MIN_MILLICORES = 100,
 };
 
-/* Whether the client account of @j may have @n more such tasks running. */
+/* Whether @n more tasks of the step keep the job's client account within its
+   limit. */
 static bool
-within_limit (struct fsched *c, const struct job *j, int step, int n)
+within_limit (struct fsched *fs, const struct job *j, int step, int n)
 {
   const struct fconf_tenant *ft
-      = c->conf ? fconf_tenant (c->conf, j->spec.tenant) : NULL;
-  const struct fsched_tenant *t = fsched_tenant (c, j->spec.tenant);
+      = fs->conf ? fconf_tenant (fs->conf, j->spec.tenant) : NULL;
+  const struct fsched_tenant *t = fsched_tenant (fs, j->spec.tenant);
   const struct job_need *need = &j->spec.steps[step].need;
 
   if (!ft)
@@ -31,43 +41,50 @@
 #undef OVER
 }
 
+/* Whether the step needs no advice, or has a valid permit for the executor. */
 static bool
-permitted (const struct fsched *c, const struct job *j, int step,
+permitted (const struct fsched *fs, const struct job *j, int step,
            const struct exec *e)
 {
-  return j->spec.advice.base_ms <= 0 || permit_valid (c, &j->steps[step], e);
+  return j->spec.advice.base_ms <= 0 || permit_valid (fs, &j->steps[step], e);
 }
 
-/* The usable executor on which least room is left over; those near the data
-   go before all others. */
+/*
+ * Returns the usable executor with the least free CPU that has capacity for a
+ * task of the step, or NULL.  Executors in the rack of the step's data are
+ * preferred to all others.
+ */
 static struct exec *
-best_fit (struct fsched *c, const struct job *j, int step)
+best_fit (struct fsched *fs, const struct job *j, int step)
 {
   int data_rack = j->steps[step].data_rack;
   struct exec *best = NULL;
-  int64_t best_left = 0;
+  int64_t best_spare = 0;
 
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      struct exec *e = c->eligible[i];
-      int64_t left;
-      if (!exec_usable (e, j, step) || !permitted (c, j, step, e)
+      struct exec *e = fs->eligible[i];
+      int64_t spare;
+      if (!exec_usable (e, j, step) || !permitted (fs, j, step, e)
           || exec_fits (e, j, step, 1) < 1)
         continue;
-      left = e->rep.capacity.millicores - e->used.millicores;
+      spare = e->rep.capacity.millicores - e->used.millicores;
       if (data_rack && data_rack != e->rack)
-        left += INT32_MAX;
-      if (!best || left < best_left)
+        spare += INT32_MAX;
+      if (!best || spare < best_spare)
         {
           best = e;
-          best_left = left;
+          best_spare = spare;
         }
     }
   return best;
 }
 
+/* Places the tasks of a step that is not a gang.  Returns false if some were
+   left because no executor has capacity; the client account's limit does not
+   count. */
 static bool
-place_singles (struct fsched *c, struct job *j, int step)
+place_single_tasks (struct fsched *fs, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
 
@@ -77,149 +94,162 @@
       struct exec *e;
       if (t->done || t->run)
         continue;
-      if (!within_limit (c, j, step, 1))
+      if (!within_limit (fs, j, step, 1))
         return true;
-      e = best_fit (c, j, step);
+      e = best_fit (fs, j, step);
       if (!e)
         return false;
       intent_start (
-          c, start_new (c, j, step, i, e, t->next_run_id, START_INTENT));
+          fs, start_new (fs, j, step, i, e, t->next_run_id, START_INTENT));
     }
   return true;
 }
 
-struct seat
+/** struct candidate - an executor that has capacity for members of a gang */
+struct candidate
 {
   struct exec *e;
-  int fits;
+  int fits; /* members that it has capacity for */
 };
 
 static int
-most_fits_first (const void *va, const void *vb)
+compare_fits (const void *va, const void *vb)
 {
-  const struct seat *a = va;
-  const struct seat *b = vb;
+  const struct candidate *a = va;
+  const struct candidate *b = vb;
 
   if (a->fits != b->fits)
     return b->fits - a->fits;
   return a->e->index - b->e->index;
 }
 
-/* Executors for a whole gang, as few as will do; 0 if there is no room.
-   @rack 0: of any rack. */
+/*
+ * Fills @candidates with the executors of a rack that can take members of a
+ * gang, those with the most capacity first.  @rack 0 means any rack.  Returns
+ * their number, or 0 if they have no capacity for the whole gang.
+ */
 static size_t
-gang_seats (struct fsched *c, const struct job *j, int step, int rack,
-            struct seat *seats)
+gang_candidates (struct fsched *fs, const struct job *j, int step, int rack,
+                 struct candidate *candidates)
 {
-  int want = j->steps[step].n_tasks;
-  int found = 0;
+  int n_members = j->steps[step].n_tasks;
+  int n_fit = 0;
   size_t n = 0;
 
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      struct exec *e = c->eligible[i];
+      struct exec *e = fs->eligible[i];
       int fits;
       if ((rack && rack != e->rack) || !exec_usable (e, j, step)
-          || !permitted (c, j, step, e))
+          || !permitted (fs, j, step, e))
         continue;
-      fits = exec_fits (e, j, step, want);
+      fits = exec_fits (e, j, step, n_members);
       if (fits < 1)
         continue;
-      seats[n++] = (struct seat){ e, fits };
-      found += fits;
+      candidates[n++] = (struct candidate){ e, fits };
+      n_fit += fits;
     }
-  if (found < want)
+  if (n_fit < n_members)
     return 0;
-  qsort (seats, n, sizeof *seats, most_fits_first);
+  qsort (candidates, n, sizeof *candidates, compare_fits);
   return n;
 }
 
-/* A gang that runs better in one rack gets one, if any rack has room. */
+/* As gang_candidates(), in the rack of the step's data if possible, or else in
+   a single rack if the step prefers that. */
 static size_t
-choose_seats (struct fsched *c, const struct job *j, int step,
-              struct seat *seats)
+choose_candidates (struct fsched *fs, const struct job *j, int step,
+                   struct candidate *candidates)
 {
   int data_rack = j->steps[step].data_rack;
   size_t n;
 
-  if (data_rack && (n = gang_seats (c, j, step, data_rack, seats)))
+  if (data_rack && (n = gang_candidates (fs, j, step, data_rack, candidates)))
     return n;
   if (j->spec.steps[step].same_rack)
-    for (int rack = 1; rack <= c->racks.n; rack++)
-      if ((n = gang_seats (c, j, step, rack, seats)))
+    for (int rack = 1; rack <= fs->racks.n; rack++)
+      if ((n = gang_candidates (fs, j, step, rack, candidates)))
         return n;
-  return gang_seats (c, j, step, 0, seats);
+  return gang_candidates (fs, j, step, 0, candidates);
 }
 
+/* Places all members of a gang or none.  Returns false if there is no capacity
+   for all. */
 static bool
-place_gang (struct fsched *c, struct job *j, int step)
+place_gang (struct fsched *fs, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
-  struct seat *seats;
-  int64_t no = 0;
+  struct candidate *candidates;
+  int64_t run_id = 0;
   size_t n;
-  size_t at = 0;
+  size_t next = 0;
 
   if (s->n_running > 0)
-    return true; /* the rest of an earlier run ends first */
-  if (!within_limit (c, j, step, s->n_tasks))
+    return true; /* members of an earlier run must end first */
+  if (!within_limit (fs, j, step, s->n_tasks))
     return true;
-  seats = calloc ((size_t)c->n_execs + 1, sizeof *seats);
-  if (!seats)
+  candidates = calloc ((size_t)fs->n_execs + 1, sizeof *candidates);
+  if (!candidates)
     abort ();
-  n = choose_seats (c, j, step, seats);
+  n = choose_candidates (fs, j, step, candidates);
   for (int i = 0; i < s->n_tasks && n; i++)
-    if (s->tasks[i].next_run_id > no)
-      no = s->tasks[i].next_run_id;
+    if (s->tasks[i].next_run_id > run_id)
+      run_id = s->tasks[i].next_run_id;
   /* All members resume from the same checkpoint. */
   for (int i = 1; i < s->n_tasks && n; i++)
     if (s->tasks[0].checkpoint)
       fsched_keep_checkpoint (j, step, i, s->tasks[0].checkpoint);
   for (int i = 0; i < s->n_tasks && n; i++)
     {
-      while (seats[at].fits == 0)
-        at++;
-      seats[at].fits--;
-      intent_start (c,
-                    start_new (c, j, step, i, seats[at].e, no, START_INTENT));
+      while (candidates[next].fits == 0)
+        next++;
+      candidates[next].fits--;
+      intent_start (fs, start_new (fs, j, step, i, candidates[next].e, run_id,
+                                   START_INTENT));
     }
-  free (seats);
+  free (candidates);
   return n > 0;
 }
 
+/* Places the tasks of a job's ready steps, or queries for advice on them. */
 static void
-place_job (struct fsched *c, struct job *j)
+place_job (struct fsched *fs, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
       struct jstep *s = &j->steps[i];
       bool placed = false;
-      bool asks = j->spec.advice.base_ms > 0;
+      bool needs_advice = j->spec.advice.base_ms > 0;
       if (!s->ready || s->n_done + s->n_running >= s->n_tasks)
         continue;
-      if (!asks || s->tickets_until_ms > c->now_ms)
-        placed = j->spec.steps[i].gang ? place_gang (c, j, (int)i)
-                                       : place_singles (c, j, (int)i);
-      if (!placed && asks)
-        advice_query (c, j, (int)i);
+      if (!needs_advice || s->tickets_until_ms > fs->now_ms)
+        placed = j->spec.steps[i].gang ? place_gang (fs, j, (int)i)
+                                       : place_single_tasks (fs, j, (int)i);
+      if (!placed && needs_advice)
+        advice_query (fs, j, (int)i);
     }
 }
 
-/* 0: on time if started now.  1: late.  2: too late to be worth anything, or
-   beyond what its client account is owed. */
+/*
+ * Returns the job's class: 0 if it meets its objective when started now, 1 if
+ * it will be late, 2 if it will be so late that its result has no value, or if
+ * it exceeds the share of its client account.
+ */
 static int
-group_of (const struct fsched *c, const struct job *j)
+job_urgency_class (const struct fsched *fs, const struct job *j)
 {
   int64_t objective = j->due_ms - j->arrival_ms;
-  int64_t left = j->critical_path_ms;
+  int64_t remaining_ms = j->critical_path_ms;
 
-  if (j->over_share || c->now_ms + left > j->due_ms + 2 * objective)
+  if (j->over_share || fs->now_ms + remaining_ms > j->due_ms + 2 * objective)
     return 2;
-  return c->now_ms + left > j->due_ms ? 1 : 0;
+  return fs->now_ms + remaining_ms > j->due_ms ? 1 : 0;
 }
 
+/* qsort() order: by class, then priority 0 before all others, then by the end
+   of the objective. */
 static int
-by_urgency (const void *va, const void *vb)
+compare_urgency (const void *va, const void *vb)
 {
   const struct job *a = *(struct job *const *)va;
   const struct job *b = *(struct job *const *)vb;
@@ -233,8 +263,9 @@
   return strcmp (a->spec.id, b->spec.id);
 }
 
+/* Whether the job has ready tasks that are not placed. */
 static bool
-wants_room (const struct job *j)
+has_unplaced_tasks (const struct job *j)
 {
   if (job_state_final (j->state))
     return false;
@@ -247,76 +278,77 @@
   return false;
 }
 
+/* Collects the executors that the pass may give tasks to. */
 static void
-open_execs (struct fsched *c)
+collect_eligible (struct fsched *fs)
 {
   struct exec *e;
 
-  c->eligible = realloc (c->eligible,
-                         (size_t)(c->n_execs + 1) * sizeof (struct exec *));
-  if (!c->eligible)
+  fs->eligible = realloc (fs->eligible,
+                          (size_t)(fs->n_execs + 1) * sizeof (struct exec *));
+  if (!fs->eligible)
     abort ();
-  c->n_eligible = 0;
-  TAILQ_FOREACH (e, &c->execs, link)
+  fs->n_eligible = 0;
+  TAILQ_FOREACH (e, &fs->execs, link)
     {
-      e->eligible = exec_eligible (c, e);
+      e->eligible = exec_eligible (fs, e);
       e->reserved = (struct job_need){ 0 };
       if (e->eligible)
-        c->eligible[c->n_eligible++] = e;
+        fs->eligible[fs->n_eligible++] = e;
     }
 }
 
-/* Whether an executor has room that is not promised yet. */
+/* Whether any executor has free capacity that is not reserved. */
 static bool
-some_room (const struct fsched *c)
+has_free_capacity (const struct fsched *fs)
 {
-  for (int i = 0; i < c->n_eligible; i++)
+  for (int i = 0; i < fs->n_eligible; i++)
     {
-      const struct exec *e = c->eligible[i];
+      const struct exec *e = fs->eligible[i];
       if (e->rep.capacity.millicores - e->used.millicores
               - e->reserved.millicores
-          >= ROOM_MIN_MILLICORES)
+          >= FREE_MIN_MILLICORES)
         return true;
     }
   return false;
 }
 
 void
-place_pass (struct fsched *c)
+place_pass (struct fsched *fs)
 {
   struct job *j;
   int n = 0;
 
-  c->pass_due = false;
-  c->stats->passes++;
+  fs->pass_due = false;
+  fs->stats->passes++;
 
-  if (c->n_jobs > c->ready_jobs_cap)
+  if (fs->n_jobs > fs->ready_jobs_cap)
     {
-      c->ready_jobs_cap = c->n_jobs + 64;
-      c->ready_jobs = realloc (c->ready_jobs, (size_t)c->ready_jobs_cap
-                                                  * sizeof (struct job *));
-      if (!c->ready_jobs)
+      fs->ready_jobs_cap = fs->n_jobs + 64;
+      fs->ready_jobs = realloc (fs->ready_jobs, (size_t)fs->ready_jobs_cap
+                                                    * sizeof (struct job *));
+      if (!fs->ready_jobs)
         abort ();
     }
-  TAILQ_FOREACH (j, &c->queue, link)
-    if (wants_room (j))
+  TAILQ_FOREACH (j, &fs->queue, link)
+    if (has_unplaced_tasks (j))
       {
-        j->urgency_class = group_of (c, j);
-        c->ready_jobs[n++] = j;
+        j->urgency_class = job_urgency_class (fs, j);
+        fs->ready_jobs[n++] = j;
       }
-  c->next_pass_ms = c->now_ms + PASS_GAP_MS;
-  c->retry_pass_ms = n ? c->now_ms + PASS_RETRY_MS : 0;
+  fs->next_pass_ms = fs->now_ms + PASS_GAP_MS;
+  fs->retry_pass_ms = n ? fs->now_ms + PASS_RETRY_MS : 0;
   if (n == 0)
     return;
-  c->next_pass_ms += n / JOBS_A_MS;
-  open_execs (c);
-  c->queries_left = FSCHED_PASS_QUERIES;
-  advice_begin_pass (c);
-  qsort (c->ready_jobs, (size_t)n, sizeof (struct job *), by_urgency);
+  fs->next_pass_ms += n / PASS_JOBS_PER_MS;
+  collect_eligible (fs);
+  fs->queries_left = FSCHED_PASS_QUERIES;
+  advice_begin_pass (fs);
+  qsort (fs->ready_jobs, (size_t)n, sizeof (struct job *), compare_urgency);
   for (int i = 0; i < n; i++)
     {
-      if (i % LOOK_EVERY == 0 && !some_room (c))
+      if (i % CAPACITY_CHECK_JOBS == 0 && !has_free_capacity (fs))
         break;
-      place_job (c, c->ready_jobs[i]);
+      place_job (fs, fs->ready_jobs[i]);
     }
 }
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -1,6 +1,7 @@
 /*
- * What the scheduler puts on record: progress and final states of jobs, and
- * the roster of executors; and what it drops once a job has ended.
+ * Rows that the fleet's scheduler records in the table service: the progress
+ * and final state of each job, and the roster of executors.  Also removes the
+ * specifications of ended jobs from the table.
  */
 #include "fsched_impl.h"
 
@@ -8,6 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Fills @out with the tasks of a step that are done or have failed; returns
+   their number. */
 static size_t
 fill_marks (const struct job *j, size_t step, struct job_mark *out)
 {
@@ -27,6 +30,7 @@
   return n;
 }
 
+/* Returns the value of a job's progress row, to be freed by the caller. */
 static char *
 progress_text (const struct job *j)
 {
@@ -54,9 +58,10 @@
   return text;
 }
 
-/* The roster is lines of "id addr". */
+/* Returns the roster, to be freed by the caller: a line "id addr" for each
+   executor that may be used or may run something. */
 static char *
-roster_text (const struct fsched *c)
+roster_text (const struct fsched *fs)
 {
   const struct exec *e;
   char *text = NULL;
@@ -65,7 +70,7 @@
 
   if (!f)
     abort ();
-  TAILQ_FOREACH (e, &c->execs, link)
+  TAILQ_FOREACH (e, &fs->execs, link)
     if (e->listed || !e->reconciled || e->used.millicores || e->used.mem_mb)
       fprintf (f, "%s %s\n", e->rep.id, e->rep.addr);
   fclose (f);
@@ -73,42 +78,42 @@
 }
 
 static void
-collect_roster (struct fsched *c, struct store_op *op)
+collect_roster (struct fsched *fs, struct store_op *op)
 {
-  clb_auto char *text = roster_text (c);
+  clb_auto char *text = roster_text (fs);
   struct exec *e;
 
   store_put (op, LEADER_KEY_ROSTER, text);
-  c->roster_dirty = false;
-  c->roster_writing = true;
-  TAILQ_FOREACH (e, &c->execs, link)
+  fs->roster_dirty = false;
+  fs->roster_writing = true;
+  TAILQ_FOREACH (e, &fs->execs, link)
     e->writing = strstr (text, e->rep.id) != NULL;
 }
 
 int
-fsched_collect (struct fsched *c, struct store_op *op, int most)
+fsched_collect (struct fsched *fs, struct store_op *op, int max_rows)
 {
   struct job *j;
   struct exec *e;
   int n = 0;
-  bool all = true;
+  bool complete = true;
 
-  c->record_due = false;
-  n = intents_collect (c, op);
-  if (c->roster_dirty)
+  fs->record_due = false;
+  n = intents_collect (fs, op);
+  if (fs->roster_dirty)
     {
-      collect_roster (c, op);
+      collect_roster (fs, op);
       n++;
     }
-  TAILQ_FOREACH (j, &c->queue, link)
+  TAILQ_FOREACH (j, &fs->queue, link)
     {
       char key[sizeof FSCHED_KEY_PROGRESS + JOB_ID_SIZE];
       if (!j->dirty)
         continue;
-      if (n >= most)
+      if (n >= max_rows)
         {
-          all = false;
-          c->record_due = true;
+          complete = false;
+          fs->record_due = true;
           break;
         }
       clb_auto char *text = progress_text (j);
@@ -118,45 +123,46 @@
       j->writing = true;
       n++;
     }
-  /* An end may be forgotten once all it changed is recorded. */
-  TAILQ_FOREACH (e, &c->execs, link)
-    if (all)
+  /* Ends are acknowledged, and intents dropped, only once all progress that
+     they changed is recorded. */
+  TAILQ_FOREACH (e, &fs->execs, link)
+    if (complete)
       e->writing_end_seq = e->seen_end_seq;
-  if (!all)
-    c->intents.writing_ends = c->intents.recorded_ends;
+  if (!complete)
+    fs->intents.writing_ends = fs->intents.recorded_ends;
   return n;
 }
 
 void
-fsched_recorded (struct fsched *c)
+fsched_recorded (struct fsched *fs)
 {
   struct job *j, *next;
   struct exec *e;
 
-  TAILQ_FOREACH (e, &c->execs, link)
+  TAILQ_FOREACH (e, &fs->execs, link)
     {
-      if (c->roster_writing && e->writing && !e->recorded)
+      if (fs->roster_writing && e->writing && !e->recorded)
         {
           e->recorded = true;
-          c->pass_due = true;
+          fs->pass_due = true;
         }
     }
-  c->roster_writing = false;
-  TAILQ_FOREACH (e, &c->execs, link)
+  fs->roster_writing = false;
+  TAILQ_FOREACH (e, &fs->execs, link)
     if (e->writing_end_seq > e->recorded_end_seq)
       {
         e->recorded_end_seq = e->writing_end_seq;
-        e->next_poll_ms = c->now_ms;
+        e->next_poll_ms = fs->now_ms;
       }
-  TAILQ_FOREACH_SAFE (j, &c->queue, link, next)
+  TAILQ_FOREACH_SAFE (j, &fs->queue, link, next)
     {
       if (!j->writing)
         continue;
       j->writing = false;
       j->recorded = job_state_final (j->state) && !j->dirty;
-      fsched_forget_job (c, j);
+      fsched_forget_job (fs, j);
     }
-  intents_recorded (c);
+  intents_recorded (fs);
 }
 
 int
@@ -165,24 +171,27 @@
   return (id[JOB_ID_SIZE - 2] & 0x0f) % FSCHED_JOB_PARTS;
 }
 
-/* An ended job's row stays, so that its id is never taken again, but without
-   the specification: the next leader reads them all.  A write that fails is
-   not repeated; it costs that leader some time. */
+/*
+ * Removes the specifications of ended jobs of one part of the table of jobs.
+ * The rows themselves stay, so that a job id is never used again; they are
+ * kept short because the next leader reads all of them.  A write that fails is
+ * not repeated: it only costs the next leader some time.
+ */
 static void
-trim_part (struct fsched *c, int part)
+trim_part (struct fsched *fs, int part)
 {
   struct store_op *op = NULL;
   struct ended_job *f;
 
-  RB_FOREACH (f, ended_job_tree, &c->ended_jobs)
+  RB_FOREACH (f, ended_job_tree, &fs->ended_jobs)
     {
       char key[CLB_NAME_MAX];
       if (!f->trim_due || fsched_job_part (f->id) != part)
         continue;
       if (!op)
         {
-          struct out *o = out_new (c->out, OUT_STORE);
-          o->u.store.token = ++*c->tokens;
+          struct out *o = out_new (fs->out, OUT_STORE);
+          o->u.store.token = ++*fs->tokens;
           op = &o->u.store.op;
           op->kind = STORE_TXN;
         }
@@ -195,11 +204,11 @@
 }
 
 void
-fsched_trim_jobs (struct fsched *c)
+fsched_trim_jobs (struct fsched *fs)
 {
-  if (c->now_ms < c->next_trim_ms)
+  if (fs->now_ms < fs->next_trim_ms)
     return;
-  c->next_trim_ms = c->now_ms + FSCHED_TRIM_MS;
+  fs->next_trim_ms = fs->now_ms + FSCHED_TRIM_MS;
   for (int part = 0; part < FSCHED_JOB_PARTS; part++)
-    trim_part (c, part);
+    trim_part (fs, part);
 }
--- a/core/fsched_start.c
+++ b/core/fsched_start.c
@@ -1,30 +1,34 @@
 /*
- * One start of a task: sent, then listed by its executor, then ended.  What
- * became of a start whose answer was lost is found out: either a list shows
- * it, or it is stopped by name, which the executor never undoes.
+ * Starts of tasks.  A start is sent to an executor, then listed by it as
+ * running, then ended.  If the answer to a start is lost, the next list that
+ * contains the run confirms the start; if the list lacks it, the run is
+ * stopped by its id, and the executor never starts a run that was stopped.
  */
 #include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
 
+/* Adds the need of a task of step @s, or subtracts it if @sign is -1. */
 static void
-add_need (struct job_need *to, const struct job_step *s, int sign)
+adjust_need (struct job_need *to, const struct job_step *s, int sign)
 {
-  /* Tasks that fill run on cores that others leave. */
+  /* Tasks with best_effort_cpu run on cores that other tasks leave idle. */
   if (!s->best_effort_cpu)
     to->millicores += sign * s->need.millicores;
   to->mem_mb += sign * s->need.mem_mb;
   to->accels += sign * s->need.accels;
 }
 
+/* Adds a start to the use of its executor and client account, or removes it if
+   @sign is -1. */
 static void
-add_use (struct fsched *c, const struct start *r, int sign)
+adjust_use (struct fsched *fs, const struct start *r, int sign)
 {
   const struct job_step *s = &r->job->spec.steps[r->step];
-  struct fsched_tenant *t = fsched_tenant (c, r->job->spec.tenant);
+  struct fsched_tenant *t = fsched_tenant (fs, r->job->spec.tenant);
 
-  add_need (&r->exec->used, s, sign);
+  adjust_need (&r->exec->used, s, sign);
   t->used.millicores += sign * s->need.millicores;
   t->used.mem_mb += sign * s->need.mem_mb;
   t->used.accels += sign * s->need.accels;
@@ -39,8 +43,8 @@
 }
 
 struct start *
-start_new (struct fsched *c, struct job *j, int step, int index,
-           struct exec *e, int64_t no, int state)
+start_new (struct fsched *fs, struct job *j, int step, int index,
+           struct exec *e, int64_t run_id, int state)
 {
   struct start *r = calloc (1, sizeof *r);
   struct jtask *t = &j->steps[step].tasks[index];
@@ -51,73 +55,76 @@
   r->exec = e;
   r->step = step;
   r->index = index;
-  r->run_id = no;
+  r->run_id = run_id;
   r->state = state;
-  r->sent_ms = c->now_ms;
-  r->percent_changed_ms = c->now_ms;
+  r->sent_ms = fs->now_ms;
+  r->percent_changed_ms = fs->now_ms;
   t->run = r;
-  if (no >= t->next_run_id)
-    t->next_run_id = (int32_t)no + 1;
+  if (run_id >= t->next_run_id)
+    t->next_run_id = (int32_t)run_id + 1;
   j->n_runs++;
   if (state != START_INTENT)
     start_mark_job_started (j);
   j->steps[step].n_running++;
   j->steps[step].n_queries = 0;
   TAILQ_INSERT_TAIL (&e->runs, r, exec_link);
-  add_use (c, r, 1);
+  adjust_use (fs, r, 1);
   return r;
 }
 
 void
-start_stop_gang (struct fsched *c, struct job *j, int step)
+start_stop_gang (struct fsched *fs, struct job *j, int step)
 {
   struct jstep *s = &j->steps[step];
 
   for (int i = 0; i < s->n_tasks; i++)
     if (s->tasks[i].run)
-      start_stop (c, s->tasks[i].run);
+      start_stop (fs, s->tasks[i].run);
 }
 
 void
-start_end (struct fsched *c, struct start *r, int how)
+start_end (struct fsched *fs, struct start *r, int how)
 {
   struct job *j = r->job;
   int step = r->step;
   int index = r->index;
-  int64_t no = r->run_id;
+  int64_t run_id = r->run_id;
   struct pending_order key = { .id = r->order_id };
-  struct pending_order *p = RB_FIND (pending_order_tree, &c->orders, &key);
+  struct pending_order *p = RB_FIND (pending_order_tree, &fs->orders, &key);
 
   if (p)
     p->run = NULL;
-  bool alone = how == RUN_END_NOT_STARTED || how == RUN_END_REBOOTED
-               || how == RUN_END_LAPSED || how == RUN_END_GANG_INCOMPLETE;
+  /* Whether the executors may still run the gang's other members. */
+  bool others_may_run = how == RUN_END_NOT_STARTED || how == RUN_END_REBOOTED
+                        || how == RUN_END_LAPSED
+                        || how == RUN_END_GANG_INCOMPLETE;
 
-  c->stats->ends[how]++;
-  out_line (c->out,
+  fs->stats->ends[how]++;
+  out_line (fs->out,
             "event=end job=%s step=%d task=%d run=%lld exec=%s result=%s "
             "ran_ms=%lld state=%d",
-            j->spec.id, step, index, (long long)no, r->exec->rep.id,
-            run_end_names[how], (long long)(c->now_ms - r->sent_ms), r->state);
+            j->spec.id, step, index, (long long)run_id, r->exec->rep.id,
+            run_end_names[how], (long long)(fs->now_ms - r->sent_ms),
+            r->state);
   fsched_keep_checkpoint (j, step, index, r->checkpoint);
-  add_use (c, r, -1);
-  intent_ended (c, r);
+  adjust_use (fs, r, -1);
+  intent_ended (fs, r);
   TAILQ_REMOVE (&r->exec->runs, r, exec_link);
   start_task (r)->run = NULL;
   j->n_runs--;
   j->steps[step].n_running--;
   if (how == RUN_END_FAILED)
-    exec_count_failure (c, r->exec);
+    exec_count_failure (fs, r->exec);
   else if (how == RUN_END_DONE)
     r->exec->failures_in_row = 0;
   free (r);
-  if (alone && j->spec.steps[step].gang)
-    start_stop_gang (c, j, step);
-  fsched_task_ended (c, j, step, index, no, how);
+  if (others_may_run && j->spec.steps[step].gang)
+    start_stop_gang (fs, j, step);
+  fsched_task_ended (fs, j, step, index, run_id, how);
 }
 
 static void
-fill_task (struct order *o, const struct start *r)
+set_task (struct order *o, const struct start *r)
 {
   clb_copy (o->task.job, r->job->spec.id, sizeof o->task.job);
   o->task.step = r->step;
@@ -126,50 +133,50 @@
 }
 
 void
-start_send (struct fsched *c, struct start *r)
+start_send (struct fsched *fs, struct start *r)
 {
   struct pending_order *pend;
-  struct order *o = fsched_order_new (c, ORDER_START, r->exec, &pend);
+  struct order *o = fsched_order_new (fs, ORDER_START, r->exec, &pend);
   const struct jstep *s = &r->job->steps[r->step];
   const struct jtask *t = start_task (r);
 
   pend->run = r;
   r->order_id = o->id;
-  fill_task (o, r);
+  set_task (o, r);
   o->text = strdup (r->job->spec.text ? r->job->spec.text : "");
-  o->lease_deadline_ms = exec_clock_now (c, r->exec) + FSCHED_LEASE_MS;
+  o->lease_deadline_ms = exec_clock_now (fs, r->exec) + FSCHED_LEASE_MS;
   if (o->lease_deadline_ms > r->exec->lease_deadline_ms)
     r->exec->lease_deadline_ms = o->lease_deadline_ms;
   if (t->checkpoint)
     clb_copy (o->checkpoint, t->checkpoint, sizeof o->checkpoint);
   if (r->exec->index < s->n_permits && s->permits[r->exec->index].ticket)
     clb_copy (o->ticket, s->permits[r->exec->index].ticket, sizeof o->ticket);
-  c->stats->starts += r->tries++ == 0;
-  out_line (c->out,
+  fs->stats->starts += r->tries++ == 0;
+  out_line (fs->out,
             "event=start job=%s step=%d task=%d run=%lld exec=%s try=%d "
             "lease_ms=%d saved=%s used=%lld/%lld contact_age_ms=%lld",
             r->job->spec.id, r->step, r->index, (long long)r->run_id,
             r->exec->rep.id, r->tries, FSCHED_LEASE_MS, o->checkpoint,
             (long long)r->exec->used.millicores,
             (long long)r->exec->rep.capacity.millicores,
-            (long long)(c->now_ms - r->exec->last_contact_ms));
+            (long long)(fs->now_ms - r->exec->last_contact_ms));
 }
 
 static void
-send_stop (struct fsched *c, struct start *r)
+send_stop (struct fsched *fs, struct start *r)
 {
   struct pending_order *pend;
-  struct order *o = fsched_order_new (c, ORDER_STOP, r->exec, &pend);
+  struct order *o = fsched_order_new (fs, ORDER_STOP, r->exec, &pend);
 
   pend->run = r;
   r->order_id = o->id;
-  r->next_stop_ms = c->now_ms + FSCHED_STOP_RETRY_MS;
-  fill_task (o, r);
-  c->stats->stops++;
+  r->next_stop_ms = fs->now_ms + FSCHED_STOP_RETRY_MS;
+  set_task (o, r);
+  fs->stats->stops++;
 }
 
 void
-start_stop (struct fsched *c, struct start *r)
+start_stop (struct fsched *fs, struct start *r)
 {
   if (r->state == START_STOPPING || r->state == START_DROPPED)
     return;
@@ -181,29 +188,30 @@
   r->state = START_STOPPING;
   r->stop_acked_ms = 0;
   r->next_stop_ms = 0;
-  out_line (c->out, "event=stop job=%s step=%d task=%d run=%lld exec=%s",
+  out_line (fs->out, "event=stop job=%s step=%d task=%d run=%lld exec=%s",
             r->job->spec.id, r->step, r->index, (long long)r->run_id,
             r->exec->rep.id);
-  start_tick (c, r);
+  start_tick (fs, r);
 }
 
 void
-start_tick (struct fsched *c, struct start *r)
+start_tick (struct fsched *fs, struct start *r)
 {
-  /* A start under way is waited for: a stop might overtake it unseen. */
+  /* A stop waits for the answer to an outstanding start: it could reach the
+     executor before the start. */
   if (r->state != START_STOPPING || r->order_id || r->stop_acked_ms
-      || c->now_ms < r->next_stop_ms || !c->may_order)
+      || fs->now_ms < r->next_stop_ms || !fs->may_order)
     return;
-  send_stop (c, r);
+  send_stop (fs, r);
 }
 
 static void
-start_refused (struct fsched *c, struct start *r, int reason)
+start_refused (struct fsched *fs, struct start *r, int reason)
 {
   struct permit *p;
 
-  c->stats->refusals[reason]++;
-  out_line (c->out,
+  fs->stats->refusals[reason]++;
+  out_line (fs->out,
             "event=start-refused job=%s step=%d task=%d run=%lld "
             "exec=%s reason=%s",
             r->job->spec.id, r->step, r->index, (long long)r->run_id,
@@ -211,70 +219,71 @@
   p = permit_get (&r->job->steps[r->step], r->exec);
   if (reason == REFUSED_TICKET)
     p->valid_until_ms = 0;
-  start_end (c, r, RUN_END_NOT_STARTED);
+  start_end (fs, r, RUN_END_NOT_STARTED);
 }
 
 static void
-start_answered (struct fsched *c, struct start *r,
+start_answered (struct fsched *fs, struct start *r,
                 const struct order_result *res)
 {
   int outcome = res->outcome;
 
-  /* Nothing more is placed there until it is heard again. */
+  /* Nothing more is placed on the executor until a poll of it succeeds. */
   if (outcome == ORDER_UNREACHED
       || (outcome == ORDER_LOST && r->tries >= FSCHED_START_TRIES))
-    exec_mark_unreachable (c, r->exec);
-  /* An earlier try may have come in, whatever became of this one. */
+    exec_mark_unreachable (fs, r->exec);
+  /* After a lost answer, an earlier copy of the start may have arrived,
+     whatever the result of this copy is. */
   if (r->answer_lost_ms && outcome != ORDER_DONE)
     outcome = ORDER_LOST;
   switch (outcome)
     {
     case ORDER_DONE:
-      r->start_acked_ms = c->now_ms;
+      r->start_acked_ms = fs->now_ms;
       if (r->state == START_SENT)
         r->state = START_ACKED;
       return;
     case ORDER_REFUSED:
-      start_refused (c, r, res->reason);
+      start_refused (fs, r, res->reason);
       return;
     case ORDER_BUSY:
-      exec_count_failure (c, r->exec);
-      start_end (c, r, RUN_END_NOT_STARTED);
+      exec_count_failure (fs, r->exec);
+      start_end (fs, r, RUN_END_NOT_STARTED);
       return;
     case ORDER_WRONG_BOOT:
     case ORDER_UNREACHED:
-      start_end (c, r, RUN_END_NOT_STARTED);
+      start_end (fs, r, RUN_END_NOT_STARTED);
       return;
     default:
-      out_line (c->out,
+      out_line (fs->out,
                 "event=start-lost job=%s step=%d task=%d run=%lld "
                 "exec=%s",
                 r->job->spec.id, r->step, r->index, (long long)r->run_id,
                 r->exec->rep.id);
-      r->answer_lost_ms = c->now_ms;
+      r->answer_lost_ms = fs->now_ms;
       if (r->state != START_SENT)
         return;
-      if (r->tries < FSCHED_START_TRIES && c->may_order
+      if (r->tries < FSCHED_START_TRIES && fs->may_order
           && !r->exec->unreachable)
-        start_send (c, r);
+        start_send (fs, r);
       else if (r->job->spec.steps[r->step].gang)
-        start_stop_gang (c, r->job, r->step);
+        start_stop_gang (fs, r->job, r->step);
       else
         r->state = START_UNCONFIRMED;
     }
 }
 
 void
-start_result (struct fsched *c, struct start *r, int kind,
+start_result (struct fsched *fs, struct start *r, int kind,
               const struct order_result *res)
 {
   bool acked = r->start_acked_ms;
 
   r->order_id = 0;
-  if (exec_detect_reboot (c, r->exec, res->clock_ms) && acked)
+  if (exec_detect_reboot (fs, r->exec, res->clock_ms) && acked)
     return;
   if (kind == ORDER_START)
-    start_answered (c, r, res);
+    start_answered (fs, r, res);
   else if (res->outcome == ORDER_DONE)
-    r->stop_acked_ms = c->now_ms;
+    r->stop_acked_ms = fs->now_ms;
 }
--- a/core/hist.c
+++ b/core/hist.c
@@ -1,5 +1,6 @@
 #include "hist.h"
 
+/* Upper bounds of the buckets but the last. */
 static const int64_t upper_ms[HIST_BUCKETS - 1]
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000 };
 
@@ -16,16 +17,17 @@
   h->sum_ms += (uint64_t)ms;
 }
 
+/* Prints bucket @i; @cumulative is the count of it and all lower buckets. */
 static void
 print_bucket (FILE *out, const char *name, const char *labels, int i,
-              uint64_t below)
+              uint64_t cumulative)
 {
   if (i < HIST_BUCKETS - 1)
     fprintf (out, "citronlb_%s_bucket{%sle=\"%lld\"} %llu\n", name, labels,
-             (long long)upper_ms[i], (unsigned long long)below);
+             (long long)upper_ms[i], (unsigned long long)cumulative);
   else
     fprintf (out, "citronlb_%s_bucket{%sle=\"+Inf\"} %llu\n", name, labels,
-             (unsigned long long)below);
+             (unsigned long long)cumulative);
 }
 
 void
@@ -34,7 +36,7 @@
 {
   char labels[128] = "";
   char braces[132] = "";
-  uint64_t below = 0;
+  uint64_t cumulative = 0;
 
   if (label)
     {
@@ -43,11 +45,11 @@
     }
   for (int i = 0; i < HIST_BUCKETS; i++)
     {
-      below += h->count[i];
-      print_bucket (out, name, labels, i, below);
+      cumulative += h->count[i];
+      print_bucket (out, name, labels, i, cumulative);
     }
   fprintf (out, "citronlb_%s_sum%s %llu\n", name, braces,
            (unsigned long long)h->sum_ms);
   fprintf (out, "citronlb_%s_count%s %llu\n", name, braces,
-           (unsigned long long)below);
+           (unsigned long long)cumulative);
 }
--- a/core/hist.h
+++ b/core/hist.h
@@ -9,21 +9,25 @@
 
 enum
 {
-  HIST_BUCKETS = 14, /* the last is without end */
+  HIST_BUCKETS = 14, /* the last bucket has no upper bound */
 };
 
-/** struct hist - how many durations fell into each bucket; zero is empty */
+/** struct hist - histogram of durations; an empty one is all zero */
 struct hist
 {
-  uint64_t count[HIST_BUCKETS];
-  uint64_t sum_ms;
+  uint64_t count[HIST_BUCKETS]; /* durations in each bucket alone */
+  uint64_t sum_ms;              /* sum of all durations */
 };
 
-/** hist_add() - A duration; one below 0 counts as 0. */
+/** hist_add() - Add a duration; a negative one counts as 0. */
 void hist_add (struct hist *h, int64_t ms);
 /**
- * hist_print() - As "citronlb_NAME", with the label @label="@value" unless
- * @label is NULL.
+ * hist_print() - Print a histogram as metric "citronlb_NAME".
+ * @out: where to print
+ * @name: the metric's name without "citronlb_"
+ * @label: name of the metric's label; NULL: none
+ * @value: value of the label
+ * @h: the histogram
  */
 void hist_print (FILE *out, const char *name, const char *label,
                  const char *value, const struct hist *h);
--- a/core/job.c
+++ b/core/job.c
@@ -98,11 +98,12 @@
          && strspn (id, "0123456789abcdefABCDEF") == JOB_ID_SIZE - 1;
 }
 
+/* Sets @ce to a field of a step and returns @err. */
 static int
-refuse (struct codec_err *ce, int err, size_t step, const char *what)
+refuse (struct codec_err *ce, int err, size_t step, const char *field)
 {
   ce->err = err;
-  snprintf (ce->path, sizeof ce->path, "steps[%zu].%s", step, what);
+  snprintf (ce->path, sizeof ce->path, "steps[%zu].%s", step, field);
   return err;
 }
 
@@ -123,7 +124,7 @@
 int
 job_check (const struct job_spec *spec, struct codec_err *ce)
 {
-  int64_t tasks = 0;
+  int64_t n_tasks = 0;
 
   if (spec->n_steps == 0)
     {
@@ -142,9 +143,9 @@
       int err = check_step (spec, i, ce);
       if (err)
         return err;
-      tasks += spec->steps[i].tasks;
+      n_tasks += spec->steps[i].tasks;
     }
-  if (tasks > JOB_TOTAL_TASKS_MAX)
+  if (n_tasks > JOB_TOTAL_TASKS_MAX)
     return refuse (ce, CLB_ETOOBIG, 0, "tasks");
   return 0;
 }
@@ -152,18 +153,18 @@
 int64_t
 job_critical_path_ms (const struct job_spec *spec)
 {
-  int64_t ends[JOB_STEPS_MAX] = { 0 };
-  int64_t longest = 0;
+  int64_t end_ms[JOB_STEPS_MAX] = { 0 };
+  int64_t longest_ms = 0;
 
   for (size_t i = 0; i < spec->n_steps && i < JOB_STEPS_MAX; i++)
     {
-      int64_t begin = 0;
+      int64_t begin_ms = 0;
       for (size_t j = 0; j < i; j++)
-        if (spec->steps[i].after >> j & 1 && ends[j] > begin)
-          begin = ends[j];
-      ends[i] = begin + spec->steps[i].estimate_ms;
-      if (ends[i] > longest)
-        longest = ends[i];
+        if (spec->steps[i].after >> j & 1 && end_ms[j] > begin_ms)
+          begin_ms = end_ms[j];
+      end_ms[i] = begin_ms + spec->steps[i].estimate_ms;
+      if (end_ms[i] > longest_ms)
+        longest_ms = end_ms[i];
     }
-  return longest;
+  return longest_ms;
 }
--- a/core/job.h
+++ b/core/job.h
@@ -1,6 +1,8 @@
 /**
- * DOC: Jobs: steps of tasks that depend on each other.  The specification as
- * accepted, its progress as recorded, and the codec of both.
+ * DOC: Jobs of the fleet.  A job consists of steps that depend on each other;
+ * each step has a number of tasks that are alike.  This module defines a job's
+ * specification as it was accepted, the progress that is recorded of it, and
+ * the codec of both.
  */
 #ifndef JOB_H
 #define JOB_H
@@ -14,74 +16,77 @@
   JOB_STEPS_MAX = 64,         /* a set of steps is one 64-bit word */
   JOB_STEP_TASKS_MAX = 1024,  /* tasks of one step */
   JOB_TOTAL_TASKS_MAX = 4096, /* tasks of one job */
-  JOB_LABEL_SIZE = 48,
-  JOB_FAILURES_MAX = 64,    /* of one task; a queue allows no more attempts */
+  JOB_LABEL_SIZE = 48,        /* a label, rack or image with NUL */
+  /* Failed runs kept of one task; no queue allows more attempts. */
+  JOB_FAILURES_MAX = 64,
   JOB_CHECKPOINT_SIZE = 64, /* a checkpoint's name with NUL */
 };
 
-/** struct job_need - what one task takes of an executor */
+/** struct job_need - resources that one task takes, or an executor offers */
 struct job_need
 {
   int64_t millicores;
   int64_t mem_mb;
-  int64_t accels;
+  int64_t accels; /* accelerators, such as GPUs */
 };
 
-/** struct job_step - tasks that are alike */
+/** struct job_step - a step: a number of tasks that are alike */
 struct job_step
 {
-  int64_t tasks;
+  int64_t tasks; /* number of tasks */
   struct job_need need;
-  int64_t estimate_ms; /* the submitter's guess of one task's run time */
-  uint64_t after;      /* set of earlier steps that must be done first */
-  bool gang;           /* all tasks run together or none */
-  bool same_rack;      /* slower when spread over racks */
-  bool checkpoints;
-  bool duplicates;      /* copies may run at once; the first to end counts */
-  bool best_effort_cpu; /* runs on what others leave; its cores aren't counted
-                         */
-  bool persistent;      /* restarted until cancelled */
-  int64_t max_per_exec;
-  int64_t target_ms;          /* tail latency that a serving task must keep */
-  int64_t max_unavailable;    /* serving tasks that may be stopped at once */
-  char label[JOB_LABEL_SIZE]; /* that the executor must carry */
-  char data_rack[JOB_LABEL_SIZE]; /* where its input lies */
-  char image[JOB_LABEL_SIZE];     /* tasks of one image behave alike */
+  int64_t estimate_ms; /* the submitter's estimate of one task's run time */
+  uint64_t after;      /* bit set of earlier steps that must be done first */
+  bool gang;           /* all tasks must run at the same time */
+  bool same_rack;      /* the tasks are slower when spread over racks */
+  bool checkpoints;    /* the tasks write checkpoints */
+  /* Copies of a task may run at the same time; the first to end counts. */
+  bool duplicates;
+  /* The tasks run on cores that others leave; their cores are not counted. */
+  bool best_effort_cpu;
+  bool persistent; /* the tasks are restarted until the job is cancelled */
+  int64_t max_per_exec; /* tasks on one executor; 0: no limit */
+  int64_t target_ms;    /* tail latency that a serving task must keep */
+  int64_t
+      max_unavailable; /* serving tasks that may be stopped at the same time */
+  char label[JOB_LABEL_SIZE];     /* the executor must have it; empty: none */
+  char data_rack[JOB_LABEL_SIZE]; /* rack that holds the input, or empty */
+  char image[JOB_LABEL_SIZE];     /* tasks of the same image behave alike */
 };
 
-/** struct job_advice - what asking for permitted executors costs */
+/** struct job_advice - what an advice query costs */
 struct job_advice
 {
-  double base_ms;     /* of one call; 0: the queue needs no advice */
-  double per_exec_ms; /* for each executor named */
-  int64_t valid_ms;   /* a permission lasts this long */
+  double base_ms;     /* duration of a query; 0: the queue needs no advice */
+  double per_exec_ms; /* additional duration for each executor named */
+  int64_t valid_ms;   /* how long a ticket is valid */
 };
 
 /**
  * struct job_spec - a job as it was accepted
  *
- * The queue's terms are those in force then; a later configuration changes
- * them for later jobs only.
+ * The queue's settings are those at the time of acceptance.  A later
+ * configuration changes them only for later jobs.
  */
 struct job_spec
 {
   char id[JOB_ID_SIZE];
   char queue[CLB_NAME_MAX];
-  char tenant[CLB_NAME_MAX];  /* client account that it is charged to */
-  char service[CLB_NAME_MAX]; /* whose executors run it */
-  int64_t priority;           /* 0 goes first */
+  char tenant[CLB_NAME_MAX];  /* client account that is charged for the job */
+  char service[CLB_NAME_MAX]; /* service whose executors run the job */
+  int64_t priority;           /* 0 is the most urgent */
   int64_t attempts;           /* failures of one task before the job fails */
-  double slack;               /* of the objective: times the longest chain */
-  int64_t target_ms;          /* of the objective: added to that */
+  /* The latency objective is slack times the critical path, plus target_ms. */
+  double slack;
+  int64_t target_ms; /* constant part of the latency objective */
   struct job_advice advice;
-  int64_t accepted_ms; /* wall clock of the accepting instance */
-  char *text;
-  struct job_step *steps;
+  int64_t accepted_ms;    /* wall clock of the accepting instance */
+  char *text;             /* handed to each task; owned */
+  struct job_step *steps; /* owned */
   size_t n_steps;
-  /* Occurrences by time; refused at hand-in as yet. */
-  int64_t repeat;
-  int64_t start_ms;
-  int64_t interval_ms;
+  int64_t repeat;      /* number of timed occurrences; not supported yet */
+  int64_t start_ms;    /* of timed occurrences; not supported yet */
+  int64_t interval_ms; /* of timed occurrences; not supported yet */
 };
 
 enum job_state
@@ -94,35 +99,38 @@
   JOB_STATE_N
 };
 
-/** struct job_run - the number of one run of a task */
+/** struct job_run - the id of one run of a task */
 struct job_run
 {
   int64_t id;
 };
 
-/** struct job_mark - what is recorded of one task, or of a gang by its first
+/**
+ * struct job_mark - recorded progress of one task
+ *
+ * The failed runs of a gang are recorded with its first task.
  */
 struct job_mark
 {
   int64_t index; /* of the task in its step */
   bool done;
-  struct job_run *failed; /* runs that have failed, in any order */
+  struct job_run *failed; /* failed runs, in no particular order */
   size_t n_failed;
 };
 
-/** struct job_step_marks - recorded tasks of one step */
+/** struct job_step_marks - recorded progress of one step */
 struct job_step_marks
 {
-  int64_t step;
+  int64_t step; /* index of the step */
   struct job_mark *marks;
   size_t n_marks;
 };
 
-/** struct job_progress - a job's record beside its specification */
+/** struct job_progress - recorded progress of a job */
 struct job_progress
 {
-  int state; /* enum job_state */
-  struct job_step_marks *steps;
+  int state;                    /* enum job_state */
+  struct job_step_marks *steps; /* steps that have progress; none once final */
   size_t n_steps;
 };
 
@@ -131,6 +139,7 @@
 extern const struct desc job_progress_desc;
 extern const char *const job_state_names[JOB_STATE_N + 1];
 
+/** job_state_final() - Whether a job in this state has ended. */
 static inline bool
 job_state_final (int state)
 {
@@ -141,14 +150,15 @@
 bool job_id_ok (const char *id);
 
 /**
- * job_check() - Whether this scheduler can run @spec as it says.
- * @ce: names the field that it cannot
+ * job_check() - Check that the scheduler supports a specification.
+ * @ce: set to the offending field on failure
  *
  * Return: 0, %CLB_ERANGE, %CLB_EREF, %CLB_ETOOBIG or %CLB_EFIELD.
  */
 int job_check (const struct job_spec *spec, struct codec_err *ce);
 
-/** job_critical_path_ms() - The longest chain of estimates. */
+/** job_critical_path_ms() - Sum of estimates along the critical path: the
+    longest chain of steps that depend on each other. */
 int64_t job_critical_path_ms (const struct job_spec *spec);
 
 #endif
--- a/core/order.h
+++ b/core/order.h
@@ -1,8 +1,9 @@
 /**
- * DOC: Orders to the fleet's executors and what comes back.
+ * DOC: Orders to the fleet's executors and their results.
  *
- * An executor checks the fencing token of each order, runs only what holds a
- * lease, and keeps each end until told that it is recorded.
+ * An executor checks the fencing token of each order, runs a task only while a
+ * lease covers it, and reports each ended run until the leader acknowledges
+ * that the end is recorded.
  */
 #ifndef ORDER_H
 #define ORDER_H
@@ -11,133 +12,142 @@
 
 enum
 {
-  ORDER_TICKET_SIZE = 96,
-  ORDER_ADVICE_EXECS_MAX = 100, /* executors in one question for advice */
+  ORDER_TICKET_SIZE = 96,       /* bytes of a ticket with NUL */
+  ORDER_ADVICE_EXECS_MAX = 100, /* executors named in one advice query */
 };
 
 /** struct task_ref - one task of one job */
 struct task_ref
 {
   char job[JOB_ID_SIZE];
-  int64_t occurrence; /* of a repeated job */
+  int64_t occurrence; /* of a repeated job, from 0 on */
   int64_t step;
-  int64_t index;
+  int64_t index; /* of the task in its step */
 };
 
 enum order_kind
 {
   ORDER_START,
   ORDER_STOP,
-  ORDER_POLL, /* renew the lease; asks what runs and what has ended */
-  ORDER_ADVISE,
+  ORDER_POLL,   /* renew the lease; list running and ended tasks */
+  ORDER_ADVISE, /* query which executors may run a step */
   ORDER_KIND_N
 };
 extern const char *const order_kind_names[ORDER_KIND_N + 1];
 
-/** struct order - sent once, answered once by struct order_result */
+/** struct order - an order or query; it has exactly one struct order_result */
 struct order
 {
-  int kind;    /* enum order_kind */
-  uint64_t id; /* echoed in the result */
-  char exec[CLB_ID_MAX];
+  int kind;              /* enum order_kind */
+  uint64_t id;           /* matches the result to the order */
+  char exec[CLB_ID_MAX]; /* empty for an advice query */
+  /* Address of the executor.  For an advice query: address of the instance
+     that is to put the query; empty for this instance. */
   char addr[CLB_ADDR_MAX];
-  int64_t fencing_token;
+  int64_t fencing_token; /* epoch of the leader */
   int64_t timeout_ms;
-  /* Of a start or stop; of advice, without the index. */
+  /* Task of a start or stop.  For an advice query: its step; the index has no
+     meaning. */
   struct task_ref task;
-  int64_t run_id;
-  char *text; /* owned */
-  char checkpoint[JOB_CHECKPOINT_SIZE];
-  char ticket[ORDER_TICKET_SIZE];
-  /* Of a start or hold: when the lease ends, on the executor's clock. */
+  int64_t run_id;                       /* of a start or stop */
+  char *text;                           /* of a start: the job's text, owned */
+  char checkpoint[JOB_CHECKPOINT_SIZE]; /* of a start: to resume from, or empty
+                                         */
+  char ticket[ORDER_TICKET_SIZE];       /* of a start; empty: none needed */
+  /* Of a start or poll: end of the lease, on the executor's clock.  0 in a
+     poll: the lease is not renewed. */
   int64_t lease_deadline_ms;
-  /* Of a hold. */
-  int64_t recorded_end_seq; /* ends up to this number are recorded */
-  int64_t wait_ms;          /* the answer may wait so long for an end */
-  /* Of a question for advice.  Its address is the instance that is to ask,
-     empty for this one; the answer goes to another one where it asked. */
+  int64_t
+      recorded_end_seq; /* of a poll: ends up to this number are recorded */
+  /* Of a poll: how long the executor may delay its answer until a run ends. */
+  int64_t wait_ms;
+  /* Of an advice query: address of the instance that the answer is sent to;
+     empty: this instance. */
   char reply_to[CLB_ADDR_MAX];
-  char (*execs)[CLB_ID_MAX]; /* owned */
+  char (*execs)[CLB_ID_MAX]; /* of an advice query: executors, owned */
   size_t n_execs;
 };
 
 enum order_outcome
 {
   ORDER_DONE,
-  ORDER_REFUSED,    /* the executor refused; see the reason */
-  ORDER_BUSY,       /* asked to come later; nothing was done */
+  ORDER_REFUSED,    /* refused, see order_result::reason */
+  ORDER_BUSY,       /* refused as busy, to be tried later; nothing was done */
   ORDER_WRONG_BOOT, /* another boot answered; nothing was done */
-  ORDER_UNREACHED,  /* nothing was sent */
-  ORDER_LOST,       /* sent, no answer: may be carried out, also later */
+  ORDER_UNREACHED,  /* no connection; nothing was sent */
+  ORDER_LOST,       /* sent, but no answer: may be carried out, even later */
   ORDER_OUTCOME_N
 };
 
 enum order_refusal
 {
-  REFUSED_OTHER,
-  REFUSED_FENCE,      /* a higher fencing token was seen */
-  REFUSED_STALE_RUN,  /* not above a run stopped or ended there */
-  REFUSED_LEASE_OVER, /* the lease has ended */
-  REFUSED_NO_ROOM,
-  REFUSED_TICKET,
+  REFUSED_OTHER,     /* no reason given, or an unknown one */
+  REFUSED_FENCE,     /* the executor has seen a higher fencing token */
+  REFUSED_STALE_RUN, /* a run of the task with this or a higher id has ended */
+  REFUSED_LEASE_OVER, /* the lease has expired */
+  REFUSED_NO_ROOM,    /* the executor has no capacity for the task */
+  REFUSED_TICKET,     /* the executor does not accept the ticket */
   REFUSED_N
 };
 
-/** struct run_row - a task that an executor runs */
+/** struct run_row - a running task that an executor reports */
 struct run_row
 {
   struct task_ref task;
   int64_t run_id;
-  int64_t percent;
-  char checkpoint[JOB_CHECKPOINT_SIZE];
+  int64_t percent;                      /* progress */
+  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest one, or empty */
 };
 
+/** enum run_end - how a run ended */
 enum run_end
 {
-  RUN_END_DONE,
-  RUN_END_FAILED,
-  RUN_END_STOPPED,
-  RUN_END_LAPSED,
+  RUN_END_DONE,            /* succeeded */
+  RUN_END_FAILED,          /* the task itself failed */
+  RUN_END_STOPPED,         /* stopped by an order */
+  RUN_END_LAPSED,          /* the lease expired */
   RUN_END_GANG_BROKEN,     /* another member of the gang ended */
-  RUN_END_GANG_INCOMPLETE, /* the other members of the gang did not come */
-  RUN_END_REBOOTED,        /* the executor's boot is over; told by nobody */
-  RUN_END_NOT_STARTED,     /* never began */
+  RUN_END_GANG_INCOMPLETE, /* the other members of the gang did not start */
+  RUN_END_REBOOTED, /* the executor rebooted; no executor reports this end */
+  RUN_END_NOT_STARTED, /* the run did not start; no executor reports this end
+                        */
   RUN_END_N
 };
 
-/** struct end_row - a task that has ended */
+/** struct end_row - an ended run that an executor reports */
 struct end_row
 {
-  int64_t seq;
+  int64_t seq; /* numbers the ends of one boot of the executor, rising */
   struct task_ref task;
   int64_t run_id;
-  int how; /* enum run_end */
-  char checkpoint[JOB_CHECKPOINT_SIZE];
+  int how;                              /* enum run_end */
+  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest one, or empty */
 };
 
-/** struct permitted_exec - an executor that may run the step */
+/** struct permitted_exec - an executor that advice permits to run a step */
 struct permitted_exec
 {
   char exec[CLB_ID_MAX];
   char ticket[ORDER_TICKET_SIZE];
 };
 
+/** struct order_result - the result of an order; owns its arrays */
 struct order_result
 {
   int outcome;           /* enum order_outcome */
   int reason;            /* enum order_refusal */
-  int64_t clock_ms;      /* of the executor; 0: not told */
-  int64_t boot_start_ms; /* start of the executor's boot; 0: not told */
-  struct run_row *runs;
+  int64_t clock_ms;      /* of the executor; 0: not reported */
+  int64_t boot_start_ms; /* start of the executor's boot; 0: not reported */
+  struct run_row *runs;  /* of a poll: running tasks */
   size_t n_runs;
-  struct end_row *ends; /* numbers rise */
+  struct end_row *ends; /* of a poll: ended runs, by rising seq */
   size_t n_ends;
-  struct permitted_exec *permitted;
+  struct permitted_exec *permitted; /* of an advice query */
   size_t n_permitted;
-  int64_t valid_ms; /* of the tickets */
+  int64_t valid_ms; /* how long the tickets are valid; 0: not reported */
 };
 
-/** struct exec_report - what an executor says of itself */
+/** struct exec_report - an executor's entry in discovery */
 struct exec_report
 {
   char id[CLB_ID_MAX];
@@ -146,10 +156,11 @@
   char zone[CLB_NAME_MAX];
   char labels[2 * JOB_LABEL_SIZE]; /* separated and enclosed by commas */
   char rack[JOB_LABEL_SIZE];
-  struct job_need capacity;
-  bool draining;
-  int64_t remaining_ms; /* it stays at least so long while draining */
-  int64_t boot_start_ms;
+  struct job_need capacity; /* what the executor offers in all */
+  bool draining;            /* the executor takes no new tasks */
+  int64_t
+      remaining_ms; /* while draining: the executor stays at least this long */
+  int64_t boot_start_ms; /* start of the executor's boot */
 };
 
 extern const char *const order_names[];
@@ -157,8 +168,9 @@
 extern const char *const order_refusal_names[REFUSED_N + 1];
 extern const char *const run_end_names[RUN_END_N + 1];
 
+/** order_free() - Free an order and what it owns; @o may be NULL. */
 void order_free (struct order *o);
-/** order_result_clear() - Free what the result owns. */
+/** order_result_clear() - Free what the result owns and zero it. */
 void order_result_clear (struct order_result *r);
 
 #endif
