--- a/core/fsched.h
+++ b/core/fsched.h
@@ -181,8 +181,8 @@
   uint64_t query_id;        /* id of the outstanding advice query; 0: none */
   int64_t tickets_until_ms; /* expiry of the ticket that is valid longest */
   int64_t next_query_ms;    /* earliest time of the next query */
-  int n_queries; /* queries answered since a task of the step was last started
-                  */
+  /* Queries answered since a task of the step was last started. */
+  int n_queries;
 };
 
 /** struct job - a job whose end is not recorded, or that still has runs */
@@ -226,8 +226,8 @@
   int index;       /* into jstep::permits; never reused */
   bool listed;     /* discovery lists the executor */
   bool in_list;    /* in the discovery list that is being processed */
-  int64_t unlisted_since_ms; /* when discovery last dropped the executor; 0:
-                                never */
+  /* When discovery last dropped the executor; 0: never. */
+  int64_t unlisted_since_ms;
   bool answered;   /* the executor has answered a poll of this leader */
   bool reconciled; /* this leader knows all runs on the executor */
   /* An order or poll has failed, and no poll has succeeded since. */
@@ -240,19 +240,23 @@
      waits for advice. */
   struct job_need reserved;
   bool eligible; /* the current placing pass may give tasks to the executor */
-  int n_orphans; /* runs in the executor's last list that no job wants */
-  int64_t boot_start_ms;     /* start of the executor's boot; 0: unknown */
-  int64_t clock_ms;          /* the executor's clock in its last answer */
-  int64_t last_contact_ms;   /* local time of the last answer */
-  int64_t lease_deadline_ms; /* latest end of a lease given, on the executor's
-                                clock */
-  int64_t seen_end_seq;      /* ends up to this number have been processed */
-  int64_t
-      writing_end_seq; /* ends up to this one are in the outstanding write */
-  int64_t recorded_end_seq;    /* ends up to this one are recorded */
-  uint64_t poll_id;            /* id of the outstanding poll; 0: none */
-  int64_t poll_sent_ms;        /* when the last poll was sent */
-  int64_t next_orphan_stop_ms; /* earliest time of the next stops of orphans */
+  /* Orphans: runs in the executor's last list that no job wants. */
+  int n_orphans;
+  int64_t boot_start_ms;   /* start of the executor's boot; 0: unknown */
+  int64_t clock_ms;        /* the executor's clock in its last answer */
+  int64_t last_contact_ms; /* local time of the last answer */
+  /* Latest end of a lease given, on the executor's clock. */
+  int64_t lease_deadline_ms;
+  /* Ends of runs up to this number have been processed. */
+  int64_t seen_end_seq;
+  /* Ends of runs up to this number are in the outstanding write. */
+  int64_t writing_end_seq;
+  /* Ends of runs up to this number are recorded. */
+  int64_t recorded_end_seq;
+  uint64_t poll_id;     /* id of the outstanding poll; 0: none */
+  int64_t poll_sent_ms; /* when the last poll was sent */
+  /* Earliest time of the next stop orders for orphans. */
+  int64_t next_orphan_stop_ms;
   int64_t next_poll_ms;
   int64_t unreachable_since_ms; /* when the executor became unreachable */
   /* Failed runs and starts answered as busy since the last run that succeeded.
@@ -298,8 +302,8 @@
   char id[CLB_ID_MAX];     /* empty: this instance */
   char addr[CLB_ADDR_MAX]; /* empty: this instance */
   int64_t last_contact_ms; /* when the instance's last message arrived */
-  int64_t
-      table_contact_ms; /* when the instance last reached the table service */
+  /* When the instance last reached the table service. */
+  int64_t table_contact_ms;
   int64_t avoid_until_ms; /* no queries before then, as one failed */
   int64_t busy_until_ms;  /* expected end of the outstanding queries */
   int n_queries;          /* outstanding queries */
@@ -370,7 +374,7 @@
 
 TAILQ_HEAD (intentq, intent);
 
-/** struct plan - recorded starts, see fsched_intent.c */
+/** struct intents - intents of starts, see fsched_intent.c */
 struct intents
 {
   struct intentq rows[INTENT_ROWS]; /* by the row that holds them */
@@ -378,13 +382,15 @@
   struct intentq writing;           /* in the outstanding write */
   int next_row;                     /* the row that is written next */
   int writing_row;                  /* the row that was written last */
-  uint64_t n_ends;       /* recorded starts that have ended in this term */
+  /* Starts with an intent that have ended in this term.  The count is also the
+     number of the last of these ends. */
+  uint64_t n_ends;
   uint64_t writing_ends; /* n_ends when the outstanding write was collected */
-  /* Ends up to this number have all their consequences recorded. */
+  /* All progress changed by ends up to this number is recorded. */
   uint64_t recorded_ends;
 };
 
-/** struct cell - the scheduler, for one term of its instance as leader */
+/** struct fsched - the scheduler, for one term of its instance as leader */
 struct fsched
 {
   int64_t now_ms;
@@ -454,9 +460,9 @@
  * @out: queue for orders, writes and log lines; borrowed
  * @tokens: last id given to a call; borrowed
  * @now_ms: time of the claim
- * @epoch: of the term
- * @old_leases_end_ms: how long after the claim an executor that does not
- * answer may still run what an earlier leader started
+ * @epoch: epoch of the term
+ * @wait_ms: how long after the claim an executor that does not answer may
+ *           still run what an earlier leader started
  * @stats: borrowed
  *
  * Return: a scheduler that the caller frees with fsched_free().
@@ -531,7 +537,7 @@
  * @table_contact_ms: when the instance last reached the table service
  */
 void fsched_adviser_seen (struct fsched *fs, const char *id, const char *addr,
-                          int64_t millicores, int64_t fresh_ms);
+                          int64_t millicores, int64_t table_contact_ms);
 /**
  * fsched_adviser_freshest() - The other instance that was last to reach the
  * table service.
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -88,7 +88,7 @@
 
 void
 fsched_adviser_seen (struct fsched *fs, const char *id, const char *addr,
-                     int64_t millicores, int64_t fresh_ms)
+                     int64_t millicores, int64_t table_contact_ms)
 {
   struct adviser *a = NULL;
 
@@ -106,7 +106,7 @@
     }
   clb_copy (a->addr, addr, sizeof a->addr);
   a->last_contact_ms = fs->now_ms;
-  a->table_contact_ms = fresh_ms;
+  a->table_contact_ms = table_contact_ms;
   a->millicores = millicores;
 }
 
--- a/core/fsched_impl.h
+++ b/core/fsched_impl.h
@@ -6,8 +6,7 @@
 
 /* fsched.c */
 
-/** fsched_zalloc() - Zeroed memory that the caller frees; aborts on failure.
- */
+/** fsched_zalloc() - Allocate zeroed memory; aborts if there is none. */
 void *fsched_zalloc (size_t n, size_t size);
 /**
  * fsched_forget_job() - Free a job whose end is recorded, unless it has runs.
@@ -42,8 +41,8 @@
  * fsched_order_new() - Append an order with an id and fencing token to the
  * output queue.
  * @kind: enum order_kind
- * @e: the executor that it is for; NULL for an advice query
- * @pend: set to the entry that its result will be matched to, borrowed
+ * @e: the executor that receives the order; NULL for an advice query
+ * @pend: set to the entry that the result will be matched to, borrowed
  *
  * Return: the order, borrowed, for the caller to complete.
  */
@@ -79,10 +78,12 @@
 
 /* fsched_intent.c */
 
+/** intents_init() - Initialise an empty set of intents. */
 void intents_init (struct intents *p);
 /** intents_fini() - Free the intents. */
 void intents_fini (struct intents *p);
-/** intent_start() - Have a new start recorded, and sent after that. */
+/** intent_start() - Have an intent of a new start recorded, then the start
+    sent. */
 void intent_start (struct fsched *fs, struct start *r);
 /**
  * intent_ended() - Detach the intent of a start that has ended.
@@ -120,21 +121,24 @@
  */
 struct start *start_new (struct fsched *fs, struct job *j, int step, int index,
                          struct exec *e, int64_t run_id, int state);
-/** start_mark_job_started() - Record in memory that @j has a started task. */
+/** start_mark_job_started() - Set that a task of @j has been started. */
 void start_mark_job_started (struct job *j);
 /**
- * start_end() - Free a start whose run has ended, and what it takes of the
- * executor.
+ * start_end() - Free a start whose run has ended, and the capacity that it
+ * takes.
  * @how: enum run_end
  *
- * The task may be started again.  A gang's other members are stopped if this
- * one ended without a result.
+ * The task may be started again.  The other members of a gang are stopped if
+ * the run did not start, lost its lease, or was lost in a reboot.
  */
 void start_end (struct fsched *fs, struct start *r, int how);
 /** start_stop() - Stop a run, or drop a start that has not been sent. */
 void start_stop (struct fsched *fs, struct start *r);
-/** start_stop_gang() - Stop all members of a gang: they would wait for a
-   member that does not start. */
+/**
+ * start_stop_gang() - Stop all members of a gang.
+ *
+ * The members would wait for one that does not start.
+ */
 void start_stop_gang (struct fsched *fs, struct job *j, int step);
 /** start_send() - Send a start to its executor. */
 void start_send (struct fsched *fs, struct start *r);
@@ -154,8 +158,10 @@
 struct exec *exec_find (const struct fsched *fs, const char *id);
 /** exec_clock_now() - Estimate the executor's clock from its last answer. */
 int64_t exec_clock_now (const struct fsched *fs, const struct exec *e);
-/** exec_tick() - Send polls and stops that are due; end runs whose leases have
-    expired. */
+/**
+ * exec_tick() - Send a poll and stops that are due, and end the executor's
+ * runs if its leases have expired.
+ */
 void exec_tick (struct fsched *fs, struct exec *e);
 /**
  * exec_poll_result() - Process the result of a poll.
@@ -178,7 +184,7 @@
 void exec_mark_unreachable (struct fsched *fs, struct exec *e);
 /** exec_count_failure() - Count a failed run; quarantine @e after several. */
 void exec_count_failure (struct fsched *fs, struct exec *e);
-/** exec_reconcile_check() - Note when all runs on all executors are known. */
+/** exec_reconcile_check() - Set fsched::reconciled once all runs are known. */
 void exec_reconcile_check (struct fsched *fs);
 
 /** exec_eligible() - Whether tasks may be placed on @e at present. */
@@ -191,8 +197,8 @@
 /** exec_has_label() - Whether @e reports a label, compared as text. */
 bool exec_has_label (const struct exec *e, const char *label);
 /**
- * exec_fits() - Count the tasks of a step that fit on @e in addition to what
- * it runs.
+ * exec_fits() - Count the tasks of a step that fit on @e in addition to the
+ * present starts.
  * @max: highest count of interest
  *
  * Return: 0 to @max.
--- a/core/job.h
+++ b/core/job.h
@@ -13,7 +13,7 @@
 {
   JOB_ID_SIZE = 17,           /* 16 hexadecimal digits with NUL */
   JOB_TEXT_MAX = 4000,        /* bytes of the text handed to each task */
-  JOB_STEPS_MAX = 64,         /* a set of steps is one 64-bit word */
+  JOB_STEPS_MAX = 64,         /* of one job: a set of steps is a 64-bit word */
   JOB_STEP_TASKS_MAX = 1024,  /* tasks of one step */
   JOB_TOTAL_TASKS_MAX = 4096, /* tasks of one job */
   JOB_LABEL_SIZE = 48,        /* a label, rack or image with NUL */
@@ -47,8 +47,8 @@
   bool persistent; /* the tasks are restarted until the job is cancelled */
   int64_t max_per_exec; /* tasks on one executor; 0: no limit */
   int64_t target_ms;    /* tail latency that a serving task must keep */
-  int64_t
-      max_unavailable; /* serving tasks that may be stopped at the same time */
+  /* Serving tasks that may be stopped at the same time. */
+  int64_t max_unavailable;
   char label[JOB_LABEL_SIZE];     /* the executor must have it; empty: none */
   char data_rack[JOB_LABEL_SIZE]; /* rack that holds the input, or empty */
   char image[JOB_LABEL_SIZE];     /* tasks of the same image behave alike */
--- a/core/order.h
+++ b/core/order.h
@@ -49,16 +49,16 @@
   /* Task of a start or stop.  For an advice query: its step; the index has no
      meaning. */
   struct task_ref task;
-  int64_t run_id;                       /* of a start or stop */
-  char *text;                           /* of a start: the job's text, owned */
-  char checkpoint[JOB_CHECKPOINT_SIZE]; /* of a start: to resume from, or empty
-                                         */
-  char ticket[ORDER_TICKET_SIZE];       /* of a start; empty: none needed */
+  int64_t run_id; /* of a start or stop */
+  char *text;     /* of a start: the job's text, owned */
+  /* Of a start: name of the checkpoint to resume from, or empty. */
+  char checkpoint[JOB_CHECKPOINT_SIZE];
+  char ticket[ORDER_TICKET_SIZE]; /* of a start; empty: none needed */
   /* Of a start or poll: end of the lease, on the executor's clock.  0 in a
      poll: the lease is not renewed. */
   int64_t lease_deadline_ms;
-  int64_t
-      recorded_end_seq; /* of a poll: ends up to this number are recorded */
+  /* Of a poll: ends up to this number are recorded. */
+  int64_t recorded_end_seq;
   /* Of a poll: how long the executor may delay its answer until a run ends. */
   int64_t wait_ms;
   /* Of an advice query: address of the instance that the answer is sent to;
@@ -96,10 +96,11 @@
   struct task_ref task;
   int64_t run_id;
   int64_t percent;                      /* progress */
-  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest one, or empty */
+  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest checkpoint, or
+                                           empty */
 };
 
-/** enum run_end - how a run ended */
+/** enum run_end - how a run has ended */
 enum run_end
 {
   RUN_END_DONE,            /* succeeded */
@@ -108,9 +109,10 @@
   RUN_END_LAPSED,          /* the lease expired */
   RUN_END_GANG_BROKEN,     /* another member of the gang ended */
   RUN_END_GANG_INCOMPLETE, /* the other members of the gang did not start */
-  RUN_END_REBOOTED, /* the executor rebooted; no executor reports this end */
-  RUN_END_NOT_STARTED, /* the run did not start; no executor reports this end
-                        */
+  /* The executor rebooted.  The scheduler concludes this end itself. */
+  RUN_END_REBOOTED,
+  /* The run did not start.  The scheduler concludes this end itself. */
+  RUN_END_NOT_STARTED,
   RUN_END_N
 };
 
@@ -121,7 +123,8 @@
   struct task_ref task;
   int64_t run_id;
   int how;                              /* enum run_end */
-  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest one, or empty */
+  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest checkpoint, or
+                                           empty */
 };
 
 /** struct permitted_exec - an executor that advice permits to run a step */
@@ -158,8 +161,8 @@
   char rack[JOB_LABEL_SIZE];
   struct job_need capacity; /* what the executor offers in all */
   bool draining;            /* the executor takes no new tasks */
-  int64_t
-      remaining_ms; /* while draining: the executor stays at least this long */
+  /* While draining: the executor stays at least this long. */
+  int64_t remaining_ms;
   int64_t boot_start_ms; /* start of the executor's boot */
 };
 
