--- a/core/fsched.c
+++ b/core/fsched.c
@@ -128,8 +128,8 @@
   struct exec *e;
   struct fsched_tenant *t;
   struct fsched_queue *q;
-  struct early_progress *y, *next_y;
-  struct ended_job *f, *next_f;
+  struct early_progress *early, *next_early;
+  struct ended_job *ended, *next_ended;
   struct pending_order *p, *next_p;
 
   if (!fs)
@@ -146,20 +146,20 @@
       TAILQ_REMOVE (&fs->tenants, t, link);
       free (t);
     }
-  RB_FOREACH_SAFE (y, early_tree, &fs->early_progress, next_y)
+  RB_FOREACH_SAFE (early, early_tree, &fs->early_progress, next_early)
     {
-      RB_REMOVE (early_tree, &fs->early_progress, y);
-      early_free (y);
+      RB_REMOVE (early_tree, &fs->early_progress, early);
+      early_free (early);
     }
   while ((q = TAILQ_FIRST (&fs->queues)))
     {
       TAILQ_REMOVE (&fs->queues, q, link);
       free (q);
     }
-  RB_FOREACH_SAFE (f, ended_job_tree, &fs->ended_jobs, next_f)
+  RB_FOREACH_SAFE (ended, ended_job_tree, &fs->ended_jobs, next_ended)
     {
-      RB_REMOVE (ended_job_tree, &fs->ended_jobs, f);
-      free (f);
+      RB_REMOVE (ended_job_tree, &fs->ended_jobs, ended);
+      free (ended);
     }
   RB_FOREACH_SAFE (p, pending_order_tree, &fs->orders, next_p)
     {
@@ -318,17 +318,18 @@
   return true;
 }
 
-/* Remembers the final state of a job; @trim: its row must be trimmed. */
+/* Keeps the final state of a job.  @trim: the job's specification must still
+   be removed from the table. */
 static void
 add_ended_job (struct fsched *fs, const char *id, int state, bool trim)
 {
-  struct ended_job *f = fsched_zalloc (1, sizeof *f);
+  struct ended_job *ended = fsched_zalloc (1, sizeof *ended);
 
-  clb_copy (f->id, id, sizeof f->id);
-  f->state = state;
-  f->trim_due = trim;
-  if (RB_INSERT (ended_job_tree, &fs->ended_jobs, f))
-    free (f);
+  clb_copy (ended->id, id, sizeof ended->id);
+  ended->state = state;
+  ended->trim_due = trim;
+  if (RB_INSERT (ended_job_tree, &fs->ended_jobs, ended))
+    free (ended);
 }
 
 /* Stops all runs of a job. */
@@ -361,8 +362,6 @@
     stop_runs (fs, j);
 }
 
-/* Of a job whose end is recorded and that has no runs, only the final state is
-   kept. */
 bool
 fsched_forget_job (struct fsched *fs, struct job *j)
 {
@@ -382,7 +381,8 @@
     end_job (fs, j, JOB_CANCELLED, "cancelled");
 }
 
-/* Marks a task as done, and its step and job if this was the last task. */
+/* Marks a task as done.  After a step's last task, the steps that depend on it
+   become ready; after the last step, the job is completed. */
 static void
 mark_done (struct fsched *fs, struct job *j, int step, int index)
 {
@@ -404,8 +404,8 @@
     end_job (fs, j, JOB_COMPLETED, "all-tasks-done");
 }
 
-/* Marks all members of a gang as done.  They end together, so when one is done
-   the reports of the others' ends are about to arrive. */
+/* Marks all members of a gang as done when one is.  The members end together,
+   so the reports of the other ends are about to arrive. */
 static void
 mark_gang_done (struct fsched *fs, struct job *j, int step)
 {
@@ -474,7 +474,7 @@
   t->checkpoint = strdup (checkpoint);
 }
 
-/* Records. */
+/* Recorded progress. */
 
 /* Applies the recorded progress of a step. */
 static void
@@ -586,7 +586,7 @@
 fsched_job_state (const struct fsched *fs, const char *id)
 {
   struct ended_job key;
-  struct ended_job *f;
+  struct ended_job *ended;
   const struct job *j = fsched_find_job (fs, id);
 
   if (j && j->state == JOB_CANCELLED)
@@ -598,8 +598,9 @@
            : j->task_started          ? JOB_RUNNING
                                       : JOB_PENDING;
   clb_copy (key.id, id, sizeof key.id);
-  f = RB_FIND (ended_job_tree, (struct ended_job_tree *)&fs->ended_jobs, &key);
-  return f ? f->state : -1;
+  ended = RB_FIND (ended_job_tree, (struct ended_job_tree *)&fs->ended_jobs,
+                   &key);
+  return ended ? ended->state : -1;
 }
 
 int64_t
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -5,8 +5,8 @@
  *
  * The service handles one query at a time for each instance, so the leader
  * spreads its queries over all instances.  Long queries are confined to one
- * half of the instances, so that short queries wait only for short ones.  The
- * design load is 55 jobs/s of three queues with 5.6, 50 and 310 ms a query.
+ * half of the instances, so that short queries wait only for short ones.  This
+ * serves 55 jobs/s of three queues with 5.6, 50 and 310 ms a query.
  */
 #include "fsched_impl.h"
 
@@ -35,15 +35,15 @@
   /* Pause before a step's next query after two answers without a start, as
      more urgent work took the capacity.  It doubles with each further one. */
   QUERY_AGAIN_MS = 50,
-  /* Longest such pause. */
+  /* Longest pause before a step's next query. */
   QUERY_AGAIN_MAX_MS = 800,
   /* A query names executors with capacity for this many times the tasks. */
   SPARE_FACTOR = 2,
-  /* Executors expected to be permitted of those that a query names, at
-     least. */
+  /* A query names enough executors that this many are expected to be
+     permitted. */
   SPARE_MIN = 4,
-  /* Executors are sorted by how many tasks fit, up to one less than this;
-     those with more capacity are treated as equal. */
+  /* Executors are sorted by the number of tasks that fit.  From one less than
+     this number on, they are treated as equal. */
   FIT_CLASSES = 32,
 };
 
@@ -181,7 +181,7 @@
 struct candidate
 {
   struct exec *e;
-  int fits; /* tasks of the step that it has capacity for */
+  int fits; /* tasks of the step that the executor has capacity for */
 };
 
 /* Sort class of a candidate. */
@@ -193,7 +193,7 @@
 
 /* Sorts candidates by capacity, most first; the sort is stable. */
 static void
-sort_by_room (struct candidate *to, const struct candidate *from, size_t n)
+sort_by_capacity (struct candidate *to, const struct candidate *from, size_t n)
 {
   size_t begin[FIT_CLASSES + 1] = { 0 };
 
@@ -270,7 +270,7 @@
           && permit_get (s, e)->state == PERMIT_UNKNOWN)
         all[n++] = (struct candidate){ e, exec_fits (e, j, step, s->n_tasks) };
     }
-  sort_by_room (sorted, all, n);
+  sort_by_capacity (sorted, all, n);
   for (size_t i = 0; i < n && out->n < ORDER_ADVICE_EXECS_MAX
                      && (n_expected < n_tasks || i < SPARE_MIN / share);
        i++)
@@ -433,18 +433,17 @@
     }
 }
 
-/* Pause before a step's next query after @n_queries answers without a start.
- */
+/* Pause before a step's next query, after this many answers and no start. */
 static int64_t
 query_pause (int n_queries)
 {
-  int64_t pause = QUERY_AGAIN_MS;
+  int64_t pause_ms = QUERY_AGAIN_MS;
 
   if (n_queries < 2)
     return 0;
-  for (int i = 2; i < n_queries && pause < QUERY_AGAIN_MAX_MS; i++)
-    pause *= 2;
-  return pause;
+  for (int i = 2; i < n_queries && pause_ms < QUERY_AGAIN_MAX_MS; i++)
+    pause_ms *= 2;
+  return pause_ms;
 }
 
 void
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -275,6 +275,7 @@
             (long long)e->quarantine_ms);
 }
 
+/* The start on the executor with this task and run id, or NULL. */
 static struct start *
 find_run (const struct exec *e, const struct task_ref *t, int64_t run_id)
 {
@@ -442,15 +443,17 @@
          && clock_ms + CLOCK_RESET_MS < exec_clock_now (fs, e);
 }
 
-/* Discards what was known of the executor's earlier boot. */
+/* Discards what was known of the executor's earlier boot.  @boot_start_ms: 0
+   if unknown */
 static void
-new_boot (struct fsched *fs, struct exec *e, int64_t clock_ms, int64_t born_ms)
+new_boot (struct fsched *fs, struct exec *e, int64_t clock_ms,
+          int64_t boot_start_ms)
 {
   out_line (fs->out,
             "event=exec-rebooted exec=%s clock_ms=%lld boot_start=%lld",
-            e->rep.id, (long long)clock_ms, (long long)born_ms);
+            e->rep.id, (long long)clock_ms, (long long)boot_start_ms);
   end_boot (fs, e);
-  e->boot_start_ms = born_ms;
+  e->boot_start_ms = boot_start_ms;
   e->clock_ms = clock_ms;
   e->last_contact_ms = fs->now_ms;
   e->lease_deadline_ms = clock_ms + FSCHED_LEASE_MS;
--- a/core/fsched_impl.h
+++ b/core/fsched_impl.h
@@ -11,6 +11,8 @@
 /**
  * fsched_forget_job() - Free a job whose end is recorded, unless it has runs.
  *
+ * The final state is kept.
+ *
  * Return: whether @j was freed.
  */
 bool fsched_forget_job (struct fsched *fs, struct job *j);
--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -111,12 +111,12 @@
 static void
 carry_over (struct intents *p)
 {
-  struct intentq *slot = &p->rows[p->next_row];
+  struct intentq *row = &p->rows[p->next_row];
   struct intent *e;
 
-  while ((e = TAILQ_FIRST (slot)))
+  while ((e = TAILQ_FIRST (row)))
     {
-      TAILQ_REMOVE (slot, e, link);
+      TAILQ_REMOVE (row, e, link);
       if (still_needed (p, e))
         TAILQ_INSERT_HEAD (&p->waiting, e, link);
       else
@@ -266,8 +266,9 @@
 }
 
 /*
- * Returns the task of an intent if its run may still be running, and sets
- * *job. Returns NULL if the job, the task or the run is known to have ended.
+ * Returns the task of an intent and sets @job, if the run may still be
+ * running. Returns NULL if the job, the task or the run is known to have
+ * ended.
  */
 static struct jtask *
 unfinished_task (const struct fsched *fs, const struct intent *e,
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -29,14 +29,14 @@
 static bool
 within_limit (struct fsched *fs, const struct job *j, int step, int n)
 {
-  const struct fconf_tenant *ft
+  const struct fconf_tenant *conf
       = fs->conf ? fconf_tenant (fs->conf, j->spec.tenant) : NULL;
   const struct fsched_tenant *t = fsched_tenant (fs, j->spec.tenant);
   const struct job_need *need = &j->spec.steps[step].need;
 
-  if (!ft)
+  if (!conf)
     return true;
-#define OVER(f) (ft->limit.f && t->used.f + n * need->f > ft->limit.f)
+#define OVER(f) (conf->limit.f && t->used.f + n * need->f > conf->limit.f)
   return !OVER (millicores) && !OVER (mem_mb) && !OVER (accels);
 #undef OVER
 }
@@ -109,9 +109,10 @@
 struct candidate
 {
   struct exec *e;
-  int fits; /* members that it has capacity for */
+  int fits; /* members that the executor has capacity for */
 };
 
+/* qsort() order: most capacity first. */
 static int
 compare_fits (const void *va, const void *vb)
 {
@@ -185,7 +186,7 @@
   size_t next = 0;
 
   if (s->n_running > 0)
-    return true; /* members of an earlier run must end first */
+    return true; /* all members of an earlier run must end first */
   if (!within_limit (fs, j, step, s->n_tasks))
     return true;
   candidates = calloc ((size_t)fs->n_execs + 1, sizeof *candidates);
@@ -238,10 +239,11 @@
 static int
 job_urgency_class (const struct fsched *fs, const struct job *j)
 {
-  int64_t objective = j->due_ms - j->arrival_ms;
+  int64_t objective_ms = j->due_ms - j->arrival_ms;
   int64_t remaining_ms = j->critical_path_ms;
 
-  if (j->over_share || fs->now_ms + remaining_ms > j->due_ms + 2 * objective)
+  if (j->over_share
+      || fs->now_ms + remaining_ms > j->due_ms + 2 * objective_ms)
     return 2;
   return fs->now_ms + remaining_ms > j->due_ms ? 1 : 0;
 }
--- a/core/fsched_start.c
+++ b/core/fsched_start.c
@@ -1,8 +1,9 @@
 /*
- * Starts of tasks.  A start is sent to an executor, then listed by it as
- * running, then ended.  If the answer to a start is lost, the next list that
- * contains the run confirms the start; if the list lacks it, the run is
- * stopped by its id, and the executor never starts a run that was stopped.
+ * Starts of tasks.  A start is sent to an executor, which then lists the run
+ * as running and later as ended.  If the answer to a start is lost, the
+ * executor's next list decides: if it contains the run, the start is
+ * confirmed; if not, the run is stopped by its id.  An executor never starts a
+ * run that was stopped.
  */
 #include "fsched_impl.h"
 
@@ -123,6 +124,7 @@
   fsched_task_ended (fs, j, step, index, run_id, how);
 }
 
+/* Sets an order's task and run id. */
 static void
 set_task (struct order *o, const struct start *r)
 {
@@ -197,14 +199,15 @@
 void
 start_tick (struct fsched *fs, struct start *r)
 {
-  /* A stop waits for the answer to an outstanding start: it could reach the
-     executor before the start. */
+  /* No stop is sent while the start is unanswered: the stop could reach the
+     executor first, unnoticed. */
   if (r->state != START_STOPPING || r->order_id || r->stop_acked_ms
       || fs->now_ms < r->next_stop_ms || !fs->may_order)
     return;
   send_stop (fs, r);
 }
 
+/* Ends a start that the executor has refused.  @reason: enum order_refusal */
 static void
 start_refused (struct fsched *fs, struct start *r, int reason)
 {
@@ -222,6 +225,7 @@
   start_end (fs, r, RUN_END_NOT_STARTED);
 }
 
+/* Processes the result of a start order. */
 static void
 start_answered (struct fsched *fs, struct start *r,
                 const struct order_result *res)
