--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -77,6 +77,7 @@
   return text;
 }
 
+/* Adds the roster to a write. */
 static void
 collect_roster (struct fsched *fs, struct store_op *op)
 {
