--- a/core/fsched.c
+++ b/core/fsched.c
@@ -204,7 +204,7 @@
 }
 
 struct jtask *
-start_task (const struct start *r)
+start_get_task (const struct start *r)
 {
   return &r->job->steps[r->step].tasks[r->index];
 }
@@ -478,14 +478,15 @@
 
 /* Applies the recorded progress of a step. */
 static void
-apply_marks (struct fsched *fs, struct job *j, const struct job_step_marks *m)
+apply_marks (struct fsched *fs, struct job *j,
+             const struct job_step_progress *m)
 {
   if (m->step < 0 || m->step >= (int64_t)j->spec.n_steps)
     return;
   struct jstep *s = &j->steps[m->step];
   for (size_t i = 0; i < m->n_marks; i++)
     {
-      const struct job_mark *k = &m->marks[i];
+      const struct job_task_progress *k = &m->marks[i];
       if (k->index >= s->n_tasks)
         continue;
       struct jtask *t = &s->tasks[k->index];
@@ -528,7 +529,7 @@
   j->spec = *spec;
   memset (spec, 0, sizeof *spec);
   j->inherited = inherited;
-  j->service = fsched_intern (&fs->services, j->spec.service);
+  j->service_id = fsched_intern (&fs->services, j->spec.service);
   j->arrival_ms = fs->now_ms - age_ms;
   j->critical_path_ms = job_critical_path_ms (&j->spec);
   j->due_ms = j->arrival_ms + j->spec.target_ms
@@ -540,8 +541,8 @@
     {
       struct jstep *s = &j->steps[i];
       s->n_tasks = (int)j->spec.steps[i].tasks;
-      s->label = fsched_intern_label (fs, j->spec.steps[i].label);
-      s->data_rack = fsched_intern (&fs->racks, j->spec.steps[i].data_rack);
+      s->label_id = fsched_intern_label (fs, j->spec.steps[i].label);
+      s->data_rack_id = fsched_intern (&fs->racks, j->spec.steps[i].data_rack);
       s->tasks = fsched_zalloc ((size_t)s->n_tasks, sizeof *s->tasks);
       for (int t = 0; t < s->n_tasks; t++)
         s->tasks[t].next_run_id
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -1,6 +1,6 @@
 /**
- * DOC: Scheduler of the whole fleet's jobs.  It exists only while its instance
- * is the leader.
+ * DOC: Scheduler of the whole fleet's jobs.  A scheduler exists only while its
+ * instance is the leader.
  *
  * Every start of a task is recorded in the table service before it is sent to
  * an executor, see fsched_intent.c.  An executor runs a task only while it
@@ -8,8 +8,9 @@
  * highest it has seen, and keeps each ended run in its list until the leader
  * acknowledges that the end is recorded.  A new leader therefore learns from
  * the executors what is running, and from the records what may be running on
- * executors that do not answer.  It starts these tasks again only once their
- * leases have certainly expired; all other tasks it schedules at once.
+ * executors that do not answer.  It starts the tasks in these records again
+ * only once their leases have certainly expired, and schedules all other tasks
+ * at once.
  *
  * The module does no input or output.  Its caller passes in results and the
  * present time, sends the orders and log lines that the module appends to the
@@ -31,51 +32,55 @@
 
 enum
 {
-  /* Length of a lease; executors grant no longer one. */
+  /* Length of a lease: the longest that an executor grants. */
   FSCHED_LEASE_MS = 6000,
-  /* An executor without news may delay its answer to a poll this long, so an
-     idle executor is polled once a second. */
+  /* An executor with no ended run to report may delay its answer to a poll by
+     this long, so an idle executor is polled once a second. */
   FSCHED_POLL_WAIT_MS = 1000,
-  /* Pause between polls, so that ends within it are fetched together. */
+  /* Pause between polls of an executor, so that one poll returns all runs that
+     ended in the pause. */
   FSCHED_POLL_GAP_MS = 15,
-  /* Pause before the next poll after one that failed. */
+  /* Pause before an executor is polled again after a poll of it failed. */
   FSCHED_POLL_RETRY_MS = 150,
-  /* Timeout of a start or stop; links and executors take some ms. */
+  /* Timeout of a start or stop order; links and executors take some ms. */
   FSCHED_CALL_TIMEOUT_MS = 500,
-  /* Times that a start is sent; it is idempotent by its run id. */
+  /* Maximum number of times that a start order is sent while its answers are
+     lost.  The run id makes the order idempotent. */
   FSCHED_START_TRIES = 2,
-  /* Timeout of a poll beyond the delay that it permits. */
+  /* Timeout of a poll, in addition to the delay that the poll permits. */
   FSCHED_POLL_SLACK_MS = 900,
   /* Pause between stop orders for the same run, or for the same executor's
      orphans. */
   FSCHED_STOP_RETRY_MS = 300,
-  /* Delay of timers and links, allowed for when a lease is judged expired. */
+  /* Allowance for the delay of timers and links when a lease is judged
+     expired. */
   FSCHED_CLOCK_MARGIN_MS = 150,
-  /* Ticket lifetime that must be left when a start is sent: a start travels
-     this long at most. */
+  /* Remaining lifetime that a ticket needs when its start order is sent: the
+     order takes at most this long to arrive. */
   FSCHED_TICKET_MARGIN_MS = 120,
-  /* Instances that can be used for advice queries. */
+  /* Maximum number of instances that advice queries are spread over. */
   FSCHED_ADVISERS_MAX = 64,
-  /* Advice queries of one placing pass.  Passes over many jobs are rare; the
-     limit leaves the leader time for starts, ends and its lease while there is
-     a backlog. */
+  /* Maximum number of advice queries in one placing pass.  Passes over many
+     jobs are rare; the limit leaves the leader time to process starts and ends
+     and to renew its lease while there is a backlog. */
   FSCHED_PASS_QUERIES = 12,
   /* Consecutive failed runs after which an executor is quarantined. */
   FSCHED_QUARANTINE_FAILURES = 3,
-  /* An executor that discovery dropped is still used for this long: entries
-     that the platform loses in an outage return within 2 s. */
+  /* An executor that discovery no longer lists is still used for this long:
+     entries that the platform loses in an outage return within 2 s. */
   FSCHED_UNLISTED_GRACE_MS = 2500,
   /* Interval between checks of all executors. */
   FSCHED_EXEC_SWEEP_MS = 4,
-  /* Parts of the table of jobs; each part takes 300 writes/s. */
+  /* Number of parts of the table of jobs; each part accepts 300 writes/s. */
   FSCHED_JOB_PARTS = 8,
   /* Interval between removals of ended jobs' specifications. */
   FSCHED_TRIM_MS = 2500,
-  /* Rows of one such write. */
+  /* Maximum number of specifications removed by one write. */
   FSCHED_TRIM_ROWS = 90,
-  /* First quarantine of an executor; each further one lasts twice as long. */
+  /* Length of an executor's first quarantine; each further quarantine lasts
+     twice as long as the one before. */
   FSCHED_QUARANTINE_MS = 4000,
-  /* Rows of the ring of intents: enough for 10 s at 25 writes/s. */
+  /* Number of rows in the ring of intents: enough for 10 s at 25 writes/s. */
   INTENT_ROWS = 256,
 };
 
@@ -92,12 +97,13 @@
 struct jstep;
 struct intent;
 
+/** enum start_state - state of a start */
 enum start_state
 {
   START_INTENT,      /* the intent is not durable yet; nothing was sent */
-  START_DROPPED,     /* as START_INTENT, but the start will not be sent */
-  START_SENT,        /* sent, not answered yet */
-  START_ACKED,       /* acknowledged, or listed by its executor */
+  START_DROPPED,     /* as START_INTENT, but the start will be ended unsent */
+  START_SENT,        /* the start order is sent, but not answered */
+  START_ACKED,       /* acknowledged, or the executor lists the run */
   START_UNCONFIRMED, /* the answer was lost; the task may be running */
   START_STOPPING,    /* stop orders are sent until the run has ended */
 };
@@ -108,28 +114,31 @@
   TAILQ_ENTRY (start) exec_link;
   struct job *job;
   struct exec *exec;
-  int step;
-  int index; /* of the task in its step */
-  int state; /* enum start_state */
-  int64_t run_id;
-  int64_t sent_ms; /* when the start was created, then when it was sent */
-  /* When the start was acknowledged or first listed; 0: not yet. */
+  int step;       /* index of the step in its job */
+  int index;      /* index of the task in its step */
+  int state;      /* enum start_state */
+  int64_t run_id; /* number of the run among the runs of the task */
+  /* When the start was sent; until then, when it was created. */
+  int64_t sent_ms;
+  /* When the start was acknowledged, or the executor first listed the run; 0:
+     not yet. */
   int64_t start_acked_ms;
-  int64_t answer_lost_ms; /* when the start's answer was lost; 0: never */
-  /* When a stop was acknowledged; 0: not yet.  The run has ended once a list
-     that was requested later lacks it. */
+  int64_t answer_lost_ms; /* when an answer to the start was lost; 0: never */
+  /* When the executor acknowledged a stop order; 0: not yet.  The run has
+     ended once a list of runs that was requested later does not contain it. */
   int64_t stop_acked_ms;
-  int64_t percent;            /* progress that the executor reported */
+  int64_t percent; /* progress of the run as the executor reported it */
   int64_t percent_changed_ms; /* when the percentage last changed */
   int64_t next_stop_ms;       /* earliest time of the next stop order */
   uint64_t order_id; /* id of the outstanding start or stop order; 0: none */
-  int tries;         /* start orders sent */
-  bool in_list;      /* in the executor's list that is being processed */
+  int tries;         /* number of start orders sent */
+  /* The executor's list of runs that is being processed contains the run. */
+  bool in_list;
   /* An earlier leader started the run, and its executor has not answered this
      leader yet. */
   bool inherited;
-  struct intent *intent; /* the start's record; NULL: none */
-  /* Name of the latest checkpoint that the executor reported, or empty. */
+  struct intent *intent; /* the record of the start; NULL: none */
+  /* Name of the latest checkpoint that the executor reported; empty: none. */
   char checkpoint[JOB_CHECKPOINT_SIZE];
 };
 TAILQ_HEAD (startq, start);
@@ -138,22 +147,25 @@
 struct jtask
 {
   struct start *run; /* the task's current start; NULL: none */
-  char *checkpoint;  /* name of the latest checkpoint, owned, or NULL */
-  /* Runs that have failed, owned.  A gang's are kept at its first task. */
+  char *checkpoint;  /* name of the latest checkpoint, owned; NULL: none */
+  /* Failed runs of the task, owned.  The failed runs of a gang are kept at its
+     first task. */
   struct job_run *failed_runs;
-  int32_t n_failed;
+  int32_t n_failed;    /* number of entries of failed_runs */
   int32_t next_run_id; /* run id of the next start */
   /* Highest run id among the intents of earlier leaders; 0: none. */
   int32_t last_run_id;
-  bool done;
+  bool done; /* a run of the task has succeeded */
 };
 
+/** enum permit_state - what is known of a permit */
 enum permit_state
 {
-  PERMIT_UNKNOWN, /* no query has named the executor, or the last one failed */
-  PERMIT_QUERIED, /* the outstanding query names the executor */
-  PERMIT_ALLOWED, /* the step may run there, with a valid ticket */
-  PERMIT_DENIED,  /* the step may not run there */
+  /* No advice query was sent about the executor, or the query failed. */
+  PERMIT_UNKNOWN,
+  PERMIT_QUERIED, /* an advice query about the executor is outstanding */
+  PERMIT_ALLOWED, /* the step may run on the executor, with a valid ticket */
+  PERMIT_DENIED,  /* the step may not run on the executor */
 };
 
 /** struct permit - whether a step may run on one executor */
@@ -161,27 +173,28 @@
 {
   int state;              /* enum permit_state */
   int64_t valid_until_ms; /* when the ticket expires */
-  int64_t boot_start_ms;  /* boot of the executor that the permit is for */
-  char *ticket;           /* owned, or NULL */
+  /* Start of the executor's boot that the permit is for. */
+  int64_t boot_start_ms;
+  char *ticket; /* owned; NULL: none */
 };
 
 /** struct jstep - a step of a job in memory */
 struct jstep
 {
-  struct jtask *tasks;
+  struct jtask *tasks; /* owned */
   int n_tasks;
-  int n_done;
-  int n_running; /* tasks that have a start, sent or not */
-  bool ready;    /* all steps that this one depends on are done */
-  int64_t ready_ms;
+  int n_done;             /* number of tasks that are done */
+  int n_running;          /* number of tasks that have a start, sent or not */
+  bool ready;             /* all steps that this one depends on are done */
+  int64_t ready_ms;       /* when the step became ready */
   struct permit *permits; /* indexed by exec::index, grown on demand */
-  int n_permits;
-  int label;                /* interned id of the required label; 0: none */
-  int data_rack;            /* interned id of the rack of the input; 0: none */
-  uint64_t query_id;        /* id of the outstanding advice query; 0: none */
+  int n_permits;          /* number of entries of permits */
+  int label_id;           /* interned id of the required label; 0: none */
+  int data_rack_id;       /* interned id of the rack of the input; 0: none */
+  uint64_t query_id;      /* id of the outstanding advice query; 0: none */
   int64_t tickets_until_ms; /* expiry of the ticket that is valid longest */
   int64_t next_query_ms;    /* earliest time of the next query */
-  /* Queries answered since a task of the step was last started. */
+  /* Number of queries answered since a task of the step was last started. */
   int n_queries;
 };
 
@@ -191,25 +204,27 @@
   RB_ENTRY (job) by_id;
   TAILQ_ENTRY (job) link;
   struct job_spec spec;
-  int service; /* interned id of the service whose executors run the job */
+  int service_id; /* interned id of the service whose executors run the job */
   struct jstep *steps;
-  int state;          /* enum job_state */
-  int n_runs;         /* current starts of the job's tasks, sent or not */
-  int n_steps_left;   /* steps that are not done */
+  int state;  /* enum job_state */
+  int n_runs; /* number of current starts of the job's tasks, sent or not */
+  int n_steps_left;   /* number of steps that are not done */
   int64_t arrival_ms; /* when the job was accepted, on the local clock */
-  int64_t due_ms;     /* when the job's latency objective ends */
+  /* When the job must have ended to meet its latency objective. */
+  int64_t due_ms;
   int64_t critical_path_ms; /* see job_critical_path_ms() */
-  /* Class in the current placing pass; 0 goes first.  See fsched_place.c. */
+  /* Class in the current placing pass; class 0 is placed first.  See
+     fsched_place.c. */
   int urgency_class;
   /* The job was loaded when the term began, so an earlier leader may have
      started tasks of it. */
   bool inherited;
   bool over_share;   /* the job exceeds the share of its client account */
   bool task_started; /* a task has been started, by any leader */
-  bool start_sent;   /* this leader has sent a start of a task */
-  bool dirty;        /* the progress must be recorded */
+  bool start_sent;   /* this leader has sent a start of one of the tasks */
+  bool dirty;        /* the progress has changed and must be recorded */
   bool writing;      /* the progress is in the outstanding write */
-  bool recorded;     /* the final state is durable */
+  bool recorded;     /* the final state is recorded */
 };
 RB_HEAD (job_tree, job);
 TAILQ_HEAD (jobq, job);
@@ -219,49 +234,56 @@
 {
   TAILQ_ENTRY (exec) link;
   RB_ENTRY (exec) by_id;
-  struct exec_report rep;
-  int service;     /* interned id of the executor's service */
-  int rack;        /* interned id of the rack; 0: none reported */
-  uint64_t labels; /* bit set of the interned ids of the labels */
-  int index;       /* into jstep::permits; never reused */
-  bool listed;     /* discovery lists the executor */
-  bool in_list;    /* in the discovery list that is being processed */
-  /* When discovery last dropped the executor; 0: never. */
+  struct exec_report rep; /* the executor's latest entry in discovery */
+  int service_id;         /* interned id of the executor's service */
+  int rack_id; /* interned id of the executor's rack; 0: none reported */
+  /* Bit set of the interned ids of the executor's labels, see LABELS_MAX. */
+  uint64_t label_set;
+  int index;   /* index of the executor in jstep::permits; never reused */
+  bool listed; /* discovery lists the executor */
+  /* The discovery list that is being processed contains the executor. */
+  bool in_list;
+  /* When discovery last ceased to list the executor; 0: never. */
   int64_t unlisted_since_ms;
   bool answered;   /* the executor has answered a poll of this leader */
   bool reconciled; /* this leader knows all runs on the executor */
   /* An order or poll has failed, and no poll has succeeded since. */
   bool unreachable;
-  bool recorded;        /* the recorded roster contains the executor */
-  bool writing;         /* the roster in the outstanding write contains it */
+  bool recorded; /* the recorded roster contains the executor */
+  /* The roster in the outstanding write contains the executor. */
+  bool writing;
   struct startq runs;   /* starts on the executor, sent or not */
-  struct job_need used; /* capacity that the starts in runs take */
+  struct job_need used; /* capacity taken by the starts in runs */
   /* Capacity kept free in the current placing pass for more urgent work that
      waits for advice. */
   struct job_need reserved;
   bool eligible; /* the current placing pass may give tasks to the executor */
-  /* Orphans: runs in the executor's last list that no job wants. */
+  /* Number of orphans in the executor's last list: runs whose job is unknown
+     or has ended, or whose task is done or has another run. */
   int n_orphans;
   int64_t boot_start_ms;   /* start of the executor's boot; 0: unknown */
   int64_t clock_ms;        /* the executor's clock in its last answer */
   int64_t last_contact_ms; /* local time of the last answer */
-  /* Latest end of a lease given, on the executor's clock. */
+  /* Latest end of the leases given to the executor, on the executor's clock.
+   */
   int64_t lease_deadline_ms;
-  /* Ends of runs up to this number have been processed. */
+  /* Ends of runs up to this sequence number have been processed. */
   int64_t seen_end_seq;
-  /* Ends of runs up to this number are in the outstanding write. */
+  /* Ends of runs up to this sequence number are in the outstanding write. */
   int64_t writing_end_seq;
-  /* Ends of runs up to this number are recorded. */
+  /* Ends of runs up to this sequence number are recorded. */
   int64_t recorded_end_seq;
   uint64_t poll_id;     /* id of the outstanding poll; 0: none */
   int64_t poll_sent_ms; /* when the last poll was sent */
   /* Earliest time of the next stop orders for orphans. */
   int64_t next_orphan_stop_ms;
-  int64_t next_poll_ms;
+  int64_t next_poll_ms;         /* earliest time of the next poll */
   int64_t unreachable_since_ms; /* when the executor became unreachable */
-  /* Failed runs and starts answered as busy since the last run that succeeded.
-     A quarantine leaves one less than FSCHED_QUARANTINE_FAILURES. */
+  /* Number of failed runs and of starts refused as busy since the last run
+     that succeeded.  A quarantine sets it to FSCHED_QUARANTINE_FAILURES - 1,
+     so that one more failure leads to the next quarantine. */
   int failures_in_row;
+  /* End of the last quarantine; 0: there was none. */
   int64_t quarantine_until_ms;
   int64_t quarantine_ms; /* length of the last quarantine; 0: there was none */
 };
@@ -269,81 +291,89 @@
 RB_HEAD (exec_tree, exec);
 
 /**
- * struct fsched_intern_table - numbers for names, so that they compare fast
+ * struct fsched_intern_table - ids of names, which compare faster than text
  *
- * The id of a name is its place in the list, from 1 on; 0 is the empty name.
+ * The id of a name is its index in @list plus 1; the id 0 means the empty
+ * name.
  */
 struct fsched_intern_table
 {
-  char (*list)[CLB_NAME_MAX];
-  int n;
+  char (*list)[CLB_NAME_MAX]; /* the names, owned */
+  int n;                      /* number of names */
 };
 
 /** struct pending_order - an order whose result has not arrived */
 struct pending_order
 {
   RB_ENTRY (pending_order) by_id;
-  uint64_t id;           /* as in struct order */
-  int kind;              /* enum order_kind */
-  struct start *run;     /* of a start or stop; NULL once that has ended */
-  struct exec *exec;     /* of a poll */
-  char job[JOB_ID_SIZE]; /* of an advice query */
-  int step;              /* of an advice query */
+  uint64_t id; /* as in struct order */
+  int kind;    /* enum order_kind */
+  /* Of a start or stop order; NULL once the run has ended. */
+  struct start *run;
+  struct exec *exec;     /* of a poll: the executor that is polled */
+  char job[JOB_ID_SIZE]; /* of an advice query: id of the job */
+  int step;              /* of an advice query: index of the step */
   int adviser;           /* of an advice query: index into fsched::advisers */
   int64_t sent_ms;
   int64_t deadline_ms; /* when an advice query counts as lost */
-  size_t n_execs;      /* executors named in an advice query */
+  size_t n_execs;      /* number of executors named in an advice query */
 };
 RB_HEAD (pending_order_tree, pending_order);
 
-/** struct adviser - an instance that puts the leader's advice queries */
+/**
+ * struct adviser - an instance that sends the leader's advice queries to the
+ * advice service
+ */
 struct adviser
 {
-  char id[CLB_ID_MAX];     /* empty: this instance */
-  char addr[CLB_ADDR_MAX]; /* empty: this instance */
+  char id[CLB_ID_MAX];     /* id of the instance; empty: this instance */
+  char addr[CLB_ADDR_MAX]; /* its address; empty: this instance */
   int64_t last_contact_ms; /* when the instance's last message arrived */
   /* When the instance last reached the table service. */
   int64_t table_contact_ms;
-  int64_t avoid_until_ms; /* no queries before then, as one failed */
-  int64_t busy_until_ms;  /* expected end of the outstanding queries */
-  int n_queries;          /* outstanding queries */
-  int64_t millicores;     /* the instance's share of a core */
+  /* The instance gets no queries before this time, because one has failed. */
+  int64_t avoid_until_ms;
+  int64_t busy_until_ms; /* expected end of the outstanding queries */
+  int n_queries;         /* number of outstanding queries */
+  int64_t millicores;    /* the instance's share of a core */
 };
 
 /** struct fsched_tenant - a client account's use and share */
 struct fsched_tenant
 {
   char name[CLB_NAME_MAX];
-  struct job_need used; /* by the account's starts, sent or not */
-  /* Jobs that may arrive now without exceeding the account's share. */
+  struct job_need used; /* capacity taken by its starts, sent or not */
+  /* Number of jobs that may arrive now without exceeding the account's share.
+   */
   double share_credit;
   int64_t credited_ms; /* when the credit was last brought up to date */
   TAILQ_ENTRY (fsched_tenant) link;
 };
 TAILQ_HEAD (fsched_tenantq, fsched_tenant);
 
-/** struct fsched_queue - what advice has shown of a queue's jobs */
+/** struct fsched_queue - statistics of the advice on a queue's jobs */
 struct fsched_queue
 {
   TAILQ_ENTRY (fsched_queue) link;
   char name[CLB_NAME_MAX];
-  /* Moving average of the fraction of queried executors that are permitted. */
+  /* Moving average of the fraction of the queried executors that are permitted
+     to run the step, from 0.1 to 1. */
   double permitted_share;
 };
 TAILQ_HEAD (fsched_queueq, fsched_queue);
 
-/** struct final - a job that ended in this leader's term */
+/** struct ended_job - a job known to have ended, and its final state */
 struct ended_job
 {
   RB_ENTRY (ended_job) by_id;
   char id[JOB_ID_SIZE];
-  int state;     /* enum job_state */
-  bool trim_due; /* the specification must still be removed from the job's row
-                  */
+  int state; /* enum job_state */
+  /* The specification must still be removed from the job's row. */
+  bool trim_due;
 };
 RB_HEAD (ended_job_tree, ended_job);
 
-/** struct early_progress - a job's recorded progress, loaded before the job */
+/** struct early_progress - recorded progress of a job not added yet */
 struct early_progress
 {
   RB_ENTRY (early_progress) by_id;
@@ -356,20 +386,22 @@
 struct fsched_stats
 {
   uint64_t passes; /* placing passes */
-  uint64_t starts; /* starts sent, each counted once however often tried */
-  uint64_t ends[RUN_END_N];
-  uint64_t refusals[REFUSED_N];
-  uint64_t outcomes[ORDER_OUTCOME_N];
-  uint64_t queries; /* advice queries sent */
+  uint64_t starts; /* starts sent; one that is sent again counts once */
+  uint64_t ends[RUN_END_N];     /* ends of starts, by enum run_end */
+  uint64_t refusals[REFUSED_N]; /* refused starts, by enum order_refusal */
+  uint64_t outcomes[ORDER_OUTCOME_N]; /* orders, by enum order_outcome */
+  uint64_t queries;                   /* advice queries sent */
   uint64_t queries_failed;
   uint64_t jobs_added;
-  uint64_t jobs_ended[JOB_STATE_N];
-  uint64_t stops;       /* stop orders sent */
+  uint64_t jobs_ended[JOB_STATE_N]; /* by enum job_state */
+  uint64_t stops;                   /* stop orders sent */
   uint64_t runs_lapsed; /* runs ended because their lease expired */
   uint64_t quarantines; /* quarantines of executors */
-  struct hist order_ms[ORDER_KIND_N]; /* from an order to its result */
+  /* From an order to its result, by enum order_kind. */
+  struct hist order_ms[ORDER_KIND_N];
   struct hist first_start_ms; /* from a job's arrival to its first start */
-  struct hist job_ms[JOB_STATE_N]; /* from a job's arrival to its end */
+  /* From a job's arrival to its end, by enum job_state. */
+  struct hist job_ms[JOB_STATE_N];
 };
 
 TAILQ_HEAD (intentq, intent);
@@ -377,16 +409,17 @@
 /** struct intents - intents of starts, see fsched_intent.c */
 struct intents
 {
-  struct intentq rows[INTENT_ROWS]; /* by the row that holds them */
-  struct intentq waiting;           /* for the next write */
-  struct intentq writing;           /* in the outstanding write */
-  int next_row;                     /* the row that is written next */
-  int writing_row;                  /* the row that was written last */
-  /* Starts with an intent that have ended in this term.  The count is also the
-     number of the last of these ends. */
+  struct intentq rows[INTENT_ROWS]; /* recorded intents, by row */
+  struct intentq waiting;           /* intents for the next write */
+  struct intentq writing;           /* intents in the outstanding write */
+  int next_row;    /* number of the row that is written next */
+  int writing_row; /* number of the row that was written last */
+  /* Number of starts with an intent that have ended in this term.  The count
+     is also the sequence number of the last of these ends. */
   uint64_t n_ends;
   uint64_t writing_ends; /* n_ends when the outstanding write was collected */
-  /* All progress changed by ends up to this number is recorded. */
+  /* All progress that was changed by ends up to this sequence number is
+     recorded. */
   uint64_t recorded_ends;
 };
 
@@ -394,33 +427,33 @@
 struct fsched
 {
   int64_t now_ms;
-  struct outq *out;           /* borrowed; for orders, writes and log lines */
-  uint64_t *tokens;           /* borrowed; last id given to a call or order */
-  int64_t epoch;              /* of this term; fencing token of its orders */
+  struct outq *out; /* borrowed; for orders, writes and log lines */
+  uint64_t *tokens; /* borrowed; last id given to a call or order */
+  int64_t epoch;    /* epoch of this term; fencing token of its orders */
   struct fsched_stats *stats; /* borrowed; outlives the scheduler */
   const struct fconf *conf;   /* borrowed; NULL: not known yet */
-  struct job_tree jobs;
-  struct jobq queue; /* in order of arrival */
+  struct job_tree jobs;       /* all jobs, by id */
+  struct jobq queue;          /* the same jobs, in order of arrival */
   int n_jobs;
   struct execq execs;
   struct exec_tree execs_by_id;
   /* Executors that may be given tasks in the current placing pass. */
   struct exec **eligible;
   int n_eligible;
-  struct fsched_intern_table services;
-  struct fsched_intern_table racks;
-  struct fsched_intern_table labels;
-  int n_execs;
+  struct fsched_intern_table services; /* names of services */
+  struct fsched_intern_table racks;    /* names of racks */
+  struct fsched_intern_table labels;   /* labels that steps require */
+  int n_execs;                         /* number of entries of execs */
   struct fsched_tenantq tenants;
   struct ended_job_tree ended_jobs;
-  struct pending_order_tree orders;
-  struct early_tree early_progress;
+  struct pending_order_tree orders; /* orders without a result yet */
+  struct early_tree early_progress; /* of jobs that are not added yet */
   int64_t next_query_sweep_ms; /* time of the next search for lost queries */
   struct adviser advisers[FSCHED_ADVISERS_MAX];
   int n_advisers;
   struct fsched_queueq queues;
-  bool fenced;        /* an executor has seen a higher fencing token */
-  bool loaded;        /* the records are loaded; orders may be given */
+  bool fenced; /* an executor has seen the fencing token of a later leader */
+  bool loaded; /* the records are loaded; orders may be given */
   bool reconciled;    /* this leader knows all runs on all executors */
   int64_t claimed_ms; /* when the term began */
   /* All leases that earlier leaders gave have expired by this time. */
@@ -438,9 +471,9 @@
   bool short_adviser_free;    /* an instance is free for a short query */
   bool long_adviser_free;     /* an instance is free for a long query */
   int64_t next_exec_sweep_ms; /* time of the next check of all executors */
-  int64_t next_trim_ms;
+  int64_t next_trim_ms;    /* earliest time of the next fsched_trim_jobs() */
   struct job **ready_jobs; /* scratch array of a placing pass, owned */
-  int ready_jobs_cap;
+  int ready_jobs_cap;      /* number of entries that ready_jobs has room for */
 };
 
 RB_PROTOTYPE (job_tree, job, by_id, job_cmp)
@@ -458,12 +491,12 @@
 /**
  * fsched_new() - Create the scheduler for a term as leader.
  * @out: queue for orders, writes and log lines; borrowed
- * @tokens: last id given to a call; borrowed
+ * @tokens: counter that calls and orders take their ids from; borrowed
  * @now_ms: time of the claim
  * @epoch: epoch of the term
  * @wait_ms: how long after the claim an executor that does not answer may
  *           still run what an earlier leader started
- * @stats: borrowed
+ * @stats: counters to update; borrowed
  *
  * Return: a scheduler that the caller frees with fsched_free().
  */
@@ -474,80 +507,93 @@
 void fsched_free (struct fsched *fs);
 
 /**
- * fsched_set_conf() - Use another configuration from now on.
- * @conf: borrowed, until another one is set
+ * fsched_set_conf() - Replace the configuration.
+ * @conf: the new configuration; borrowed until it is replaced
  */
 void fsched_set_conf (struct fsched *fs, const struct fconf *conf);
 
-/* Loading.  The order is: roster, intents and progress, then the jobs, then
-   fsched_load_done(). */
+/* Loading.  The caller loads the roster, the intents and the progress, then
+   adds the jobs, then calls fsched_load_done(). */
 
 /**
- * fsched_add_job() - Add a job from its record, unless it is known.
- * @spec: taken over
- * @inherited: an earlier leader may have started tasks of the job
+ * fsched_add_job() - Add a job from its record, unless it is known already.
+ * @spec: specification; the function takes ownership of what it contains
+ * @inherited: whether an earlier leader may have started tasks of the job
  * @age_ms: time since the job was accepted
  */
 void fsched_add_job (struct fsched *fs, struct job_spec *spec, bool inherited,
                      int64_t age_ms);
 /**
- * fsched_load_progress() - Load a job's recorded progress, before the job.
- * @id: the job's id
- * @p: taken over
+ * fsched_load_progress() - Load the recorded progress of a job that has not
+ * been added yet.
+ * @id: id of the job
+ * @p: progress; the function takes ownership of what it contains
+ *
+ * The progress is applied when the job is added.
  */
 void fsched_load_progress (struct fsched *fs, const char *id,
                            struct job_progress *p);
 /**
- * fsched_load_intents() - Load a row of intents, before the jobs.
+ * fsched_load_intents() - Load a row of intents, before any job is added.
  * @key: number of the row, in decimal
  * @text: value of the row
  *
- * Return: number of lines that could not be read.
+ * Return: number of lines that could not be parsed.
  */
 int fsched_load_intents (struct fsched *fs, const char *key, const char *text);
 /**
  * fsched_load_roster() - Load the executors that earlier leaders may have
  * used.
- * @text: value of the row
+ * @text: value of the roster's row
  */
 void fsched_load_roster (struct fsched *fs, const char *text);
-/** fsched_load_done() - Start to schedule. */
+/** fsched_load_done() - End loading and begin to schedule. */
 void fsched_load_done (struct fsched *fs);
 
 /* Events. */
 
-/** fsched_cancel() - Cancel job @id, unless it is unknown or has ended. */
+/**
+ * fsched_cancel() - Cancel job @id; no effect if it is unknown or has ended.
+ */
 void fsched_cancel (struct fsched *fs, const char *id);
-/** fsched_exec_report() - Discovery has listed an executor or updated it. */
+/**
+ * fsched_exec_report() - Process an executor's new or changed entry in
+ * discovery.
+ */
 void fsched_exec_report (struct fsched *fs, const struct exec_report *rep);
-/** fsched_exec_unlisted() - Discovery no longer lists executor @id. */
+/**
+ * fsched_exec_unlisted() - Process that discovery no longer lists executor
+ * @id.
+ */
 void fsched_exec_unlisted (struct fsched *fs, const char *id);
 /**
- * fsched_exec_list() - A whole list of executors begins or ends.
- * @begins: true at the begin; at the end, executors that have not been
- *          reported since the begin are no longer listed
+ * fsched_exec_list() - Process the begin or the end of a complete discovery
+ * list.
+ * @begins: true at the begin of the list, false at its end.  At the end,
+ *          executors that were not reported since the begin are unlisted.
  */
 void fsched_exec_list (struct fsched *fs, bool begins);
 /**
- * fsched_adviser_seen() - An instance that can put advice queries is
- * reachable.
- * @id: empty for this instance
- * @addr: empty for this instance
+ * fsched_adviser_seen() - Process that an instance which can send advice
+ * queries is reachable.
+ * @id: id of the instance; empty for this instance
+ * @addr: address of the instance; empty for this instance
  * @millicores: the instance's share of a core
  * @table_contact_ms: when the instance last reached the table service
  */
 void fsched_adviser_seen (struct fsched *fs, const char *id, const char *addr,
                           int64_t millicores, int64_t table_contact_ms);
 /**
- * fsched_adviser_freshest() - The other instance that was last to reach the
- * table service.
+ * fsched_adviser_freshest() - Find the instance, other than this one, that
+ * reached the table service last.
  *
  * Return: borrowed; NULL if no other instance is known.
  */
 const struct adviser *fsched_adviser_freshest (const struct fsched *fs);
 /**
- * fsched_adviser_rank() - Count the other reachable instances that have a
- * larger share of a core than instance @id, or the same and are known longer.
+ * fsched_adviser_rank() - Count the reachable instances, other than this one,
+ * that have a larger share of a core than instance @id, or the same share and
+ * have been known for longer.
  *
  * Return: the count; 0 if @id is unknown.
  */
@@ -560,7 +606,7 @@
 void fsched_order_result (struct fsched *fs, int64_t now_ms, uint64_t order,
                           const struct order_result *res);
 /**
- * fsched_tick() - Do what is due.
+ * fsched_tick() - Do the periodic work that is due at @now_ms.
  * @may_order: whether orders may be given to executors
  */
 void fsched_tick (struct fsched *fs, int64_t now_ms, bool may_order);
@@ -568,21 +614,30 @@
 /**
  * fsched_collect() - Add the rows that must be recorded to a write.
  * @op: the write
- * @max_rows: rows after which progress is left for the next write
+ * @max_rows: number of rows after which progress is left for the next write
  *
  * Call fsched_recorded() once the write is durable.
  *
  * Return: number of rows added.
  */
 int fsched_collect (struct fsched *fs, struct store_op *op, int max_rows);
-/** fsched_recorded() - The rows that were collected last are durable. */
+/** fsched_recorded() - Process that the rows collected last are durable. */
 void fsched_recorded (struct fsched *fs);
 
-/** fsched_job_part() - The part of the table of jobs that holds job @id. */
+/**
+ * fsched_job_part() - Return the number of the part of the table of jobs that
+ * holds job @id.
+ */
 int fsched_job_part (const char *id);
-/** fsched_job_state() - enum job_state of job @id, or -1 if it is unknown. */
+/**
+ * fsched_job_state() - Return the enum job_state of job @id, or -1 if the job
+ * is unknown.
+ */
 int fsched_job_state (const struct fsched *fs, const char *id);
-/** fsched_jobs_waiting() - Count jobs of a queue with no task started yet. */
+/**
+ * fsched_jobs_waiting() - Count the jobs of a queue that have not ended and of
+ * which no task was started.
+ */
 int64_t fsched_jobs_waiting (const struct fsched *fs, const char *queue);
 
 #endif
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -239,7 +239,7 @@
       out->n_unknown += p->state == PERMIT_UNKNOWN;
       if (p->state != PERMIT_ALLOWED)
         continue;
-      fits = exec_fits (e, j, step, s->n_tasks);
+      fits = exec_fit_count (e, j, step, s->n_tasks);
       out->permitted_fits += fits;
       if (fits > 0 && !permit_valid (fs, s, e)
           && out->n < ORDER_ADVICE_EXECS_MAX)
@@ -268,7 +268,7 @@
       struct exec *e = fs->eligible[i];
       if (exec_usable (e, j, step)
           && permit_get (s, e)->state == PERMIT_UNKNOWN)
-        all[n++] = (struct candidate){ e, exec_fits (e, j, step, s->n_tasks) };
+        all[n++] = (struct candidate){ e, exec_fit_count (e, j, step, s->n_tasks) };
     }
   sort_by_capacity (sorted, all, n);
   for (size_t i = 0; i < n && out->n < ORDER_ADVICE_EXECS_MAX
@@ -327,7 +327,7 @@
 reserve (struct exec *e, const struct job *j, int step, int max)
 {
   const struct job_step *s = &j->spec.steps[step];
-  int n = exec_fits (e, j, step, max);
+  int n = exec_fit_count (e, j, step, max);
 
   if (!s->best_effort_cpu)
     e->reserved.millicores += n * s->need.millicores;
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -302,7 +302,7 @@
   if (r)
     {
       clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
-      start_end (fs, r, row->how);
+      start_end (fs, r, row->run_end);
     }
   else if (j)
     {
@@ -311,11 +311,11 @@
                 "exec=%s result=%s",
                 row->task.job, (long long)row->task.step,
                 (long long)row->task.index, (long long)row->run_id, e->rep.id,
-                run_end_names[row->how]);
+                run_end_names[row->run_end]);
       fsched_keep_checkpoint (j, (int)row->task.step, (int)row->task.index,
                               row->checkpoint);
       fsched_task_ended (fs, j, (int)row->task.step, (int)row->task.index,
-                         row->run_id, row->how);
+                         row->run_id, row->run_end);
     }
 }
 
@@ -606,13 +606,13 @@
 bool
 exec_usable (const struct exec *e, const struct job *j, int step)
 {
-  int label = j->steps[step].label;
+  int label = j->steps[step].label_id;
 
-  if (!e->eligible || e->service != j->service)
+  if (!e->eligible || e->service_id != j->service_id)
     return false;
   if (!label)
     return true;
-  return label <= LABELS_MAX ? e->labels >> label & 1
+  return label <= LABELS_MAX ? e->label_set >> label & 1
                              : exec_has_label (e, j->spec.steps[step].label);
 }
 
@@ -624,7 +624,7 @@
 }
 
 int
-exec_fits (const struct exec *e, const struct job *j, int step, int max)
+exec_fit_count (const struct exec *e, const struct job *j, int step, int max)
 {
   const struct job_step *s = &j->spec.steps[step];
   const struct job_need *capacity = &e->rep.capacity;
--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -80,7 +80,7 @@
 }
 
 void
-intent_start (struct fsched *fs, struct start *r)
+intent_add (struct fsched *fs, struct start *r)
 {
   struct intent *e = intent_new (r);
 
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -57,7 +57,7 @@
 static struct exec *
 best_fit (struct fsched *fs, const struct job *j, int step)
 {
-  int data_rack = j->steps[step].data_rack;
+  int data_rack = j->steps[step].data_rack_id;
   struct exec *best = NULL;
   int64_t best_spare = 0;
 
@@ -66,10 +66,10 @@
       struct exec *e = fs->eligible[i];
       int64_t spare;
       if (!exec_usable (e, j, step) || !permitted (fs, j, step, e)
-          || exec_fits (e, j, step, 1) < 1)
+          || exec_fit_count (e, j, step, 1) < 1)
         continue;
       spare = e->rep.capacity.millicores - e->used.millicores;
-      if (data_rack && data_rack != e->rack)
+      if (data_rack && data_rack != e->rack_id)
         spare += INT32_MAX;
       if (!best || spare < best_spare)
         {
@@ -99,7 +99,7 @@
       e = best_fit (fs, j, step);
       if (!e)
         return false;
-      intent_start (
+      intent_add (
           fs, start_new (fs, j, step, i, e, t->next_run_id, START_INTENT));
     }
   return true;
@@ -141,10 +141,10 @@
     {
       struct exec *e = fs->eligible[i];
       int fits;
-      if ((rack && rack != e->rack) || !exec_usable (e, j, step)
+      if ((rack && rack != e->rack_id) || !exec_usable (e, j, step)
           || !permitted (fs, j, step, e))
         continue;
-      fits = exec_fits (e, j, step, n_members);
+      fits = exec_fit_count (e, j, step, n_members);
       if (fits < 1)
         continue;
       candidates[n++] = (struct candidate){ e, fits };
@@ -162,7 +162,7 @@
 choose_candidates (struct fsched *fs, const struct job *j, int step,
                    struct candidate *candidates)
 {
-  int data_rack = j->steps[step].data_rack;
+  int data_rack = j->steps[step].data_rack_id;
   size_t n;
 
   if (data_rack && (n = gang_candidates (fs, j, step, data_rack, candidates)))
@@ -205,7 +205,7 @@
       while (candidates[next].fits == 0)
         next++;
       candidates[next].fits--;
-      intent_start (fs, start_new (fs, j, step, i, candidates[next].e, run_id,
+      intent_add (fs, start_new (fs, j, step, i, candidates[next].e, run_id,
                                    START_INTENT));
     }
   free (candidates);
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -12,7 +12,7 @@
 /* Fills @out with the tasks of a step that are done or have failed; returns
    their number. */
 static size_t
-fill_marks (const struct job *j, size_t step, struct job_mark *out)
+fill_marks (const struct job *j, size_t step, struct job_task_progress *out)
 {
   const struct jstep *s = &j->steps[step];
   size_t n = 0;
@@ -20,10 +20,10 @@
   for (int t = 0; t < s->n_tasks; t++)
     {
       const struct jtask *k = &s->tasks[t];
-      struct job_mark m = { .index = t,
-                            .done = k->done,
-                            .failed = k->failed_runs,
-                            .n_failed = (size_t)k->n_failed };
+      struct job_task_progress m = { .index = t,
+                                     .done = k->done,
+                                     .failed = k->failed_runs,
+                                     .n_failed = (size_t)k->n_failed };
       if (m.done || m.n_failed)
         out[n++] = m;
     }
@@ -42,7 +42,7 @@
   p.steps = fsched_zalloc (j->spec.n_steps, sizeof *p.steps);
   for (size_t i = 0; i < j->spec.n_steps; i++)
     {
-      struct job_step_marks *m = &p.steps[p.n_steps];
+      struct job_step_progress *m = &p.steps[p.n_steps];
       m->step = (int64_t)i;
       m->marks = fsched_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->marks);
       m->n_marks = fill_marks (j, i, m->marks);
--- a/core/fsched_start.c
+++ b/core/fsched_start.c
@@ -111,7 +111,7 @@
   adjust_use (fs, r, -1);
   intent_ended (fs, r);
   TAILQ_REMOVE (&r->exec->runs, r, exec_link);
-  start_task (r)->run = NULL;
+  start_get_task (r)->run = NULL;
   j->n_runs--;
   j->steps[step].n_running--;
   if (how == RUN_END_FAILED)
@@ -140,12 +140,12 @@
   struct pending_order *pend;
   struct order *o = fsched_order_new (fs, ORDER_START, r->exec, &pend);
   const struct jstep *s = &r->job->steps[r->step];
-  const struct jtask *t = start_task (r);
+  const struct jtask *t = start_get_task (r);
 
   pend->run = r;
   r->order_id = o->id;
   set_task (o, r);
-  o->text = strdup (r->job->spec.text ? r->job->spec.text : "");
+  o->payload = strdup (r->job->spec.payload ? r->job->spec.payload : "");
   o->lease_deadline_ms = exec_clock_now (fs, r->exec) + FSCHED_LEASE_MS;
   if (o->lease_deadline_ms > r->exec->lease_deadline_ms)
     r->exec->lease_deadline_ms = o->lease_deadline_ms;
--- a/core/hist.c
+++ b/core/hist.c
@@ -1,6 +1,6 @@
 #include "hist.h"
 
-/* Upper bounds of the buckets but the last. */
+/* Inclusive upper bounds of all buckets except the last, which has none. */
 static const int64_t upper_ms[HIST_BUCKETS - 1]
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000 };
 
@@ -17,7 +17,8 @@
   h->sum_ms += (uint64_t)ms;
 }
 
-/* Prints bucket @i; @cumulative is the count of it and all lower buckets. */
+/* Prints bucket @i; @cumulative is the number of durations in this and all
+   lower buckets. */
 static void
 print_bucket (FILE *out, const char *name, const char *labels, int i,
               uint64_t cumulative)
--- a/core/hist.h
+++ b/core/hist.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Histograms of durations in milliseconds, as Prometheus text.
+ * DOC: Histograms of durations in milliseconds, printed as Prometheus text.
  */
 #ifndef HIST_H
 #define HIST_H
@@ -9,17 +9,18 @@
 
 enum
 {
-  HIST_BUCKETS = 14, /* the last bucket has no upper bound */
+  HIST_BUCKETS = 14, /* number of buckets; the last has no upper bound */
 };
 
 /** struct hist - histogram of durations; an empty one is all zero */
 struct hist
 {
-  uint64_t count[HIST_BUCKETS]; /* durations in each bucket alone */
-  uint64_t sum_ms;              /* sum of all durations */
+  /* Number of durations in each bucket, not cumulative. */
+  uint64_t count[HIST_BUCKETS];
+  uint64_t sum_ms; /* sum of all durations */
 };
 
-/** hist_add() - Add a duration; a negative one counts as 0. */
+/** hist_add() - Add a duration in milliseconds; a negative one counts as 0. */
 void hist_add (struct hist *h, int64_t ms);
 /**
  * hist_print() - Print a histogram as metric "citronlb_NAME".
--- a/core/job.c
+++ b/core/job.c
@@ -60,7 +60,7 @@
   FLD_INT (struct job_spec, target_ms, 0, DAY_MS),
   FLD_STRUCT (struct job_spec, advice, &advice_desc),
   FLD_INT (struct job_spec, accepted_ms, 0, INT64_MAX),
-  FLD_STRING (struct job_spec, text, JOB_TEXT_MAX),
+  FLD_STRING_AS ("text", struct job_spec, payload, JOB_PAYLOAD_MAX),
   FLD_ARRAY (struct job_spec, steps, n_steps, &job_step_desc, JOB_STEPS_MAX),
 };
 DESC (job_spec_desc, struct job_spec, spec_fields);
@@ -70,23 +70,26 @@
 };
 static DESC (run_desc, struct job_run, run_fields);
 
-static const struct fld mark_fields[] = {
-  FLD_INT (struct job_mark, index, 0, JOB_STEP_TASKS_MAX),
-  FLD_FLAG (struct job_mark, done),
-  FLD_ARRAY (struct job_mark, failed, n_failed, &run_desc, JOB_FAILURES_MAX),
+static const struct fld task_progress_fields[] = {
+  FLD_INT (struct job_task_progress, index, 0, JOB_STEP_TASKS_MAX),
+  FLD_FLAG (struct job_task_progress, done),
+  FLD_ARRAY (struct job_task_progress, failed, n_failed, &run_desc,
+             JOB_FAILURES_MAX),
 };
-static DESC (mark_desc, struct job_mark, mark_fields);
+static DESC (task_progress_desc, struct job_task_progress,
+             task_progress_fields);
 
-static const struct fld step_marks_fields[] = {
-  FLD_INT (struct job_step_marks, step, 0, JOB_STEPS_MAX),
-  FLD_ARRAY (struct job_step_marks, marks, n_marks, &mark_desc,
+static const struct fld step_progress_fields[] = {
+  FLD_INT (struct job_step_progress, step, 0, JOB_STEPS_MAX),
+  FLD_ARRAY (struct job_step_progress, marks, n_marks, &task_progress_desc,
              JOB_STEP_TASKS_MAX),
 };
-static DESC (step_marks_desc, struct job_step_marks, step_marks_fields);
+static DESC (step_progress_desc, struct job_step_progress,
+             step_progress_fields);
 
 static const struct fld progress_fields[] = {
   FLD_NAMED (struct job_progress, state, job_state_names),
-  FLD_ARRAY (struct job_progress, steps, n_steps, &step_marks_desc,
+  FLD_ARRAY (struct job_progress, steps, n_steps, &step_progress_desc,
              JOB_STEPS_MAX),
 };
 DESC (job_progress_desc, struct job_progress, progress_fields);
@@ -98,7 +101,7 @@
          && strspn (id, "0123456789abcdefABCDEF") == JOB_ID_SIZE - 1;
 }
 
-/* Sets @ce to a field of a step and returns @err. */
+/* Sets @ce to the error @err in a field of step @step, and returns @err. */
 static int
 refuse (struct codec_err *ce, int err, size_t step, const char *field)
 {
--- a/core/job.h
+++ b/core/job.h
@@ -1,8 +1,8 @@
 /**
- * DOC: Jobs of the fleet.  A job consists of steps that depend on each other;
- * each step has a number of tasks that are alike.  This module defines a job's
- * specification as it was accepted, the progress that is recorded of it, and
- * the codec of both.
+ * DOC: Jobs of the fleet.  A job consists of steps; a step may depend on
+ * earlier ones and has a number of identical tasks.  This module defines the
+ * specification of an accepted job, the recorded progress of a job, and the
+ * codecs of both.
  */
 #ifndef JOB_H
 #define JOB_H
@@ -11,50 +11,55 @@
 
 enum
 {
-  JOB_ID_SIZE = 17,           /* 16 hexadecimal digits with NUL */
-  JOB_TEXT_MAX = 4000,        /* bytes of the text handed to each task */
-  JOB_STEPS_MAX = 64,         /* of one job: a set of steps is a 64-bit word */
+  JOB_ID_SIZE = 17, /* bytes of a job id, 16 hexadecimal digits with NUL */
+  JOB_PAYLOAD_MAX = 4000, /* bytes of job_spec::payload */
+  JOB_STEPS_MAX = 64, /* steps of one job; a set of steps is a 64-bit word */
   JOB_STEP_TASKS_MAX = 1024,  /* tasks of one step */
   JOB_TOTAL_TASKS_MAX = 4096, /* tasks of one job */
-  JOB_LABEL_SIZE = 48,        /* a label, rack or image with NUL */
-  /* Failed runs kept of one task; no queue allows more attempts. */
+  JOB_LABEL_SIZE = 48,        /* bytes of a label, rack or image with NUL */
+  /* Maximum number of failed runs stored of one task; no queue allows more
+     attempts. */
   JOB_FAILURES_MAX = 64,
-  JOB_CHECKPOINT_SIZE = 64, /* a checkpoint's name with NUL */
+  JOB_CHECKPOINT_SIZE = 64, /* bytes of a checkpoint's name with NUL */
 };
 
-/** struct job_need - resources that one task takes, or an executor offers */
+/** struct job_need - resources that tasks take, or an executor offers */
 struct job_need
 {
-  int64_t millicores;
+  int64_t millicores; /* CPU, in thousandths of a core */
   int64_t mem_mb;
   int64_t accels; /* accelerators, such as GPUs */
 };
 
-/** struct job_step - a step: a number of tasks that are alike */
+/** struct job_step - a step: a number of identical tasks */
 struct job_step
 {
   int64_t tasks; /* number of tasks */
   struct job_need need;
   int64_t estimate_ms; /* the submitter's estimate of one task's run time */
-  uint64_t after;      /* bit set of earlier steps that must be done first */
-  bool gang;           /* all tasks must run at the same time */
-  bool same_rack;      /* the tasks are slower when spread over racks */
-  bool checkpoints;    /* the tasks write checkpoints */
-  /* Copies of a task may run at the same time; the first to end counts. */
+  uint64_t after; /* bit set of the earlier steps that this step depends on */
+  bool gang;      /* all tasks must run at the same time */
+  bool same_rack; /* the tasks run faster when they are all in one rack */
+  bool checkpoints; /* the tasks write checkpoints */
+  /* Several runs of a task may exist at the same time; the first run to end
+     counts. */
   bool duplicates;
-  /* The tasks run on cores that others leave; their cores are not counted. */
+  /* The tasks run on cores that other tasks leave idle; their need of cores is
+     not counted as used. */
   bool best_effort_cpu;
   bool persistent; /* the tasks are restarted until the job is cancelled */
-  int64_t max_per_exec; /* tasks on one executor; 0: no limit */
-  int64_t target_ms;    /* tail latency that a serving task must keep */
-  /* Serving tasks that may be stopped at the same time. */
+  int64_t max_per_exec; /* maximum tasks on one executor; 0: no limit */
+  int64_t target_ms;    /* objective for the tail latency of a serving task */
+  /* Maximum number of serving tasks that may be stopped at the same time. */
   int64_t max_unavailable;
-  char label[JOB_LABEL_SIZE];     /* the executor must have it; empty: none */
-  char data_rack[JOB_LABEL_SIZE]; /* rack that holds the input, or empty */
-  char image[JOB_LABEL_SIZE];     /* tasks of the same image behave alike */
+  char label[JOB_LABEL_SIZE]; /* label required of executors; empty: none */
+  char data_rack[JOB_LABEL_SIZE]; /* rack that holds the input; empty: none */
+  char image[JOB_LABEL_SIZE]; /* tasks of the same image behave similarly */
 };
 
-/** struct job_advice - what an advice query costs */
+/**
+ * struct job_advice - duration of an advice query, and lifetime of its tickets
+ */
 struct job_advice
 {
   double base_ms;     /* duration of a query; 0: the queue needs no advice */
@@ -65,72 +70,77 @@
 /**
  * struct job_spec - a job as it was accepted
  *
- * The queue's settings are those at the time of acceptance.  A later
- * configuration changes them only for later jobs.
+ * The specification contains the settings that the queue had when the job was
+ * accepted.  A later change of the configuration applies only to later jobs.
  */
 struct job_spec
 {
   char id[JOB_ID_SIZE];
   char queue[CLB_NAME_MAX];
-  char tenant[CLB_NAME_MAX];  /* client account that is charged for the job */
+  /* Client account whose limits and share apply to the job. */
+  char tenant[CLB_NAME_MAX];
   char service[CLB_NAME_MAX]; /* service whose executors run the job */
   int64_t priority;           /* 0 is the most urgent */
-  int64_t attempts;           /* failures of one task before the job fails */
+  int64_t attempts; /* number of failures of one task that fails the job */
   /* The latency objective is slack times the critical path, plus target_ms. */
   double slack;
   int64_t target_ms; /* constant part of the latency objective */
   struct job_advice advice;
-  int64_t accepted_ms;    /* wall clock of the accepting instance */
-  char *text;             /* handed to each task; owned */
+  /* When the job was accepted, by the wall clock of the accepting instance. */
+  int64_t accepted_ms;
+  char *payload; /* text that is passed to each task unchanged; owned */
   struct job_step *steps; /* owned */
   size_t n_steps;
   int64_t repeat;      /* number of timed occurrences; not supported yet */
-  int64_t start_ms;    /* of timed occurrences; not supported yet */
-  int64_t interval_ms; /* of timed occurrences; not supported yet */
+  int64_t start_ms;    /* time of the first occurrence; not supported yet */
+  int64_t interval_ms; /* between timed occurrences; not supported yet */
 };
 
+/** enum job_state - state of a job */
 enum job_state
 {
-  JOB_PENDING,
-  JOB_RUNNING,
-  JOB_COMPLETED,
-  JOB_FAILED,
-  JOB_CANCELLED,
+  JOB_PENDING,   /* no task has been started */
+  JOB_RUNNING,   /* a task has been started */
+  JOB_COMPLETED, /* all tasks have succeeded */
+  JOB_FAILED,    /* a task has used up its attempts */
+  JOB_CANCELLED, /* cancelled on request */
   JOB_STATE_N
 };
 
-/** struct job_run - the id of one run of a task */
+/** struct job_run - a failed run of a task, by its id */
 struct job_run
 {
   int64_t id;
 };
 
 /**
- * struct job_mark - recorded progress of one task
+ * struct job_task_progress - recorded progress of one task
  *
  * The failed runs of a gang are recorded with its first task.
  */
-struct job_mark
+struct job_task_progress
 {
-  int64_t index; /* of the task in its step */
-  bool done;
+  int64_t index;          /* index of the task in its step */
+  bool done;              /* a run of the task has succeeded */
   struct job_run *failed; /* failed runs, in no particular order */
   size_t n_failed;
 };
 
-/** struct job_step_marks - recorded progress of one step */
-struct job_step_marks
+/** struct job_step_progress - recorded progress of one step */
+struct job_step_progress
 {
   int64_t step; /* index of the step */
-  struct job_mark *marks;
+  /* Tasks that are done or have failed runs. */
+  struct job_task_progress *marks;
   size_t n_marks;
 };
 
 /** struct job_progress - recorded progress of a job */
 struct job_progress
 {
-  int state;                    /* enum job_state */
-  struct job_step_marks *steps; /* steps that have progress; none once final */
+  int state; /* enum job_state */
+  /* Steps that have progress; none if the state is final. */
+  struct job_step_progress *steps;
   size_t n_steps;
 };
 
@@ -139,26 +149,30 @@
 extern const struct desc job_progress_desc;
 extern const char *const job_state_names[JOB_STATE_N + 1];
 
-/** job_state_final() - Whether a job in this state has ended. */
+/** job_state_final() - Return whether a job in this state has ended. */
 static inline bool
 job_state_final (int state)
 {
   return state >= JOB_COMPLETED;
 }
 
-/** job_id_ok() - Whether @id is 16 hexadecimal digits. */
+/** job_id_ok() - Return whether @id consists of 16 hexadecimal digits. */
 bool job_id_ok (const char *id);
 
 /**
  * job_check() - Check that the scheduler supports a specification.
- * @ce: set to the offending field on failure
+ * @ce: set to the error and the offending field on failure
  *
  * Return: 0, %CLB_ERANGE, %CLB_EREF, %CLB_ETOOBIG or %CLB_EFIELD.
  */
 int job_check (const struct job_spec *spec, struct codec_err *ce);
 
-/** job_critical_path_ms() - Sum of estimates along the critical path: the
-    longest chain of steps that depend on each other. */
+/**
+ * job_critical_path_ms() - Compute the length of the critical path.
+ *
+ * Return: the largest sum of estimates over a chain of steps each of which
+ * depends on the one before.
+ */
 int64_t job_critical_path_ms (const struct job_spec *spec);
 
 #endif
--- a/core/metric.h
+++ b/core/metric.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Counters and gauges as Prometheus text.
+ * DOC: Counters and gauges, printed as Prometheus text.
  */
 #ifndef METRIC_H
 #define METRIC_H
--- a/core/order.c
+++ b/core/order.c
@@ -19,7 +19,7 @@
 {
   if (!o)
     return;
-  free (o->text);
+  free (o->payload);
   free (o->execs);
   free (o);
 }
--- a/core/order.h
+++ b/core/order.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Orders to the fleet's executors and their results.
+ * DOC: Orders to the fleet's executors, and the results of orders.
  *
  * An executor checks the fencing token of each order, runs a task only while a
  * lease covers it, and reports each ended run until the leader acknowledges
@@ -20,65 +20,73 @@
 struct task_ref
 {
   char job[JOB_ID_SIZE];
-  int64_t occurrence; /* of a repeated job, from 0 on */
-  int64_t step;
-  int64_t index; /* of the task in its step */
+  int64_t occurrence; /* of a repeated job, numbered from 0 on */
+  int64_t step;       /* index of the step in the job */
+  int64_t index;      /* index of the task in its step */
 };
 
+/** enum order_kind - what an order requests */
 enum order_kind
 {
-  ORDER_START,
-  ORDER_STOP,
+  ORDER_START,  /* start a run of a task */
+  ORDER_STOP,   /* stop a run */
   ORDER_POLL,   /* renew the lease; list running and ended tasks */
-  ORDER_ADVISE, /* query which executors may run a step */
+  ORDER_ADVISE, /* advice query: which executors may run a step */
   ORDER_KIND_N
 };
 extern const char *const order_kind_names[ORDER_KIND_N + 1];
 
-/** struct order - an order or query; it has exactly one struct order_result */
+/**
+ * struct order - an order or advice query; each has one struct order_result
+ */
 struct order
 {
   int kind;              /* enum order_kind */
   uint64_t id;           /* matches the result to the order */
-  char exec[CLB_ID_MAX]; /* empty for an advice query */
+  char exec[CLB_ID_MAX]; /* id of the executor; empty for an advice query */
   /* Address of the executor.  For an advice query: address of the instance
-     that is to put the query; empty for this instance. */
+     that sends the query to the advice service; empty: this instance. */
   char addr[CLB_ADDR_MAX];
   int64_t fencing_token; /* epoch of the leader */
   int64_t timeout_ms;
-  /* Task of a start or stop.  For an advice query: its step; the index has no
+  /* Task of a start or stop.  For an advice query: the step; the index has no
      meaning. */
   struct task_ref task;
   int64_t run_id; /* of a start or stop */
-  char *text;     /* of a start: the job's text, owned */
-  /* Of a start: name of the checkpoint to resume from, or empty. */
+  char *payload;  /* of a start: job_spec::payload, owned */
+  /* Of a start: name of the checkpoint to resume from; empty: none. */
   char checkpoint[JOB_CHECKPOINT_SIZE];
   char ticket[ORDER_TICKET_SIZE]; /* of a start; empty: none needed */
-  /* Of a start or poll: end of the lease, on the executor's clock.  0 in a
-     poll: the lease is not renewed. */
+  /* Of a start or poll: end of the lease, on the executor's clock.  In a poll,
+     0 means that the lease is not renewed. */
   int64_t lease_deadline_ms;
-  /* Of a poll: ends up to this number are recorded. */
+  /* Of a poll: the leader has recorded the ends up to this end_row::seq. */
   int64_t recorded_end_seq;
-  /* Of a poll: how long the executor may delay its answer until a run ends. */
+  /* Of a poll: how long the executor may wait for a run to end before it
+     answers. */
   int64_t wait_ms;
   /* Of an advice query: address of the instance that the answer is sent to;
      empty: this instance. */
   char reply_to[CLB_ADDR_MAX];
-  char (*execs)[CLB_ID_MAX]; /* of an advice query: executors, owned */
+  char (*execs)[CLB_ID_MAX]; /* of an advice query: ids of executors, owned */
   size_t n_execs;
 };
 
+/** enum order_outcome - outcome of an order */
 enum order_outcome
 {
-  ORDER_DONE,
+  ORDER_DONE,       /* carried out */
   ORDER_REFUSED,    /* refused, see order_result::reason */
-  ORDER_BUSY,       /* refused as busy, to be tried later; nothing was done */
+  ORDER_BUSY,       /* refused, as the executor is busy; nothing was done */
   ORDER_WRONG_BOOT, /* another boot answered; nothing was done */
-  ORDER_UNREACHED,  /* no connection; nothing was sent */
-  ORDER_LOST,       /* sent, but no answer: may be carried out, even later */
+  ORDER_UNREACHED,  /* there was no connection; nothing was sent */
+  /* The order was sent, but no answer arrived.  The executor may carry it out,
+     even later. */
+  ORDER_LOST,
   ORDER_OUTCOME_N
 };
 
+/** enum order_refusal - why an executor refused an order */
 enum order_refusal
 {
   REFUSED_OTHER,     /* no reason given, or an unknown one */
@@ -95,23 +103,25 @@
 {
   struct task_ref task;
   int64_t run_id;
-  int64_t percent;                      /* progress */
-  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest checkpoint, or
-                                           empty */
+  int64_t percent; /* progress of the run */
+  /* Name of the latest checkpoint; empty: none. */
+  char checkpoint[JOB_CHECKPOINT_SIZE];
 };
 
 /** enum run_end - how a run has ended */
 enum run_end
 {
-  RUN_END_DONE,            /* succeeded */
+  RUN_END_DONE,            /* the run succeeded */
   RUN_END_FAILED,          /* the task itself failed */
-  RUN_END_STOPPED,         /* stopped by an order */
+  RUN_END_STOPPED,         /* an order stopped the run */
   RUN_END_LAPSED,          /* the lease expired */
   RUN_END_GANG_BROKEN,     /* another member of the gang ended */
   RUN_END_GANG_INCOMPLETE, /* the other members of the gang did not start */
-  /* The executor rebooted.  The scheduler concludes this end itself. */
+  /* The executor rebooted.  No executor reports this end; the scheduler
+     concludes it. */
   RUN_END_REBOOTED,
-  /* The run did not start.  The scheduler concludes this end itself. */
+  /* The run did not start.  No executor reports this end; the scheduler
+     concludes it. */
   RUN_END_NOT_STARTED,
   RUN_END_N
 };
@@ -119,18 +129,18 @@
 /** struct end_row - an ended run that an executor reports */
 struct end_row
 {
-  int64_t seq; /* numbers the ends of one boot of the executor, rising */
+  int64_t seq; /* rising number of the end, within one boot of the executor */
   struct task_ref task;
   int64_t run_id;
-  int how;                              /* enum run_end */
-  char checkpoint[JOB_CHECKPOINT_SIZE]; /* name of the latest checkpoint, or
-                                           empty */
+  int run_end; /* enum run_end */
+  /* Name of the latest checkpoint; empty: none. */
+  char checkpoint[JOB_CHECKPOINT_SIZE];
 };
 
 /** struct permitted_exec - an executor that advice permits to run a step */
 struct permitted_exec
 {
-  char exec[CLB_ID_MAX];
+  char exec[CLB_ID_MAX]; /* id of the executor */
   char ticket[ORDER_TICKET_SIZE];
 };
 
@@ -138,14 +148,15 @@
 struct order_result
 {
   int outcome;           /* enum order_outcome */
-  int reason;            /* enum order_refusal */
-  int64_t clock_ms;      /* of the executor; 0: not reported */
+  int reason;            /* enum order_refusal; of a refused order */
+  int64_t clock_ms;      /* the executor's clock; 0: not reported */
   int64_t boot_start_ms; /* start of the executor's boot; 0: not reported */
   struct run_row *runs;  /* of a poll: running tasks */
   size_t n_runs;
   struct end_row *ends; /* of a poll: ended runs, by rising seq */
   size_t n_ends;
-  struct permitted_exec *permitted; /* of an advice query */
+  /* Of an advice query: permitted executors. */
+  struct permitted_exec *permitted;
   size_t n_permitted;
   int64_t valid_ms; /* how long the tickets are valid; 0: not reported */
 };
@@ -158,10 +169,10 @@
   char service[CLB_NAME_MAX];
   char zone[CLB_NAME_MAX];
   char labels[2 * JOB_LABEL_SIZE]; /* separated and enclosed by commas */
-  char rack[JOB_LABEL_SIZE];
-  struct job_need capacity; /* what the executor offers in all */
-  bool draining;            /* the executor takes no new tasks */
-  /* While draining: the executor stays at least this long. */
+  char rack[JOB_LABEL_SIZE];       /* empty: not reported */
+  struct job_need capacity;        /* total, used or not */
+  bool draining;                   /* the executor takes no new tasks */
+  /* Of a draining executor: it remains at least this long. */
   int64_t remaining_ms;
   int64_t boot_start_ms; /* start of the executor's boot */
 };
@@ -173,7 +184,7 @@
 
 /** order_free() - Free an order and what it owns; @o may be NULL. */
 void order_free (struct order *o);
-/** order_result_clear() - Free what the result owns and zero it. */
+/** order_result_clear() - Free what @r owns, then zero @r. */
 void order_result_clear (struct order_result *r);
 
 #endif
--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -89,7 +89,7 @@
     {
       e->n_ends++;
       *end = (struct end_row){
-        .seq = ++e->last_end, .task = r->task, .run_id = r->run, .how = how
+        .seq = ++e->last_end, .task = r->task, .run_id = r->run, .run_end = how
       };
     }
   e->runs[i] = e->runs[--e->n_runs];
@@ -270,12 +270,12 @@
           e->ends[kept++] = *end;
           continue;
         }
-      if (m && end->how == RUN_END_DONE)
+      if (m && end->run_end == RUN_END_DONE)
         {
           m->done = true;
           m->noted = true;
         }
-      if (m && end->how == RUN_END_FAILED)
+      if (m && end->run_end == RUN_END_FAILED)
         m->failed++;
     }
   e->n_ends = kept;
@@ -317,7 +317,7 @@
       fsim_pump (s, d->inst);
     }
   order_result_clear (&d->res);
-  free (d->order.text);
+  free (d->order.payload);
   free (d->order.execs);
   free (d);
 }
@@ -404,7 +404,7 @@
   d->inst = i;
   d->life = s->inst[i]->life;
   d->order = *o;
-  d->order.text = o->text ? strdup (o->text) : NULL;
+  d->order.payload = o->payload ? strdup (o->payload) : NULL;
   d->order.execs = NULL;
   clb_copy (d->exec, o->exec, sizeof d->exec);
   d->until_ms = s->now_ms + o->wait_ms;
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -120,7 +120,7 @@
       lua_pop (l, 1);
     }
   j->marks = calloc ((size_t)j->n_marks + 1, sizeof *j->marks);
-  j->spec.text = strdup ("work");
+  j->spec.payload = strdup ("work");
   if (RB_INSERT (fjob_tree, &sim->jobs, j))
     return luaL_error (l, "job %s stands already", j->id);
   return 0;
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -327,7 +327,7 @@
       json_array_append_new (finished,
                              json_pack ("[I,s,I,s,s]", (json_int_t)e->seq,
                                         name, (json_int_t)e->run_id,
-                                        hows[e->how], e->checkpoint));
+                                        hows[e->run_end], e->checkpoint));
     }
   return json_pack ("{s:I, s:I, s:o, s:o, s:s}", "clock_ms",
                     (json_int_t)res->clock_ms, "born",
