--- a/core/fsched.c
+++ b/core/fsched.c
@@ -10,7 +10,10 @@
 
 enum
 {
-  TERM_RUNS_MAX = 1000, /* run ids of one task that a leader's term may use */
+  /* Number of run ids of one task in each term.  Run ids of inherited jobs
+     start at the epoch times this number, so that each term uses higher
+     ones. */
+  TERM_RUNS_MAX = 1000,
 };
 
 int
@@ -272,7 +275,8 @@
   return o;
 }
 
-/* Marks the steps as ready whose predecessors are done. */
+/* Marks each step of a job as ready if all steps that it depends on are
+   done. */
 static void
 mark_ready_steps (struct fsched *fs, struct job *j)
 {
@@ -293,12 +297,13 @@
 }
 
 /*
- * Takes one job from the credit of a client account.  Returns whether the job
- * exceeds the account's share; see docs/OPERATIONS.md.  The credit grows by
- * the account's weight each second, up to four seconds' worth.
+ * Subtracts one job from the share credit of a client account.  Returns
+ * whether the job exceeds the account's share, see docs/OPERATIONS.md.  The
+ * credit grows by the account's weight each second, up to four times the
+ * weight.
  */
 static bool
-exceeds_share (struct fsched *fs, const char *tenant)
+charge_share (struct fsched *fs, const char *tenant)
 {
   const struct fconf_tenant *conf
       = fs->conf ? fconf_tenant (fs->conf, tenant) : NULL;
@@ -318,8 +323,8 @@
   return true;
 }
 
-/* Keeps the final state of a job.  @trim: the job's specification must still
-   be removed from the table. */
+/* Stores the final state of a job.  @trim: whether the job's specification
+   must still be removed from the table of jobs. */
 static void
 add_ended_job (struct fsched *fs, const char *id, int state, bool trim)
 {
@@ -334,7 +339,7 @@
 
 /* Stops all runs of a job. */
 static void
-stop_runs (struct fsched *fs, struct job *j)
+stop_job_runs (struct fsched *fs, struct job *j)
 {
   for (size_t i = 0; i < j->spec.n_steps; i++)
     for (int t = 0; t < j->steps[i].n_tasks; t++)
@@ -342,7 +347,8 @@
         start_stop (fs, j->steps[i].tasks[t].run);
 }
 
-/* Ends a job with a final state, and stops its runs unless it is completed. */
+/* Ends a job with a final state, and stops its runs unless it is completed.
+   @why: reason for the log line. */
 static void
 end_job (struct fsched *fs, struct job *j, int state, const char *why)
 {
@@ -359,7 +365,7 @@
             (long long)(fs->now_ms - j->arrival_ms),
             (long long)(fs->now_ms - j->due_ms), why);
   if (state != JOB_COMPLETED)
-    stop_runs (fs, j);
+    stop_job_runs (fs, j);
 }
 
 bool
@@ -381,10 +387,11 @@
     end_job (fs, j, JOB_CANCELLED, "cancelled");
 }
 
-/* Marks a task as done.  After a step's last task, the steps that depend on it
-   become ready; after the last step, the job is completed. */
+/* Marks a task as done.  If it is the last task of its step, the steps that
+   depend on that step become ready; if no other step is left, the job is
+   completed. */
 static void
-mark_done (struct fsched *fs, struct job *j, int step, int index)
+mark_task_done (struct fsched *fs, struct job *j, int step, int index)
 {
   struct jstep *s = &j->steps[step];
   struct jtask *t = &s->tasks[index];
@@ -404,17 +411,18 @@
     end_job (fs, j, JOB_COMPLETED, "all-tasks-done");
 }
 
-/* Marks all members of a gang as done when one is.  The members end together,
-   so the reports of the other ends are about to arrive. */
+/* Marks all members of a gang as done once one of them is done.  The members
+   end together, so the reports of the other ends are about to arrive. */
 static void
 mark_gang_done (struct fsched *fs, struct job *j, int step)
 {
   for (int t = 0; t < j->steps[step].n_tasks; t++)
-    mark_done (fs, j, step, t);
+    mark_task_done (fs, j, step, t);
 }
 
-/* Adds a failed run to a task, unless it is known: an executor and the
-   recorded progress may both report it.  Returns whether it was added. */
+/* Adds a failed run to a task, unless the task has it already: an executor and
+   the recorded progress may report the same run.  Returns whether the run was
+   added. */
 static bool
 add_failed_run (struct jtask *t, int64_t run_id)
 {
@@ -431,7 +439,8 @@
   return true;
 }
 
-/* Counts a failed run; the job fails once a task has used up its attempts. */
+/* Counts a failed run of a task.  Fails the job once the task has used up its
+   attempts. */
 static void
 count_failure (struct fsched *fs, struct job *j, int step, int index,
                int64_t run_id)
@@ -448,16 +457,16 @@
 
 void
 fsched_task_ended (struct fsched *fs, struct job *j, int step, int index,
-                   int64_t run_id, int how)
+                   int64_t run_id, int run_end)
 {
   bool gang = j->spec.steps[step].gang;
 
   fs->pass_due = true;
-  if (how == RUN_END_DONE && gang)
+  if (run_end == RUN_END_DONE && gang)
     mark_gang_done (fs, j, step);
-  else if (how == RUN_END_DONE)
-    mark_done (fs, j, step, index);
-  else if (how == RUN_END_FAILED && !job_state_final (j->state))
+  else if (run_end == RUN_END_DONE)
+    mark_task_done (fs, j, step, index);
+  else if (run_end == RUN_END_FAILED && !job_state_final (j->state))
     count_failure (fs, j, step, index, run_id);
 }
 
@@ -474,12 +483,12 @@
   t->checkpoint = strdup (checkpoint);
 }
 
-/* Recorded progress. */
+/* Loading of recorded progress. */
 
 /* Applies the recorded progress of a step. */
 static void
-apply_marks (struct fsched *fs, struct job *j,
-             const struct job_step_progress *m)
+apply_step_progress (struct fsched *fs, struct job *j,
+                     const struct job_step_progress *m)
 {
   if (m->step < 0 || m->step >= (int64_t)j->spec.n_steps)
     return;
@@ -493,11 +502,12 @@
       for (size_t r = 0; r < k->n_failed; r++)
         add_failed_run (t, k->failed[r].id);
       if (k->done)
-        mark_done (fs, j, (int)m->step, (int)k->index);
+        mark_task_done (fs, j, (int)m->step, (int)k->index);
     }
 }
 
-/* Applies the progress that was loaded before the job, if any. */
+/* Applies the recorded progress that was loaded before the job was added, if
+   any. */
 static void
 apply_early_progress (struct fsched *fs, struct job *j)
 {
@@ -510,7 +520,7 @@
     return;
   RB_REMOVE (early_tree, &fs->early_progress, e);
   for (size_t i = 0; i < e->progress.n_steps; i++)
-    apply_marks (fs, j, &e->progress.steps[i]);
+    apply_step_progress (fs, j, &e->progress.steps[i]);
   early_free (e);
 }
 
@@ -534,7 +544,7 @@
   j->critical_path_ms = job_critical_path_ms (&j->spec);
   j->due_ms = j->arrival_ms + j->spec.target_ms
               + (int64_t)(j->spec.slack * (double)j->critical_path_ms);
-  j->over_share = !inherited && exceeds_share (fs, j->spec.tenant);
+  j->over_share = !inherited && charge_share (fs, j->spec.tenant);
   j->steps = fsched_zalloc (j->spec.n_steps, sizeof *j->steps);
   j->n_steps_left = (int)j->spec.n_steps;
   for (size_t i = 0; i < j->spec.n_steps; i++)
@@ -659,7 +669,8 @@
   free (p);
 }
 
-/* Ends advice queries whose answers were lost between the instances. */
+/* Ends advice queries that are past their deadline: their answers were lost
+   between the instances. */
 static void
 end_lost_queries (struct fsched *fs)
 {
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -264,8 +264,8 @@
   int64_t boot_start_ms;   /* start of the executor's boot; 0: unknown */
   int64_t clock_ms;        /* the executor's clock in its last answer */
   int64_t last_contact_ms; /* local time of the last answer */
-  /* Latest end of the leases given to the executor, on the executor's clock.
-   */
+  /* Latest end of the leases given to the executor, on the executor's
+     clock. */
   int64_t lease_deadline_ms;
   /* Ends of runs up to this sequence number have been processed. */
   int64_t seen_end_seq;
@@ -343,8 +343,8 @@
 {
   char name[CLB_NAME_MAX];
   struct job_need used; /* capacity taken by its starts, sent or not */
-  /* Number of jobs that may arrive now without exceeding the account's share.
-   */
+  /* Number of jobs that may arrive now without exceeding the account's
+     share. */
   double share_credit;
   int64_t credited_ms; /* when the credit was last brought up to date */
   TAILQ_ENTRY (fsched_tenant) link;
--- a/core/fsched_advice.c
+++ b/core/fsched_advice.c
@@ -1,12 +1,13 @@
 /*
- * Advice: which executors may run a step.  The platform's advice service
- * decides that.  Its decision on a step and an executor does not change, but
- * the ticket that it issues expires.
+ * Advice queries.  The platform's advice service decides which executors may
+ * run a step.  Its decision on a step and an executor does not change, but the
+ * ticket that it issues expires.
  *
  * The service handles one query at a time for each instance, so the leader
- * spreads its queries over all instances.  Long queries are confined to one
- * half of the instances, so that short queries wait only for short ones.  This
- * serves 55 jobs/s of three queues with 5.6, 50 and 310 ms a query.
+ * spreads its queries over all instances.  Long queries are sent only through
+ * one half of the instances, so that short queries in the other half wait only
+ * for short ones.  This serves 55 jobs/s in all from three queues whose
+ * queries take 5.6, 50 and 310 ms.
  */
 #include "fsched_impl.h"
 
@@ -15,35 +16,40 @@
 
 enum
 {
-  /* Queries expected to take longer are long: only the first half of the
-     instances gets them. */
+  /* Queries that are expected to take longer than this are long queries: only
+     the first half of the instances gets them. */
   LONG_QUERY_MS = 100,
-  /* Longest wait of a short query behind other queries of its instance. */
+  /* Longest time that a short query may wait for other queries of its
+     instance. */
   QUEUED_MAX_MS = 40,
-  /* An instance without contact for this long is unreachable: two of its
-     hellos were lost. */
+  /* An instance without contact for this long counts as unreachable: two of
+     its hello messages were lost. */
   ADVISER_UNREACHABLE_MS = 1000,
-  /* An instance whose queries are overdue by this long gets no others. */
+  /* An instance whose queries are overdue by this long gets no further
+     ones. */
   ADVISER_LATE_MS = 80,
-  /* An instance gets no queries for this long after one that failed. */
+  /* An instance gets no queries for this long after a query of it failed. */
   ADVISER_AVOID_MS = 1000,
-  /* Timeout of a query beyond its expected time, for links and for instances
-     that are slow. */
+  /* Timeout of a query in addition to its expected time, because links and
+     instances may be slow. */
   QUERY_SLACK_MS = 400,
-  /* Pause before a step's next query after one that failed. */
+  /* Pause before a step's next query after a query that failed. */
   QUERY_RETRY_MS = 30,
-  /* Pause before a step's next query after two answers without a start, as
-     more urgent work took the capacity.  It doubles with each further one. */
+  /* Pause before a step's next query after two answers without a start,
+     because more urgent work took the capacity.  The pause doubles with each
+     further answer without a start. */
   QUERY_AGAIN_MS = 50,
   /* Longest pause before a step's next query. */
   QUERY_AGAIN_MAX_MS = 800,
-  /* A query names executors with capacity for this many times the tasks. */
+  /* A query names executors that are expected to have capacity for this many
+     times the waiting tasks. */
   SPARE_FACTOR = 2,
-  /* A query names enough executors that this many are expected to be
-     permitted. */
+  /* A query names so many executors that at least this many of them are
+     expected to be permitted. */
   SPARE_MIN = 4,
-  /* Executors are sorted by the number of tasks that fit.  From one less than
-     this number on, they are treated as equal. */
+  /* Number of classes that executors are sorted into, by the number of tasks
+     that fit.  The last class contains all executors that fit FIT_CLASSES - 1
+     or more. */
   FIT_CLASSES = 32,
 };
 
@@ -148,11 +154,11 @@
  * those that may get a query of this expected duration; -1 if none may.
  */
 static int
-pick_adviser (const struct fsched *fs, double cost_ms)
+pick_adviser (const struct fsched *fs, double duration_ms)
 {
   int best = -1;
   int half = (fs->n_advisers + 1) / 2;
-  bool is_long = cost_ms > LONG_QUERY_MS;
+  bool is_long = duration_ms > LONG_QUERY_MS;
 
   for (int i = 0; i < fs->n_advisers; i++)
     {
@@ -167,8 +173,8 @@
         continue;
       if (a->n_queries && a->busy_until_ms - fs->now_ms > QUEUED_MAX_MS)
         continue;
-      /* Of instances that are free at the same time, short queries take the
-         last one, which keeps the first half free for long ones. */
+      /* Of instances that are free at the same time, a short query takes the
+         last, which keeps the first half free for long queries. */
       if (best < 0
           || (is_long ? a->busy_until_ms < fs->advisers[best].busy_until_ms
                       : a->busy_until_ms <= fs->advisers[best].busy_until_ms))
@@ -181,17 +187,17 @@
 struct candidate
 {
   struct exec *e;
-  int fits; /* tasks of the step that the executor has capacity for */
+  int fits; /* number of the step's tasks that the executor can take */
 };
 
-/* Sort class of a candidate. */
+/* Returns the class of a candidate, see FIT_CLASSES. */
 static int
 fit_class (const struct candidate *cand)
 {
   return cand->fits < FIT_CLASSES ? cand->fits : FIT_CLASSES - 1;
 }
 
-/* Sorts candidates by capacity, most first; the sort is stable. */
+/* Sorts candidates by class, most capacity first; the sort is stable. */
 static void
 sort_by_capacity (struct candidate *to, const struct candidate *from, size_t n)
 {
@@ -209,20 +215,20 @@
     to[begin[fit_class (&from[i])]++] = from[i];
 }
 
-/** struct query_execs - the executors that a query names */
-struct query_execs
+/** struct named_execs - the executors that a query names */
+struct named_execs
 {
   struct candidate list[ORDER_ADVICE_EXECS_MAX];
-  size_t n;
-  int permitted_fits; /* tasks that permitted executors have capacity for */
-  int n_unknown;      /* usable executors that no query has named */
+  size_t n;           /* number of entries of list */
+  int permitted_fits; /* number of tasks that permitted executors can take */
+  int n_unknown;      /* number of usable executors with PERMIT_UNKNOWN */
 };
 
-/* Adds permitted executors that have capacity but whose tickets have expired.
-   Also computes the counts in @out. */
+/* Adds to @out the permitted executors that have capacity but whose tickets
+   have expired.  Also computes out->permitted_fits and out->n_unknown. */
 static void
 add_expired (struct fsched *fs, struct job *j, int step,
-             struct query_execs *out)
+             struct named_execs *out)
 {
   struct jstep *s = &j->steps[step];
 
@@ -248,12 +254,13 @@
 }
 
 /*
- * Adds executors that no query has named, those with the most capacity first,
- * until the permitted ones among them are expected to take @n_tasks tasks.
+ * Adds to @out executors whose permit is unknown, those with the most capacity
+ * first, until the permitted ones among them are expected to take @n_tasks
+ * tasks.
  */
 static void
 add_unknown (struct fsched *fs, struct job *j, int step,
-             struct query_execs *out, int n_tasks)
+             struct named_execs *out, int n_tasks)
 {
   struct jstep *s = &j->steps[step];
   struct candidate *all
@@ -268,7 +275,8 @@
       struct exec *e = fs->eligible[i];
       if (exec_usable (e, j, step)
           && permit_get (s, e)->state == PERMIT_UNKNOWN)
-        all[n++] = (struct candidate){ e, exec_fit_count (e, j, step, s->n_tasks) };
+        all[n++]
+            = (struct candidate){ e, exec_fit_count (e, j, step, s->n_tasks) };
     }
   sort_by_capacity (sorted, all, n);
   for (size_t i = 0; i < n && out->n < ORDER_ADVICE_EXECS_MAX
@@ -281,10 +289,11 @@
   free (all);
 }
 
-/* Sends a query through an instance. */
+/* Sends a query through an instance.  @adviser: index of the instance in
+   fsched::advisers.  @duration_ms: expected duration of the query. */
 static void
 send_query (struct fsched *fs, struct job *j, int step,
-            const struct query_execs *execs, int adviser, double cost_ms)
+            const struct named_execs *execs, int adviser, double duration_ms)
 {
   struct adviser *a = &fs->advisers[adviser];
   struct jstep *s = &j->steps[step];
@@ -306,10 +315,10 @@
         p->state = PERMIT_QUERIED;
     }
   o->n_execs = execs->n;
-  a->busy_until_ms = begin_ms + (int64_t)cost_ms;
+  a->busy_until_ms = begin_ms + (int64_t)duration_ms;
   a->n_queries++;
   o->timeout_ms = a->busy_until_ms - fs->now_ms + QUERY_SLACK_MS;
-  /* Address of the instance that puts the query; empty: this instance. */
+  /* The address is empty if this instance sends the query. */
   clb_copy (o->addr, a->addr, sizeof o->addr);
   clb_copy (pend->job, j->spec.id, sizeof pend->job);
   pend->step = step;
@@ -321,10 +330,11 @@
   fs->queries_left--;
 }
 
-/* Reserves capacity on @e for at most @max tasks of the step, against less
-   urgent work in the same pass.  Returns the number of tasks. */
+/* Reserves capacity on @e for at most @max tasks of the step, so that less
+   urgent work does not get it in this pass.  Returns the number of tasks that
+   capacity was reserved for. */
 static int
-reserve (struct exec *e, const struct job *j, int step, int max)
+reserve_capacity (struct exec *e, const struct job *j, int step, int max)
 {
   const struct job_step *s = &j->spec.steps[step];
   int n = exec_fit_count (e, j, step, max);
@@ -336,19 +346,20 @@
   return n;
 }
 
-/* Reserves capacity for @waiting tasks on the executors that a query names. */
+/* Reserves capacity for @n_waiting tasks on the executors that a query
+   names. */
 static void
-reserve_named (const struct job *j, int step, const struct query_execs *execs,
-               int waiting)
+reserve_named (const struct job *j, int step, const struct named_execs *execs,
+               int n_waiting)
 {
-  for (size_t i = 0; i < execs->n && waiting > 0; i++)
-    waiting -= reserve (execs->list[i].e, j, step, waiting);
+  for (size_t i = 0; i < execs->n && n_waiting > 0; i++)
+    n_waiting -= reserve_capacity (execs->list[i].e, j, step, n_waiting);
 }
 
-/* Reserves capacity for @waiting tasks of a step whose query is outstanding,
-   on the executors that it names and on permitted ones. */
+/* Reserves capacity for @n_waiting tasks of a step whose query is outstanding,
+   on the executors that the query names and on permitted ones. */
 static void
-reserve_queried (struct fsched *fs, struct job *j, int step, int waiting)
+reserve_queried (struct fsched *fs, struct job *j, int step, int n_waiting)
 {
   struct jstep *s = &j->steps[step];
 
@@ -356,13 +367,13 @@
     {
       struct exec *e = fs->eligible[i];
       const struct permit *p;
-      if (waiting <= 0)
+      if (n_waiting <= 0)
         return;
       if (e->index >= s->n_permits || !exec_usable (e, j, step))
         continue;
       p = &s->permits[e->index];
       if (p->state == PERMIT_QUERIED || p->state == PERMIT_ALLOWED)
-        waiting -= reserve (e, j, step, waiting);
+        n_waiting -= reserve_capacity (e, j, step, n_waiting);
     }
 }
 
@@ -371,36 +382,36 @@
 {
   struct jstep *s = &j->steps[step];
   const struct job_advice *advice = &j->spec.advice;
-  struct query_execs execs = { .n = 0 };
-  int waiting = s->n_tasks - s->n_done - s->n_running;
+  struct named_execs execs = { .n = 0 };
+  int n_waiting = s->n_tasks - s->n_done - s->n_running;
   bool gang = j->spec.steps[step].gang;
   int adviser;
-  double cost_ms;
+  double duration_ms;
 
   if (s->query_id)
     {
-      reserve_queried (fs, j, step, waiting);
+      reserve_queried (fs, j, step, n_waiting);
       return;
     }
-  if (fs->now_ms < s->next_query_ms || waiting <= 0 || fs->queries_left <= 0
+  if (fs->now_ms < s->next_query_ms || n_waiting <= 0 || fs->queries_left <= 0
       || !(advice->base_ms > LONG_QUERY_MS ? fs->long_adviser_free
                                            : fs->short_adviser_free))
     return;
   add_expired (fs, j, step, &execs);
-  if (execs.permitted_fits < waiting && execs.n_unknown > 0)
+  if (execs.permitted_fits < n_waiting && execs.n_unknown > 0)
     add_unknown (fs, j, step, &execs,
-                 SPARE_FACTOR * (waiting - execs.permitted_fits));
-  /* A gang starts only when all members fit.  Tickets that it got sooner would
-     expire unused. */
-  else if (gang && execs.permitted_fits < waiting)
+                 SPARE_FACTOR * (n_waiting - execs.permitted_fits));
+  /* A gang starts only when all members fit.  Tickets that the gang got sooner
+     would expire unused. */
+  else if (gang && execs.permitted_fits < n_waiting)
     return;
   if (execs.n == 0)
     return;
-  cost_ms = advice->base_ms + advice->per_exec_ms * (double)execs.n;
-  adviser = pick_adviser (fs, cost_ms);
-  reserve_named (j, step, &execs, waiting);
+  duration_ms = advice->base_ms + advice->per_exec_ms * (double)execs.n;
+  adviser = pick_adviser (fs, duration_ms);
+  reserve_named (j, step, &execs, n_waiting);
   if (adviser >= 0)
-    send_query (fs, j, step, &execs, adviser, cost_ms);
+    send_query (fs, j, step, &execs, adviser, duration_ms);
   advice_begin_pass (fs);
 }
 
@@ -411,7 +422,7 @@
   fs->long_adviser_free = pick_adviser (fs, LONG_QUERY_MS + 1) >= 0;
 }
 
-/* Stores the permits and tickets in an answer. */
+/* Stores the permits and tickets that an answer contains. */
 static void
 store_permits (struct fsched *fs, struct jstep *s,
                const struct order_result *res, int64_t valid_ms)
@@ -433,7 +444,8 @@
     }
 }
 
-/* Pause before a step's next query, after this many answers and no start. */
+/* Returns the pause before a step's next query, after @n_queries answers
+   without a start. */
 static int64_t
 query_pause (int n_queries)
 {
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -10,12 +10,14 @@
 
 enum
 {
-  /* Slowest rate of an executor's clock, in percent: it may lose 2%. */
+  /* Slowest rate of an executor's clock, in percent of the local clock's rate:
+     it may lose 2%. */
   CLOCK_RATE_LOW = 98,
-  /* A clock that reads this much less than expected belongs to a new boot.
-     It is far more than 2% of the longest silence. */
+  /* An executor's clock that is this far behind the expected reading belongs
+     to a new boot.  The value is far more than 2% of the longest time without
+     contact. */
   CLOCK_RESET_MS = 1500,
-  /* A stop is sent again if the run is still listed this long after the
+  /* A stop order is sent again if the run is still listed this long after the
      executor acknowledged the stop. */
   STOP_RESEND_MS = 2000,
 };
@@ -53,12 +55,13 @@
 }
 
 /*
- * Ends the runs of an executor's earlier boot and resets what was known of it.
- * A start that is not acknowledged may still reach the new boot, so it is
- * stopped instead.
+ * Ends the runs of an executor's earlier boot, and resets the sequence numbers
+ * and failures of that boot.  A start that is not acknowledged may still reach
+ * the new boot, so it is stopped instead of ended.  A start in START_SENT is
+ * left as it is: its result is still to come.
  */
 static void
-end_boot (struct fsched *fs, struct exec *e)
+end_boot_runs (struct fsched *fs, struct exec *e)
 {
   struct start *r, *next;
 
@@ -80,16 +83,16 @@
 fsched_exec_report (struct fsched *fs, const struct exec_report *rep)
 {
   struct exec *e = exec_find (fs, rep->id);
-  bool moved;
+  bool addr_changed;
 
   if (!e)
     {
       e = exec_add (fs, rep->id);
-      /* An executor that is not in the roster was not used by any earlier
-         leader. */
+      /* The executor is not in the loaded roster, so no earlier leader used
+         it. */
       e->reconciled = true;
     }
-  moved = strcmp (e->rep.addr, rep->addr) != 0;
+  addr_changed = strcmp (e->rep.addr, rep->addr) != 0;
   if (!e->listed || e->rep.draining != rep->draining)
     {
       out_line (fs->out, "event=exec-%s exec=%s zone=%s addr=%s",
@@ -101,7 +104,7 @@
   fsched_intern_exec (fs, e);
   e->listed = true;
   e->in_list = true;
-  if (moved)
+  if (addr_changed)
     e->next_poll_ms = fs->now_ms;
   if (!e->recorded)
     {
@@ -134,8 +137,8 @@
       fsched_exec_unlisted (fs, e->rep.id);
 }
 
-/* Whether discovery lists the executor, or dropped it so recently that the
-   platform may only have lost the entry in an outage. */
+/* Returns whether discovery lists the executor, or ceased to list it so
+   recently that the platform may only have lost the entry in an outage. */
 static bool
 recently_listed (const struct fsched *fs, const struct exec *e)
 {
@@ -175,8 +178,8 @@
   return e->clock_ms + fs->now_ms - e->last_contact_ms;
 }
 
-/* Whether all leases given to the executor have expired by its own clock, even
-   if that is slow. */
+/* Returns whether all leases given to the executor have expired by its own
+   clock, even if that is slow. */
 static bool
 leases_expired (const struct fsched *fs, const struct exec *e)
 {
@@ -199,22 +202,22 @@
   e->poll_sent_ms = fs->now_ms;
   o->recorded_end_seq = e->recorded_end_seq;
   /* A poll of an unreachable executor does not extend its lease.  Otherwise
-     each poll would move the assumed end, and the lease would never count as
-     expired. */
+     each poll would move the assumed end of the lease, and the lease would
+     never count as expired. */
   if (e->answered && !e->unreachable)
     {
       o->lease_deadline_ms = exec_clock_now (fs, e) + FSCHED_LEASE_MS;
       if (o->lease_deadline_ms > e->lease_deadline_ms)
         e->lease_deadline_ms = o->lease_deadline_ms;
     }
-  /* The answer may be delayed only if all ends that were seen are recorded:
-     the executor would report the others again at once. */
+  /* The executor may delay its answer only if all ends that it has reported
+     are recorded: it would report unrecorded ends again at once. */
   if (e->answered && !e->unreachable && e->recorded_end_seq == e->seen_end_seq)
     o->wait_ms = FSCHED_POLL_WAIT_MS;
   o->timeout_ms = o->wait_ms + FSCHED_POLL_SLACK_MS;
 }
 
-/* Ends all runs of an executor whose leases have expired. */
+/* Ends all runs of an executor after all its leases have expired. */
 static void
 end_expired_runs (struct fsched *fs, struct exec *e)
 {
@@ -253,9 +256,7 @@
     return;
   e->unreachable = true;
   e->unreachable_since_ms = fs->now_ms;
-  out_line (fs->out,
-            "event=exec-unreachable exec=%s outcome=order-unanswered "
-            "has_runs=1",
+  out_line (fs->out, "event=exec-unreachable exec=%s outcome=order-timeout",
             e->rep.id);
 }
 
@@ -275,7 +276,7 @@
             (long long)e->quarantine_ms);
 }
 
-/* The start on the executor with this task and run id, or NULL. */
+/* Returns the start on the executor with this task and run id, or NULL. */
 static struct start *
 find_run (const struct exec *e, const struct task_ref *t, int64_t run_id)
 {
@@ -290,7 +291,7 @@
 
 /* Processes an ended run that an executor reports. */
 static void
-process_end (struct fsched *fs, struct exec *e, const struct end_row *row)
+process_end_row (struct fsched *fs, struct exec *e, const struct end_row *row)
 {
   struct start *r = find_run (e, &row->task, row->run_id);
   struct job *j = fsched_task_job (fs, &row->task);
@@ -319,7 +320,7 @@
     }
 }
 
-/* Stops a run that no job wants. */
+/* Sends a stop order for an orphan, see exec::n_orphans. */
 static void
 stop_orphan (struct fsched *fs, struct exec *e, const struct run_row *row)
 {
@@ -338,7 +339,8 @@
 
 /*
  * Creates a start for a run that an earlier leader started.  Returns NULL if
- * no job wants the run.
+ * the run is an orphan: its job is unknown or has ended, or its task is done
+ * or has another run.
  */
 static struct start *
 adopt_run (struct fsched *fs, struct exec *e, const struct run_row *row)
@@ -363,7 +365,7 @@
 
 /* Processes a running task that an executor reports. */
 static void
-process_running (struct fsched *fs, struct exec *e, const struct run_row *row)
+process_run_row (struct fsched *fs, struct exec *e, const struct run_row *row)
 {
   struct start *r = find_run (e, &row->task, row->run_id);
 
@@ -388,12 +390,15 @@
   clb_copy (r->checkpoint, row->checkpoint, sizeof r->checkpoint);
 }
 
-/* Processes a start that is missing in its executor's list of running tasks.
-   A list says nothing about orders sent after it was requested. */
+/* Processes a start whose run is missing in the list of running tasks that the
+   executor returned for the last poll.  The list does not show the effect of
+   orders that were sent after the poll. */
 static void
-process_missing (struct fsched *fs, struct exec *e, struct start *r)
+process_missing_run (struct fsched *fs, struct exec *e, struct start *r)
 {
-  /* The list contains every run that earlier leaders' orders have started. */
+  /* The start is an earlier leader's.  Its run is not running and cannot start
+     any more: the poll made this leader's fencing token known to the executor,
+     which refuses orders with lower ones. */
   if (r->inherited)
     start_end (fs, r, RUN_END_NOT_STARTED);
   else if (r->state == START_STOPPING && r->stop_acked_ms
@@ -418,23 +423,24 @@
   TAILQ_FOREACH (r, &e->runs, exec_link)
     r->in_list = false;
   for (size_t i = 0; i < res->n_ends; i++)
-    process_end (fs, e, &res->ends[i]);
+    process_end_row (fs, e, &res->ends[i]);
   e->n_orphans = 0;
   for (size_t i = 0; i < res->n_runs; i++)
-    process_running (fs, e, &res->runs[i]);
+    process_run_row (fs, e, &res->runs[i]);
   if (e->n_orphans && fs->now_ms >= e->next_orphan_stop_ms)
     e->next_orphan_stop_ms = fs->now_ms + FSCHED_STOP_RETRY_MS;
   if (orphans_before && !e->n_orphans)
     fs->pass_due = true;
   TAILQ_FOREACH_SAFE (r, &e->runs, exec_link, next)
     if (!r->in_list)
-      process_missing (fs, e, r);
+      process_missing_run (fs, e, r);
     else if (r->stop_acked_ms
              && fs->now_ms - r->stop_acked_ms > STOP_RESEND_MS)
       r->stop_acked_ms = 0;
 }
 
-/* Whether the executor's clock has gone back: it restarts with each boot. */
+/* Returns whether the executor's clock has gone back.  The clock restarts with
+   each boot, so the executor has rebooted. */
 static bool
 clock_went_back (const struct fsched *fs, const struct exec *e,
                  int64_t clock_ms)
@@ -443,16 +449,16 @@
          && clock_ms + CLOCK_RESET_MS < exec_clock_now (fs, e);
 }
 
-/* Discards what was known of the executor's earlier boot.  @boot_start_ms: 0
-   if unknown */
+/* Ends the runs of the executor's earlier boot and resets its state for the
+   new boot.  @boot_start_ms: start of the new boot; 0: unknown. */
 static void
-new_boot (struct fsched *fs, struct exec *e, int64_t clock_ms,
-          int64_t boot_start_ms)
+process_new_boot (struct fsched *fs, struct exec *e, int64_t clock_ms,
+                  int64_t boot_start_ms)
 {
   out_line (fs->out,
             "event=exec-rebooted exec=%s clock_ms=%lld boot_start=%lld",
             e->rep.id, (long long)clock_ms, (long long)boot_start_ms);
-  end_boot (fs, e);
+  end_boot_runs (fs, e);
   e->boot_start_ms = boot_start_ms;
   e->clock_ms = clock_ms;
   e->last_contact_ms = fs->now_ms;
@@ -464,12 +470,13 @@
 {
   if (!clock_went_back (fs, e, clock_ms))
     return false;
-  new_boot (fs, e, clock_ms, 0);
+  process_new_boot (fs, e, clock_ms, 0);
   exec_mark_unreachable (fs, e);
   return true;
 }
 
-/* Notes that an executor has answered a poll. */
+/* Marks an executor as reachable after it has answered a poll, and detects a
+   new boot. */
 static void
 mark_reachable (struct fsched *fs, struct exec *e,
                 const struct order_result *res)
@@ -477,7 +484,7 @@
   if (clock_went_back (fs, e, res->clock_ms)
       || (e->answered && res->boot_start_ms && e->boot_start_ms
           && res->boot_start_ms != e->boot_start_ms))
-    new_boot (fs, e, res->clock_ms, res->boot_start_ms);
+    process_new_boot (fs, e, res->clock_ms, res->boot_start_ms);
   if (!e->answered || e->unreachable)
     {
       out_line (
@@ -495,14 +502,16 @@
   e->last_contact_ms = fs->now_ms;
 }
 
-/* Notes that a poll of an executor has failed. */
+/* Processes a failed poll: marks the executor as unreachable and schedules the
+   next poll. */
 static void
-poll_failed (struct fsched *fs, struct exec *e, const struct order_result *res)
+process_poll_failure (struct fsched *fs, struct exec *e,
+                      const struct order_result *res)
 {
   if (res->outcome == ORDER_REFUSED && res->reason == REFUSED_FENCE)
     fs->fenced = true;
   if (res->outcome == ORDER_WRONG_BOOT)
-    end_boot (fs, e);
+    end_boot_runs (fs, e);
   if (!e->unreachable)
     {
       e->unreachable_since_ms = fs->now_ms;
@@ -524,13 +533,13 @@
   e->poll_id = 0;
   if (res->outcome != ORDER_DONE)
     {
-      poll_failed (fs, e, res);
+      process_poll_failure (fs, e, res);
       return;
     }
   mark_reachable (fs, e, res);
   process_lists (fs, e, res);
   e->reconciled = true;
-  /* While ends are not recorded, the next poll is put off until they are, or
+  /* While ends are not recorded, the next poll is delayed until they are, or
      until the lease must be renewed. */
   e->next_poll_ms = fs->now_ms + FSCHED_POLL_GAP_MS;
   if (e->seen_end_seq > e->recorded_end_seq)
@@ -539,8 +548,8 @@
     e->next_poll_ms = fs->now_ms;
 }
 
-/* Stops gangs that run only in part: an earlier leader may have failed between
-   the starts of two members. */
+/* Stops gangs of which only some members run: an earlier leader may have
+   failed between the starts of two members. */
 static void
 stop_partial_gangs (struct fsched *fs)
 {
@@ -606,17 +615,19 @@
 bool
 exec_usable (const struct exec *e, const struct job *j, int step)
 {
-  int label = j->steps[step].label_id;
+  int label_id = j->steps[step].label_id;
 
   if (!e->eligible || e->service_id != j->service_id)
     return false;
-  if (!label)
+  if (!label_id)
     return true;
-  return label <= LABELS_MAX ? e->label_set >> label & 1
-                             : exec_has_label (e, j->spec.steps[step].label);
+  return label_id <= LABELS_MAX
+             ? e->label_set >> label_id & 1
+             : exec_has_label (e, j->spec.steps[step].label);
 }
 
-/* Number of needs that fit into what is left of the capacity. */
+/* Returns how many times @need fits into the unused part of a capacity;
+   INT32_MAX if @need is 0. */
 static int64_t
 fit_count (int64_t capacity, int64_t used, int64_t need)
 {
--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -1,14 +1,16 @@
 /*
- * Intents: a record of each start, written before the start is sent.  If some
- * executors do not answer a new leader, it knows from the intents which tasks
- * may be running on them, and schedules all others at once.  This keeps
- * hundreds of waiting jobs going when a leader fails together with executors,
- * or is cut off together with a failure domain of them.
+ * Intents.  An intent is the record of one start; it is written before the
+ * start is sent.  If some executors do not answer a new leader, the leader
+ * knows from the intents which tasks may be running on them, and schedules all
+ * other tasks at once.  Hundreds of waiting jobs can thus continue when a
+ * leader fails together with executors, or loses the connection together with
+ * a failure domain of them.
  *
  * Intents are stored in a ring of rows in the table service.  Each write with
- * new intents overwrites the next row; the intents of that row that are still
- * needed are written again with the new ones.  Rows are therefore never
- * deleted.  An intent is needed until the end of its start is recorded.
+ * new intents overwrites the next row of the ring; the intents of that row
+ * that are still needed are written again with the new ones.  Rows are
+ * therefore never deleted.  An intent is needed until the end of its start is
+ * recorded.
  */
 #include "fsched_impl.h"
 
@@ -18,15 +20,16 @@
 
 enum
 {
-  ROW_INTENTS_MAX = 400, /* intents of one row: some 20 kB */
+  /* Maximum number of intents in one row; a full row has some 20 kB. */
+  ROW_INTENTS_MAX = 400,
 };
 
 /** struct intent - the record of one start */
 struct intent
 {
   TAILQ_ENTRY (intent) link;
-  /* NULL: the start has ended, or an earlier leader's run is not assumed to be
-     running. */
+  /* NULL: the start has ended, or an earlier leader created it and its run is
+     not assumed to be running. */
   struct start *start;
   struct task_ref task;
   int64_t run_id;
@@ -98,18 +101,18 @@
   r->intent = NULL;
 }
 
-/* Whether the intent must stay in the table: its start has not ended, or the
-   end is not recorded. */
+/* Returns whether the intent must stay in the table service: its start has not
+   ended, or the end is not recorded. */
 static bool
 still_needed (const struct intents *p, const struct intent *e)
 {
   return e->start || e->end_seq > p->recorded_ends;
 }
 
-/* Moves the intents that are still needed from the row that is written next to
-   the waiting ones, and frees the others. */
+/* Empties the row that is written next: moves its intents that are still
+   needed to the waiting ones, and frees the others. */
 static void
-carry_over (struct intents *p)
+empty_next_row (struct intents *p)
 {
   struct intentq *row = &p->rows[p->next_row];
   struct intent *e;
@@ -138,7 +141,7 @@
   fs->intents_due = false;
   if (TAILQ_EMPTY (&p->waiting))
     return 0;
-  carry_over (p);
+  empty_next_row (p);
   f = open_memstream (&text, &len);
   if (!f)
     abort ();
@@ -159,8 +162,8 @@
   return 1;
 }
 
-/* Whether a start may still be sent: the job, the executor or the permit may
-   have changed since the task was placed. */
+/* Returns whether a start may still be sent: the job, the executor or the
+   permit may have changed since the task was placed. */
 static bool
 may_send (const struct fsched *fs, const struct start *r)
 {
@@ -170,9 +173,10 @@
              || permit_valid (fs, &r->job->steps[r->step], r->exec));
 }
 
-/* Notes that a start of the job is sent; measures the time to the first. */
+/* Marks a job as one of which this leader has sent a start.  If it is the
+   first start, measures the time since the job's arrival. */
 static void
-mark_sent (struct fsched *fs, struct job *j)
+mark_start_sent (struct fsched *fs, struct job *j)
 {
   if (j->start_sent)
     return;
@@ -202,7 +206,7 @@
         {
           r->state = START_SENT;
           r->sent_ms = fs->now_ms;
-          mark_sent (fs, r->job);
+          mark_start_sent (fs, r->job);
           start_mark_job_started (r->job);
           start_send (fs, r);
         }
@@ -221,7 +225,8 @@
 
 /* Loading. */
 
-/* Reads "job step index run_id executor". */
+/* Parses a line "job step index run_id executor".  Returns false if it is
+   malformed. */
 static bool
 parse_line (char *line, struct intent *e)
 {
@@ -266,9 +271,9 @@
 }
 
 /*
- * Returns the task of an intent and sets @job, if the run may still be
- * running. Returns NULL if the job, the task or the run is known to have
- * ended.
+ * Returns the task of an intent, and sets @job to the task's job, if the run
+ * may still be running.  Returns NULL if the job, the task or the run is known
+ * to have ended, or if the job is unknown.
  */
 static struct jtask *
 unfinished_task (const struct fsched *fs, const struct intent *e,
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -1,5 +1,5 @@
 /*
- * Placing passes: the order in which jobs are served, and the choice of
+ * Placing passes.  A pass orders the waiting jobs by urgency and chooses
  * executors for their tasks.
  */
 #include "fsched_impl.h"
@@ -9,23 +9,25 @@
 
 enum
 {
-  /* Interval between passes, so that events within it share a pass. */
+  /* Shortest interval between passes, so that one pass handles all events in
+     between. */
   PASS_GAP_MS = 4,
-  /* Interval between passes while tasks wait and no event occurs: pauses and
-     tickets expire by time alone. */
+  /* Interval between passes while tasks wait and no event occurs: the end of a
+     pause or of a ticket's lifetime is not an event. */
   PASS_RETRY_MS = 100,
-  /* The interval between passes grows by 1 ms for each so many jobs, to limit
-     the cost of passes over many jobs. */
+  /* The interval between passes is longer by 1 ms for each this many waiting
+     jobs, to limit the cost of passes over many jobs. */
   PASS_JOBS_PER_MS = 40,
-  /* Jobs placed between checks of whether any executor has capacity left. */
+  /* Number of jobs placed between checks of whether any executor has capacity
+     left. */
   CAPACITY_CHECK_JOBS = 8,
-  /* Free capacity below which an executor counts as full.  No task seen so far
+  /* Free CPU below which an executor counts as full.  No task seen so far
      needs less. */
   FREE_MIN_MILLICORES = 100,
 };
 
-/* Whether @n more tasks of the step keep the job's client account within its
-   limit. */
+/* Returns whether @n more tasks of the step keep the job's client account
+   within its limit. */
 static bool
 within_limit (struct fsched *fs, const struct job *j, int step, int n)
 {
@@ -41,7 +43,8 @@
 #undef OVER
 }
 
-/* Whether the step needs no advice, or has a valid permit for the executor. */
+/* Returns whether the step needs no advice, or has a valid permit for the
+   executor. */
 static bool
 permitted (const struct fsched *fs, const struct job *j, int step,
            const struct exec *e)
@@ -57,7 +60,7 @@
 static struct exec *
 best_fit (struct fsched *fs, const struct job *j, int step)
 {
-  int data_rack = j->steps[step].data_rack_id;
+  int data_rack_id = j->steps[step].data_rack_id;
   struct exec *best = NULL;
   int64_t best_spare = 0;
 
@@ -69,7 +72,7 @@
           || exec_fit_count (e, j, step, 1) < 1)
         continue;
       spare = e->rep.capacity.millicores - e->used.millicores;
-      if (data_rack && data_rack != e->rack_id)
+      if (data_rack_id && data_rack_id != e->rack_id)
         spare += INT32_MAX;
       if (!best || spare < best_spare)
         {
@@ -80,9 +83,9 @@
   return best;
 }
 
-/* Places the tasks of a step that is not a gang.  Returns false if some were
-   left because no executor has capacity; the client account's limit does not
-   count. */
+/* Places the tasks of a step that is not a gang.  Returns false if no executor
+   can take one of the tasks, and true otherwise, also if tasks are left
+   because the client account has reached its limit. */
 static bool
 place_single_tasks (struct fsched *fs, struct job *j, int step)
 {
@@ -99,8 +102,8 @@
       e = best_fit (fs, j, step);
       if (!e)
         return false;
-      intent_add (
-          fs, start_new (fs, j, step, i, e, t->next_run_id, START_INTENT));
+      intent_add (fs,
+                  start_new (fs, j, step, i, e, t->next_run_id, START_INTENT));
     }
   return true;
 }
@@ -112,7 +115,7 @@
   int fits; /* members that the executor has capacity for */
 };
 
-/* qsort() order: most capacity first. */
+/* Compares candidates for qsort(): most capacity first. */
 static int
 compare_fits (const void *va, const void *vb)
 {
@@ -126,11 +129,12 @@
 
 /*
  * Fills @candidates with the executors of a rack that can take members of a
- * gang, those with the most capacity first.  @rack 0 means any rack.  Returns
- * their number, or 0 if they have no capacity for the whole gang.
+ * gang, those with the most capacity first.  @rack_id 0 means any rack.
+ * Returns the number of executors, or 0 if they lack the capacity for the
+ * whole gang.
  */
 static size_t
-gang_candidates (struct fsched *fs, const struct job *j, int step, int rack,
+gang_candidates (struct fsched *fs, const struct job *j, int step, int rack_id,
                  struct candidate *candidates)
 {
   int n_members = j->steps[step].n_tasks;
@@ -141,7 +145,7 @@
     {
       struct exec *e = fs->eligible[i];
       int fits;
-      if ((rack && rack != e->rack_id) || !exec_usable (e, j, step)
+      if ((rack_id && rack_id != e->rack_id) || !exec_usable (e, j, step)
           || !permitted (fs, j, step, e))
         continue;
       fits = exec_fit_count (e, j, step, n_members);
@@ -156,26 +160,30 @@
   return n;
 }
 
-/* As gang_candidates(), in the rack of the step's data if possible, or else in
-   a single rack if the step prefers that. */
+/* Chooses the rack of a gang and fills @candidates as gang_candidates() does:
+   the rack of the step's data if possible, else any single rack if the step
+   prefers one, else all racks.  Returns the number of candidates, 0 if the
+   gang fits nowhere. */
 static size_t
 choose_candidates (struct fsched *fs, const struct job *j, int step,
                    struct candidate *candidates)
 {
-  int data_rack = j->steps[step].data_rack_id;
+  int data_rack_id = j->steps[step].data_rack_id;
   size_t n;
 
-  if (data_rack && (n = gang_candidates (fs, j, step, data_rack, candidates)))
+  if (data_rack_id
+      && (n = gang_candidates (fs, j, step, data_rack_id, candidates)))
     return n;
   if (j->spec.steps[step].same_rack)
-    for (int rack = 1; rack <= fs->racks.n; rack++)
-      if ((n = gang_candidates (fs, j, step, rack, candidates)))
+    for (int rack_id = 1; rack_id <= fs->racks.n; rack_id++)
+      if ((n = gang_candidates (fs, j, step, rack_id, candidates)))
         return n;
   return gang_candidates (fs, j, step, 0, candidates);
 }
 
 /* Places all members of a gang or none.  Returns false if there is no capacity
-   for all. */
+   for all of them, and true otherwise, also if none is placed because an
+   earlier run has not ended or the client account has reached its limit. */
 static bool
 place_gang (struct fsched *fs, struct job *j, int step)
 {
@@ -186,7 +194,7 @@
   size_t next = 0;
 
   if (s->n_running > 0)
-    return true; /* all members of an earlier run must end first */
+    return true; /* all members of the earlier run must end first */
   if (!within_limit (fs, j, step, s->n_tasks))
     return true;
   candidates = calloc ((size_t)fs->n_execs + 1, sizeof *candidates);
@@ -206,13 +214,14 @@
         next++;
       candidates[next].fits--;
       intent_add (fs, start_new (fs, j, step, i, candidates[next].e, run_id,
-                                   START_INTENT));
+                                 START_INTENT));
     }
   free (candidates);
   return n > 0;
 }
 
-/* Places the tasks of a job's ready steps, or queries for advice on them. */
+/* Places the tasks of a job's ready steps, or sends advice queries for
+   them. */
 static void
 place_job (struct fsched *fs, struct job *j)
 {
@@ -232,9 +241,9 @@
 }
 
 /*
- * Returns the job's class: 0 if it meets its objective when started now, 1 if
- * it will be late, 2 if it will be so late that its result has no value, or if
- * it exceeds the share of its client account.
+ * Returns the urgency class of a job: 0 if it meets its latency objective when
+ * started now, 1 if it will be late, 2 if it will be so late that its result
+ * has no value, or if it exceeds the share of its client account.
  */
 static int
 job_urgency_class (const struct fsched *fs, const struct job *j)
@@ -248,8 +257,8 @@
   return fs->now_ms + remaining_ms > j->due_ms ? 1 : 0;
 }
 
-/* qsort() order: by class, then priority 0 before all others, then by the end
-   of the objective. */
+/* Compares jobs for qsort(): by urgency class, then priority 0 before all
+   other priorities, then by due_ms, then by id. */
 static int
 compare_urgency (const void *va, const void *vb)
 {
@@ -265,7 +274,8 @@
   return strcmp (a->spec.id, b->spec.id);
 }
 
-/* Whether the job has ready tasks that are not placed. */
+/* Returns whether a job has tasks in ready steps that are neither done nor
+   placed. */
 static bool
 has_unplaced_tasks (const struct job *j)
 {
@@ -280,7 +290,8 @@
   return false;
 }
 
-/* Collects the executors that the pass may give tasks to. */
+/* Collects the executors that may be given tasks in this pass, and clears the
+   reservations of the last pass. */
 static void
 collect_eligible (struct fsched *fs)
 {
@@ -300,7 +311,7 @@
     }
 }
 
-/* Whether any executor has free capacity that is not reserved. */
+/* Returns whether any executor has enough free CPU that is not reserved. */
 static bool
 has_free_capacity (const struct fsched *fs)
 {
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -1,7 +1,7 @@
 /*
  * Rows that the fleet's scheduler records in the table service: the progress
- * and final state of each job, and the roster of executors.  Also removes the
- * specifications of ended jobs from the table.
+ * and final state of each job, and the roster of executors.  This file also
+ * removes the specifications of ended jobs from the table of jobs.
  */
 #include "fsched_impl.h"
 
@@ -9,10 +9,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Fills @out with the tasks of a step that are done or have failed; returns
-   their number. */
+/* Fills @out with the progress of those tasks of a step that are done or have
+   failed runs.  Returns the number of these tasks. */
 static size_t
-fill_marks (const struct job *j, size_t step, struct job_task_progress *out)
+fill_task_progress (const struct job *j, size_t step,
+                    struct job_task_progress *out)
 {
   const struct jstep *s = &j->steps[step];
   size_t n = 0;
@@ -30,7 +31,7 @@
   return n;
 }
 
-/* Returns the value of a job's progress row, to be freed by the caller. */
+/* Returns the value of a job's progress row, which the caller frees. */
 static char *
 progress_text (const struct job *j)
 {
@@ -45,7 +46,7 @@
       struct job_step_progress *m = &p.steps[p.n_steps];
       m->step = (int64_t)i;
       m->marks = fsched_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->marks);
-      m->n_marks = fill_marks (j, i, m->marks);
+      m->n_marks = fill_task_progress (j, i, m->marks);
       if (m->n_marks)
         p.n_steps++;
       else
@@ -58,8 +59,8 @@
   return text;
 }
 
-/* Returns the roster, to be freed by the caller: a line "id addr" for each
-   executor that may be used or may run something. */
+/* Returns the roster, which the caller frees: a line "id addr" for each
+   executor that tasks may be placed on or that may still run tasks. */
 static char *
 roster_text (const struct fsched *fs)
 {
@@ -77,7 +78,7 @@
   return text;
 }
 
-/* Adds the roster to a write. */
+/* Adds the row of the roster to a write. */
 static void
 collect_roster (struct fsched *fs, struct store_op *op)
 {
@@ -124,8 +125,8 @@
       j->writing = true;
       n++;
     }
-  /* Ends are acknowledged, and intents dropped, only once all progress that
-     they changed is recorded. */
+  /* Ends of runs are acknowledged to the executors, and intents dropped, only
+     once all progress that the ends changed is recorded. */
   TAILQ_FOREACH (e, &fs->execs, link)
     if (complete)
       e->writing_end_seq = e->seen_end_seq;
@@ -173,10 +174,10 @@
 }
 
 /*
- * Removes the specifications of ended jobs of one part of the table of jobs.
- * The rows themselves stay, so that a job id is never used again; they are
+ * Removes the specifications of ended jobs from one part of the table of jobs.
+ * The rows themselves stay, so that a job id is never used again.  They are
  * kept short because the next leader reads all of them.  A write that fails is
- * not repeated: it only costs the next leader some time.
+ * not repeated: the long rows only cost the next leader some time.
  */
 static void
 trim_part (struct fsched *fs, int part)
--- a/core/fsched_start.c
+++ b/core/fsched_start.c
@@ -1,16 +1,17 @@
 /*
  * Starts of tasks.  A start is sent to an executor, which then lists the run
  * as running and later as ended.  If the answer to a start is lost, the
- * executor's next list decides: if it contains the run, the start is
- * confirmed; if not, the run is stopped by its id.  An executor never starts a
- * run that was stopped.
+ * executor's next list of runs decides: if the list contains the run, the
+ * start is confirmed; if not, the run is stopped by its id.  An executor never
+ * starts a run that was stopped.
  */
 #include "fsched_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Adds the need of a task of step @s, or subtracts it if @sign is -1. */
+/* Adds the need of one task of step @s to @to, or subtracts it if @sign is
+   -1. */
 static void
 adjust_need (struct job_need *to, const struct job_step *s, int sign)
 {
@@ -21,8 +22,8 @@
   to->accels += sign * s->need.accels;
 }
 
-/* Adds a start to the use of its executor and client account, or removes it if
-   @sign is -1. */
+/* Adds the need of a start to the capacity used on its executor and by its
+   client account, or subtracts it if @sign is -1. */
 static void
 adjust_use (struct fsched *fs, const struct start *r, int sign)
 {
@@ -84,7 +85,7 @@
 }
 
 void
-start_end (struct fsched *fs, struct start *r, int how)
+start_end (struct fsched *fs, struct start *r, int run_end)
 {
   struct job *j = r->job;
   int step = r->step;
@@ -95,17 +96,17 @@
 
   if (p)
     p->run = NULL;
-  /* Whether the executors may still run the gang's other members. */
-  bool others_may_run = how == RUN_END_NOT_STARTED || how == RUN_END_REBOOTED
-                        || how == RUN_END_LAPSED
-                        || how == RUN_END_GANG_INCOMPLETE;
+  /* True if executors may still run the other members of the gang. */
+  bool others_may_run
+      = run_end == RUN_END_NOT_STARTED || run_end == RUN_END_REBOOTED
+        || run_end == RUN_END_LAPSED || run_end == RUN_END_GANG_INCOMPLETE;
 
-  fs->stats->ends[how]++;
+  fs->stats->ends[run_end]++;
   out_line (fs->out,
             "event=end job=%s step=%d task=%d run=%lld exec=%s result=%s "
             "ran_ms=%lld state=%d",
             j->spec.id, step, index, (long long)run_id, r->exec->rep.id,
-            run_end_names[how], (long long)(fs->now_ms - r->sent_ms),
+            run_end_names[run_end], (long long)(fs->now_ms - r->sent_ms),
             r->state);
   fsched_keep_checkpoint (j, step, index, r->checkpoint);
   adjust_use (fs, r, -1);
@@ -114,17 +115,17 @@
   start_get_task (r)->run = NULL;
   j->n_runs--;
   j->steps[step].n_running--;
-  if (how == RUN_END_FAILED)
+  if (run_end == RUN_END_FAILED)
     exec_count_failure (fs, r->exec);
-  else if (how == RUN_END_DONE)
+  else if (run_end == RUN_END_DONE)
     r->exec->failures_in_row = 0;
   free (r);
   if (others_may_run && j->spec.steps[step].gang)
     start_stop_gang (fs, j, step);
-  fsched_task_ended (fs, j, step, index, run_id, how);
+  fsched_task_ended (fs, j, step, index, run_id, run_end);
 }
 
-/* Sets an order's task and run id. */
+/* Sets the task and run id of an order to those of a start. */
 static void
 set_task (struct order *o, const struct start *r)
 {
@@ -199,17 +200,17 @@
 void
 start_tick (struct fsched *fs, struct start *r)
 {
-  /* No stop is sent while the start is unanswered: the stop could reach the
-     executor first, unnoticed. */
+  /* No stop order is sent while the start order is unanswered: the stop could
+     reach the executor first, and the leader would not notice. */
   if (r->state != START_STOPPING || r->order_id || r->stop_acked_ms
       || fs->now_ms < r->next_stop_ms || !fs->may_order)
     return;
   send_stop (fs, r);
 }
 
-/* Ends a start that the executor has refused.  @reason: enum order_refusal */
+/* Ends a start that the executor has refused.  @reason: enum order_refusal. */
 static void
-start_refused (struct fsched *fs, struct start *r, int reason)
+end_refused_start (struct fsched *fs, struct start *r, int reason)
 {
   struct permit *p;
 
@@ -225,19 +226,20 @@
   start_end (fs, r, RUN_END_NOT_STARTED);
 }
 
-/* Processes the result of a start order. */
+/* Processes the result of a start order: confirms the start, ends it, or sends
+   it again. */
 static void
-start_answered (struct fsched *fs, struct start *r,
-                const struct order_result *res)
+process_start_result (struct fsched *fs, struct start *r,
+                      const struct order_result *res)
 {
   int outcome = res->outcome;
 
-  /* Nothing more is placed on the executor until a poll of it succeeds. */
+  /* No more tasks are placed on the executor until a poll of it succeeds. */
   if (outcome == ORDER_UNREACHED
       || (outcome == ORDER_LOST && r->tries >= FSCHED_START_TRIES))
     exec_mark_unreachable (fs, r->exec);
-  /* After a lost answer, an earlier copy of the start may have arrived,
-     whatever the result of this copy is. */
+  /* If an earlier answer was lost, the earlier copy of the start order may
+     have arrived, whatever the result of this copy is. */
   if (r->answer_lost_ms && outcome != ORDER_DONE)
     outcome = ORDER_LOST;
   switch (outcome)
@@ -248,7 +250,7 @@
         r->state = START_ACKED;
       return;
     case ORDER_REFUSED:
-      start_refused (fs, r, res->reason);
+      end_refused_start (fs, r, res->reason);
       return;
     case ORDER_BUSY:
       exec_count_failure (fs, r->exec);
@@ -287,7 +289,7 @@
   if (exec_detect_reboot (fs, r->exec, res->clock_ms) && acked)
     return;
   if (kind == ORDER_START)
-    start_answered (fs, r, res);
+    process_start_result (fs, r, res);
   else if (res->outcome == ORDER_DONE)
     r->stop_acked_ms = fs->now_ms;
 }
--- a/core/job.h
+++ b/core/job.h
@@ -92,7 +92,7 @@
   struct job_step *steps; /* owned */
   size_t n_steps;
   int64_t repeat;      /* number of timed occurrences; not supported yet */
-  int64_t start_ms;    /* time of the first occurrence; not supported yet */
+  int64_t start_ms;    /* start of the timed occurrences; not supported yet */
   int64_t interval_ms; /* between timed occurrences; not supported yet */
 };
 
