--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -20,7 +20,7 @@
 
 enum
 {
-  /* Maximum number of intents in one row; a full row has some 20 kB. */
+  /* Maximum number of intents in one row; a full row takes some 20 kB. */
   ROW_INTENTS_MAX = 400,
 };
 
--- a/core/fsched_place.c
+++ b/core/fsched_place.c
@@ -112,7 +112,7 @@
 struct candidate
 {
   struct exec *e;
-  int fits; /* members that the executor has capacity for */
+  int fits; /* number of members that the executor has capacity for */
 };
 
 /* Compares candidates for qsort(): most capacity first. */
@@ -311,7 +311,8 @@
     }
 }
 
-/* Returns whether any executor has enough free CPU that is not reserved. */
+/* Returns whether any executor has FREE_MIN_MILLICORES of CPU that are neither
+   used nor reserved. */
 static bool
 has_free_capacity (const struct fsched *fs)
 {
