--- a/core/fleet.h
+++ b/core/fleet.h
@@ -160,8 +160,8 @@
   int64_t query_ms;    /* time of the query to the leader */
   int64_t query_seq;   /* number of the query to the leader */
   int tries;           /* calls and queries sent so far */
-  bool
-      outcome_unknown; /* the answer to a write was lost: it may take effect */
+  /* The answer to a write was lost: the write may take effect. */
+  bool outcome_unknown;
 };
 RB_HEAD (api_request_tree, api_request);
 
@@ -200,15 +200,13 @@
 struct fleet_stats
 {
   uint64_t answers[ANSWER_N]; /* answers to callers */
-  uint64_t store_errors;      /* failed calls to the table service, of callers'
-                                 requests */
-  uint64_t terms;             /* times that this instance became leader */
-  uint64_t queries;           /* queries sent to the leader */
-  uint64_t queries_lost;      /* queries that the leader did not answer */
-  uint64_t retries;  /* retried calls to the table service, of callers'
-                        requests */
-  uint64_t proxied;  /* calls to the table service made through a peer */
-  uint64_t bad_rows; /* rows of the platform's tables that were damaged */
+  uint64_t store_errors; /* failed calls to the table service for requests */
+  uint64_t terms;        /* times that this instance became leader */
+  uint64_t queries;      /* queries sent to the leader */
+  uint64_t queries_lost; /* queries that the leader did not answer */
+  uint64_t retries;      /* retried calls to the table service for requests */
+  uint64_t proxied;      /* calls to the table service through a peer */
+  uint64_t bad_rows;     /* damaged rows of the platform's tables */
   struct hist request_ms[FLEET_VERB_N]; /* from a request to its answer */
   struct hist record_ms; /* from a leader's write to its success */
   struct fsched_stats fsched;
@@ -233,10 +231,11 @@
   bool done;
 };
 
+/** struct fleet - one instance on the fleet */
 struct fleet
 {
   struct fleet_settings settings;
-  int64_t now_ms;
+  int64_t now_ms;        /* time of the present input */
   int64_t wall_ms;       /* wall clock, as passed with the last input */
   struct outq out;       /* messages to be carried out */
   uint64_t tokens;       /* last number given to a call, query or order */
@@ -244,33 +243,39 @@
   struct fsched *fsched; /* scheduler; NULL unless this instance leads */
   struct fconf *conf;    /* configuration; NULL until the first one is read */
   struct follow conf_feed;
-  struct follow exec_feed;       /* active only while this instance leads */
-  struct follow job_feed;        /* active only while this instance leads */
-  int64_t store_last_contact_ms; /* last answer of the table service; failures
-                             do not count */
-  int store_failures;            /* failed calls to it since then */
+  struct follow exec_feed; /* active only while this instance leads */
+  struct follow job_feed;  /* active only while this instance leads */
+
+  /* The table service.  A failed call is no contact. */
+  int64_t store_last_contact_ms;
+  int store_failures;    /* failed calls since the last contact */
   bool conf_feed_failed; /* the last call of the configuration's feed failed */
-  int64_t conf_feed_failed_since_ms; /* when it began to fail */
-  bool loading;                      /* the recorded state is being read */
+  int64_t conf_feed_failed_since_ms;
+
+  /* Reading of the recorded state, and writes of records, while leading. */
+  bool loading; /* the recorded state is being read */
   struct fleet_load loads[FLEET_LOAD_N];
   int64_t load_retry_ms;   /* no read of the recorded state before then */
   int64_t next_record_ms;  /* no write of records before then */
   int64_t next_intents_ms; /* no write of starts' records before then */
+
   struct api_request_tree requests; /* callers' requests in progress */
   int n_requests;
-  int64_t next_hello_ms;
+
+  /* The leader, while another instance leads. */
+  int64_t next_hello_ms; /* no hello to the leader before then */
   int64_t leader_last_contact_ms;
-  char table_peer[CLB_ADDR_MAX]; /* instance that reaches the table service, as
-                              reported by the leader; often the leader;
-                              empty: none known */
-  int64_t table_peer_fresh_ms;   /* time at which it surely reached it */
-  struct proxy_callq
-      proxy_sent; /* calls that a peer makes for this instance */
-  struct proxy_callq
-      proxy_serving; /* calls that this instance makes for peers */
+
+  /* Instance that reaches the table service, as reported by the leader; often
+     the leader itself; empty: none known. */
+  char table_peer[CLB_ADDR_MAX];
+  int64_t table_peer_fresh_ms; /* last time at which it surely reached it */
+
+  struct proxy_callq proxy_sent;    /* calls that a peer makes for this one */
+  struct proxy_callq proxy_serving; /* calls that this one makes for peers */
   int n_proxy_serving;
-  int64_t conf_current_ms; /* last time at which the configuration surely was
-                        current */
+
+  int64_t conf_current_ms; /* last time when the configuration was current */
   bool stopping;           /* fleet_stop() was called */
   struct fleet_stats stats;
 };
@@ -343,7 +348,7 @@
 
 /** fleet_load_start() - Begin to read the recorded state. */
 void fleet_load_start (struct fleet *f);
-/** fleet_load_stop() - Stop reading and forget the calls in progress. */
+/** fleet_load_stop() - Stop reading; ignore answers still to come. */
 void fleet_load_stop (struct fleet *f);
 /** fleet_load_tick() - Send the reads that are due. */
 void fleet_load_tick (struct fleet *f);
@@ -355,7 +360,9 @@
 
 /* proxy.c, used by fleet.c and api.c */
 
+/** proxy_init() - Set up the queues of calls. */
 void proxy_init (struct fleet *f);
+/** proxy_fini() - Drop all calls. */
 void proxy_fini (struct fleet *f);
 /** proxy_table_unreachable() - Whether the table service does not answer this
  * instance. */
--- a/core/fleet_metrics.c
+++ b/core/fleet_metrics.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 
 static void
-cell_metrics (const struct fleet *f, FILE *out)
+fsched_metrics (const struct fleet *f, FILE *out)
 {
   const struct fsched_stats *s = &f->stats.fsched;
 
@@ -64,7 +64,7 @@
     hist_print (out, "request_ms", "verb", fleet_verb_names[i],
                 &f->stats.request_ms[i]);
   hist_print (out, "record_ms", NULL, NULL, &f->stats.record_ms);
-  cell_metrics (f, out);
+  fsched_metrics (f, out);
   fclose (out);
   return text;
 }
--- a/core/leader.h
+++ b/core/leader.h
@@ -52,9 +52,9 @@
      slow. */
   LEADER_RESEND_MIN_MS = 100,
   LEADER_RESEND_FACTOR = 3,
+  LEADER_RESEND_MAX_MS = 450,
   /* Earlier sends of a write whose answers are still accepted. */
   LEADER_ATTEMPTS_MAX = 8,
-  LEADER_RESEND_MAX_MS = 450,
   /* Pause after a refused or failed call. */
   LEADER_RETRY_MS = 100,
   /* Most rows of one write beside the journal row. */
