--- a/core/fconf.h
+++ b/core/fconf.h
@@ -24,9 +24,11 @@
   bool is_public;                 /* requests need no key */
   int64_t timeout_ms;             /* longest wait of a request; 0: no limit */
   int64_t priority;               /* 0 goes first */
-  int64_t attempts;  /* failures of one task before its job fails; 0: as 1 */
-  double slack;      /* as in struct job_spec */
-  int64_t target_ms; /* as in struct job_spec */
+  int64_t attempts; /* failures of one task before its job fails; 0: as 1 */
+  /* A job's time objective: slack times its longest chain of estimates, plus
+     target_ms. */
+  double slack;
+  int64_t target_ms;
   struct job_advice advice;
 };
 
@@ -40,10 +42,11 @@
 struct fconf_tenant
 {
   char name[CLB_NAME_MAX];
-  double weight;          /* relative share of a full fleet; also the jobs a
-                             second that count as within its share */
-  struct job_need limit;  /* most that its running tasks may take; an amount of
-                             0: no limit */
+  /* Relative share of a full fleet; also the jobs a second that count as
+     within that share. */
+  double weight;
+  /* Most that its running tasks may take; an amount of 0: no limit. */
+  struct job_need limit;
   struct fconf_key *keys; /* owned */
   size_t n_keys;
 };
--- a/core/follow.h
+++ b/core/follow.h
@@ -36,17 +36,18 @@
 struct follow
 {
   char table[CLB_NAME_MAX];
-  int parts;        /* number of parts, numbered from 0; 0: one unnamed part */
-  int64_t wait_ms;  /* longest wait of a call of the feed for a change */
-  int64_t batch_ms; /* pause between calls of the feed, so that changes are
-                       fetched together */
+  int parts;       /* number of parts, numbered from 0; 0: one unnamed part */
+  int64_t wait_ms; /* longest wait of a call of the feed for a change */
+  /* Pause between calls of the feed, so that changes are fetched together. */
+  int64_t batch_ms;
   struct outq *out; /* borrowed: where calls are queued */
   uint64_t *tokens; /* borrowed: last token given to a call */
   bool active;      /* between follow_start() and follow_stop() */
   bool listed;      /* the list is complete */
   struct follow_list lists[FOLLOW_PARTS_MAX];
-  int64_t list_ver; /* lowest version of the pages of the list, from which the
-                       feed starts; 0: none yet */
+  /* Lowest version of the list's pages, from which the feed starts; 0: none.
+   */
+  int64_t list_ver;
   int64_t ver;      /* version up to which the feed was read */
   uint64_t token;   /* outstanding call of the feed; 0: none */
   int64_t sent_ms;  /* when the last call of the feed was sent */
--- a/core/leader.h
+++ b/core/leader.h
@@ -7,7 +7,7 @@
  * instance has claimed leadership, and a write that is carried out late cannot
  * undo a newer one.
  *
- * A follower claims leadership once the journal row has not changed for
+ * A follower claims leadership once the rows have not changed for
  * LEADER_CLAIM_AFTER_MS on the follower's own clock.  Instances with a larger
  * share of a core claim sooner, as the leader schedules for the whole fleet.
  *
@@ -125,29 +125,31 @@
   bool rows_known;     /* false: the rows must be read before a claim */
   int64_t holder_ver;  /* version of the holder row; 0: there is none */
   int64_t journal_ver; /* version of the journal row; 0: there is none */
-  int64_t
-      unchanged_since_ms; /* time of the read that last saw the rows changed */
+  /* Time of the last read that found the rows changed. */
+  int64_t unchanged_since_ms;
   int64_t last_contact_ms; /* last message of the leader */
-  int64_t first_claim_ms; /* no claim before then while no leader has ever been
-                             elected */
-  int64_t millicores;     /* share of a core of this instance; 0: not known */
-  int64_t rank;   /* number of stronger followers, as the leader reported; -1:
-                     not known */
+  /* No claim before then while no leader has ever been elected. */
+  int64_t first_claim_ms;
+  int64_t millicores; /* share of a core of this instance; 0: not known */
+  /* Number of stronger followers, as the leader reported; -1: not known. */
+  int64_t rank;
   uint64_t token; /* outstanding call; 0: none */
+  /* Earlier sends of the write in progress, without an answer yet. */
   struct leader_attempt attempts[LEADER_ATTEMPTS_MAX];
   int n_attempts;
   int64_t sent_ms; /* when the last call was sent */
   int64_t next_ms; /* no call before then */
   /* While leading. */
-  int64_t renewed_ms;     /* when the last successful write was first sent */
-  int64_t seq;            /* number of the last write in this term */
-  int64_t first_sent_ms;  /* when the write in progress was first sent */
-  int64_t latency_ms;     /* latency of the last answered write */
-  int64_t claim_sent_ms;  /* when the claim was sent */
-  struct store_op *write; /* owned: write in progress, sent again until its
-                             outcome is known; NULL: none */
-  bool stopping;          /* this instance gives up leadership */
-  bool releasing;         /* the write in progress gives up leadership */
+  int64_t renewed_ms;    /* when the last successful write was first sent */
+  int64_t seq;           /* number of the last write in this term */
+  int64_t first_sent_ms; /* when the write in progress was first sent */
+  int64_t latency_ms;    /* latency of the last answered write */
+  int64_t claim_sent_ms; /* when the claim was sent */
+  /* Owned: the write in progress, which is sent again until its outcome is
+     known; NULL: none. */
+  struct store_op *write;
+  bool stopping;  /* this instance gives up leadership */
+  bool releasing; /* the write in progress gives up leadership */
 };
 
 /**
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -57,16 +57,18 @@
   /* Of a query for advice: the step. */
   int64_t occurrence;
   int64_t step;
-  int64_t outcome;  /* enum order_outcome, of a query for advice */
-  int64_t valid_ms; /* of a query for advice: its timeout; of the reply: how
-                       long the tickets are valid */
+  int64_t outcome; /* enum order_outcome, of a query for advice */
+  /* Of a query for advice: its timeout; of the reply: how long the tickets are
+     valid. */
+  int64_t valid_ms;
   int64_t conf_version; /* version of the leader's configuration; 0: none */
   int64_t conf_age_ms;  /* time since that was proved current */
-  int64_t table_age_ms; /* time since the sender, or the instance in via,
-                           reached the table service */
-  int64_t millicores;   /* the sender's share of a core; 0: not known */
-  int64_t rank; /* 1 and the number of stronger followers that the leader
-                   knows; 0: it does not know yet */
+  /* Time since the sender, or the instance via, reached the table service. */
+  int64_t table_age_ms;
+  int64_t millicores; /* the sender's share of a core; 0: not known */
+  /* 1 plus the number of stronger followers that the leader knows; 0: it does
+     not know yet. */
+  int64_t rank;
   /* Address of an instance that reaches the table service while the leader
      does not; empty: the leader does. */
   char via[CLB_ADDR_MAX];
