--- a/core/follow.h
+++ b/core/follow.h
@@ -45,8 +45,8 @@
   bool active;      /* between follow_start() and follow_stop() */
   bool listed;      /* the list is complete */
   struct follow_list lists[FOLLOW_PARTS_MAX];
-  /* Lowest version of the list's pages, from which the feed starts; 0: none.
-   */
+  /* Lowest version of the list's pages, from which the feed starts; 0: no page
+     was read. */
   int64_t list_ver;
   int64_t ver;      /* version up to which the feed was read */
   uint64_t token;   /* outstanding call of the feed; 0: none */
