--- a/core/api.c
+++ b/core/api.c
@@ -33,10 +33,10 @@
 int
 api_request_cmp (const struct api_request *a, const struct api_request *b)
 {
-  return a->call < b->call ? -1 : a->call > b->call;
+  return a->request_id < b->request_id ? -1 : a->request_id > b->request_id;
 }
 
-RB_GENERATE (api_request_tree, api_request, by_call, api_request_cmp)
+RB_GENERATE (api_request_tree, api_request, by_request_id, api_request_cmp)
 
 /* Writes the key of a job's row, or of its row with @suffix, to @out. */
 static void
@@ -81,13 +81,13 @@
             "event=answer call=%llu verb=%d job=%s queue=%s tenant=%s "
             "answer=%s status=%d tries=%d took_ms=%lld conf=%lld "
             "conf_age_ms=%lld leader=%s",
-            (unsigned long long)c->call, c->verb, c->id, c->queue, c->tenant,
-            fleet_answer_names[answer], answer_status[answer], c->tries,
-            (long long)(f->now_ms - c->arrival_ms),
+            (unsigned long long)c->request_id, c->verb, c->job_id, c->queue,
+            c->tenant, fleet_answer_names[answer], answer_status[answer],
+            c->tries, (long long)(f->now_ms - c->arrival_ms),
             f->conf ? (long long)f->conf->version : 0,
             (long long)(f->now_ms - f->conf_current_ms), f->leader.holder);
   hist_add (&f->stats.request_ms[c->verb], f->now_ms - c->arrival_ms);
-  send_answer (f, c->call, answer, body);
+  send_answer (f, c->request_id, answer, body);
   request_free (f, c);
 }
 
@@ -99,11 +99,12 @@
   out_line (&f->out,
             "event=refused call=%llu path=%.60s answer=%s status=%d "
             "conf=%lld conf_age_ms=%lld detail=\"%.80s\"",
-            (unsigned long long)rq->call, rq->path, fleet_answer_names[answer],
-            answer_status[answer], f->conf ? (long long)f->conf->version : 0,
+            (unsigned long long)rq->request_id, rq->path,
+            fleet_answer_names[answer], answer_status[answer],
+            f->conf ? (long long)f->conf->version : 0,
             (long long)(f->now_ms - f->conf_current_ms), detail);
   send_answer (
-      f, rq->call, answer,
+      f, rq->request_id, answer,
       f->settings.codec.error_body (fleet_answer_names[answer], detail));
 }
 
@@ -114,7 +115,7 @@
 {
   struct out *o = out_new (&f->out, OUT_STORE);
 
-  c->token = ++f->tokens;
+  c->token = ++f->last_token;
   c->retry_at_ms = 0;
   c->tries++;
   o->u.store.token = c->token;
@@ -131,7 +132,7 @@
   char key[CLB_NAME_MAX];
 
   c->step = API_WRITING;
-  job_key (c->id, "", key);
+  job_key (c->job_id, "", key);
   store_cond (op, key, 0);
   store_put (op, key, c->record);
 }
@@ -143,7 +144,7 @@
   char key[CLB_NAME_MAX];
 
   c->step = API_WRITING;
-  job_key (c->id, ".cancel", key);
+  job_key (c->job_id, ".cancel", key);
   store_put (op, key, "{}");
 }
 
@@ -156,9 +157,9 @@
 
   c->step = step;
   if (step == API_READING_STATE)
-    snprintf (key, sizeof key, FSCHED_KEY_PROGRESS "%s", c->id);
+    snprintf (key, sizeof key, FSCHED_KEY_PROGRESS "%s", c->job_id);
   else
-    job_key (c->id, "", key);
+    job_key (c->job_id, "", key);
   op->key = strdup (key);
 }
 
@@ -184,7 +185,7 @@
   if (!m)
     abort ();
   m->kind = kind;
-  c->query_seq = (int64_t)++f->tokens;
+  c->query_seq = (int64_t)++f->last_token;
   m->seq = c->query_seq;
   clb_copy (m->id, subject, sizeof m->id);
   c->step = API_QUERYING;
@@ -201,7 +202,7 @@
 {
   struct job_spec spec;
   struct codec_err ce = { 0 };
-  int err = f->settings.codec.job (rq->body, rq->body_len, &spec, &ce);
+  int err = f->settings.codec.decode_job (rq->body, rq->body_len, &spec, &ce);
 
   if (!err)
     err = job_check (&spec, &ce);
@@ -212,7 +213,7 @@
       request_free (f, c);
       return;
     }
-  clb_copy (spec.id, c->id, sizeof spec.id);
+  clb_copy (spec.id, c->job_id, sizeof spec.id);
   clb_copy (spec.queue, c->queue, sizeof spec.queue);
   clb_copy (spec.tenant, c->tenant, sizeof spec.tenant);
   clb_copy (spec.service, q->service, sizeof spec.service);
@@ -239,13 +240,13 @@
 begin_state (struct fleet *f, struct api_request *c)
 {
   int state = f->fsched && f->fsched->loaded
-                  ? fsched_job_state (f->fsched, c->id)
+                  ? fsched_job_state (f->fsched, c->job_id)
                   : -1;
 
   if (state >= 0)
     finish (f, c, ANSWER_STATE, f->settings.codec.state_body (state));
   else
-    query_leader (f, c, MESH_STATE_QUERY, c->id);
+    query_leader (f, c, MESH_STATE_QUERY, c->job_id);
 }
 
 /* Answers with the number of a queue's waiting jobs, or queries the leader. */
@@ -290,7 +291,7 @@
 
   if (!c)
     abort ();
-  c->call = rq->call;
+  c->request_id = rq->request_id;
   c->verb = rq->verb;
   c->arrival_ms = f->now_ms;
   if (q->timeout_ms > 0 && timeout > q->timeout_ms)
@@ -337,7 +338,7 @@
   if (rq->verb == FLEET_OTHER)
     return refuse (f, rq, ANSWER_BAD_JOB, "method");
   c = request_new (f, rq, q, t);
-  clb_copy (c->id, id, sizeof c->id);
+  clb_copy (c->job_id, id, sizeof c->job_id);
   if (rq->verb == FLEET_SUBMIT)
     begin_submit (f, c, rq, q);
   else if (rq->verb == FLEET_CANCEL)
@@ -351,7 +352,7 @@
 void
 fleet_request_aborted (struct fleet *f, uint64_t call)
 {
-  struct api_request key = { .call = call };
+  struct api_request key = { .request_id = call };
   struct api_request *c = RB_FIND (api_request_tree, &f->requests, &key);
 
   /* A write in progress goes on; its outcome is not reported. */
@@ -410,7 +411,7 @@
           &f->out,
           "event=retry call=%llu verb=%d job=%s tries=%d error=%s "
           "outcome_unknown=%d pause_ms=%lld left_ms=%lld table_unreachable=%d",
-          (unsigned long long)c->call, c->verb, c->id, c->tries,
+          (unsigned long long)c->request_id, c->verb, c->job_id, c->tries,
           clb_err_name ((int)err), c->outcome_unknown, (long long)pause,
           (long long)(c->deadline_ms - f->now_ms),
           proxy_table_unreachable (f));
@@ -423,7 +424,8 @@
             const struct store_rep *rep)
 {
   if (c->verb == FLEET_CANCEL || !rep->err)
-    fleet_notify_job (f, c->id, c->verb == FLEET_CANCEL ? NULL : c->record);
+    fleet_notify_job (f, c->job_id,
+                      c->verb == FLEET_CANCEL ? NULL : c->record);
   if (c->verb == FLEET_CANCEL)
     finish (f, c, ANSWER_CANCELLED, NULL);
   else
@@ -577,7 +579,7 @@
            && f->now_ms - c->query_ms >= FLEET_QUERY_TIMEOUT_MS)
     {
       f->stats.queries_lost++;
-      if (*c->id)
+      if (*c->job_id)
         read_row (f, c, API_READING_STATE);
       else
         finish (f, c, ANSWER_NO_LEADER, NULL);
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -33,17 +33,17 @@
   f->settings = *set;
   f->now_ms = now_ms;
   /* An answer to an earlier process of this instance matches no token. */
-  f->tokens = (uint64_t)set->boot << TOKEN_BITS;
+  f->last_token = (uint64_t)set->boot << TOKEN_BITS;
   TAILQ_INIT (&f->out);
   RB_INIT (&f->requests);
   leader_init (&f->leader, now_ms, set->id, set->mesh_addr, set->boot,
-               set->millicores, &f->out, &f->tokens);
+               set->millicores, &f->out, &f->last_token);
   follow_init (&f->conf_feed, set->codec.conf_table, 0, FLEET_FEED_WAIT_MS,
-               &f->out, &f->tokens);
+               &f->out, &f->last_token);
   follow_init (&f->exec_feed, set->codec.exec_table, 0, FLEET_FEED_WAIT_MS,
-               &f->out, &f->tokens);
+               &f->out, &f->last_token);
   follow_init (&f->job_feed, "job", FSCHED_JOB_PARTS, FLEET_FEED_WAIT_MS,
-               &f->out, &f->tokens);
+               &f->out, &f->last_token);
   f->job_feed.batch_ms = FLEET_JOBS_BATCH_MS;
   f->conf_current_ms = INT64_MIN / 2;
   f->table_peer_fresh_ms = INT64_MIN / 2;
@@ -160,7 +160,7 @@
 
   if (strcmp (row->key, f->settings.codec.conf_key) != 0 || !row->value)
     return;
-  err = f->settings.codec.conf (row->value, &conf, &ce);
+  err = f->settings.codec.decode_conf (row->value, &conf, &ce);
   if (err)
     {
       f->stats.bad_rows++;
@@ -320,7 +320,7 @@
 
   if (!*id)
     return;
-  if (row->value && !f->settings.codec.exec (id, row->value, &rep))
+  if (row->value && !f->settings.codec.decode_exec (id, row->value, &rep))
     {
       fsched_exec_report (f->fsched, &rep);
       return;
@@ -365,7 +365,7 @@
             (long long)f->leader.epoch);
   f->stats.terms++;
   drop_scheduler (f);
-  f->fsched = fsched_new (&f->out, &f->tokens, f->now_ms, f->leader.epoch,
+  f->fsched = fsched_new (&f->out, &f->last_token, f->now_ms, f->leader.epoch,
                           RECOVERY_WAIT_MS, &f->stats.fsched);
   fsched_adviser_seen (f->fsched, "", "", 0, 0);
   if (f->conf)
@@ -720,5 +720,5 @@
 fleet_ready (const struct fleet *f, int64_t now_ms)
 {
   return f->conf && !f->stopping
-         && now_ms - f->conf_current_ms < FLEET_READY_AGE_MS;
+         && now_ms - f->conf_current_ms < FLEET_READY_CONF_AGE_MS;
 }
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -51,7 +51,7 @@
   FLEET_KEY_MARGIN_MS = 500,
   /* The instance is ready while the configuration was proved current within
      this time: two waits of its feed and slow answers. */
-  FLEET_READY_AGE_MS = 1400,
+  FLEET_READY_CONF_AGE_MS = 1400,
   /* Records that become due within this time share one write. */
   FLEET_RECORD_BATCH_MS = 25,
   /* The same for records of starts; short, as each start waits for its
@@ -82,8 +82,8 @@
 /** struct fleet_request - a caller's request; all pointers are borrowed */
 struct fleet_request
 {
-  uint64_t call; /* number of the request, never reused */
-  int verb;      /* enum fleet_verb */
+  uint64_t request_id; /* number of the request, never reused */
+  int verb;            /* enum fleet_verb */
   const char *host;
   const char *path;
   const char *key;    /* API key; NULL: none given */
@@ -97,14 +97,16 @@
 {
   /** conf - Decodes a configuration; 0 and @out, which the caller frees, or
    * an error. */
-  int (*conf) (const char *text, struct fconf **out, struct codec_err *ce);
+  int (*decode_conf) (const char *text, struct fconf **out,
+                      struct codec_err *ce);
   /** exec - Decodes an executor's entry; 0, or an error if the entry is
    * damaged or its state is neither ready nor draining. */
-  int (*exec) (const char *id, const char *text, struct exec_report *out);
+  int (*decode_exec) (const char *id, const char *text,
+                      struct exec_report *out);
   /** job - Decodes a submitted job; 0, or an error, after which @out is
    * empty. */
-  int (*job) (const char *text, size_t len, struct job_spec *out,
-              struct codec_err *ce);
+  int (*decode_job) (const char *text, size_t len, struct job_spec *out,
+                     struct codec_err *ce);
   /** state_body - Body of an answer with a job's state; the caller frees. */
   char *(*state_body) (int state);
   /** count_body - Body of an answer with a count; the caller frees. */
@@ -145,12 +147,12 @@
 /** struct api_request - a caller's request in progress */
 struct api_request
 {
-  RB_ENTRY (api_request) by_call;
-  uint64_t call;  /* number of the request */
-  int verb;       /* enum fleet_verb */
-  int step;       /* enum api_step */
-  uint64_t token; /* outstanding call to the table service; 0: none */
-  char id[JOB_ID_SIZE];
+  RB_ENTRY (api_request) by_request_id;
+  uint64_t request_id; /* number of the request */
+  int verb;            /* enum fleet_verb */
+  int step;            /* enum api_step */
+  uint64_t token;      /* outstanding call to the table service; 0: none */
+  char job_id[JOB_ID_SIZE];
   char queue[CLB_NAME_MAX];
   char tenant[CLB_NAME_MAX]; /* empty: no key was given */
   char *record;              /* owned: the job as it is written */
@@ -228,7 +230,7 @@
 {
   uint64_t token; /* outstanding call to the table service; 0: none */
   char *after;    /* owned: last key read so far; NULL: none */
-  bool done;
+  bool complete;
 };
 
 /** struct fleet - one instance on the fleet */
@@ -238,7 +240,7 @@
   int64_t now_ms;        /* time of the present input */
   int64_t wall_ms;       /* wall clock, as passed with the last input */
   struct outq out;       /* messages to be carried out */
-  uint64_t tokens;       /* last number given to a call, query or order */
+  uint64_t last_token;   /* last number given to a call, query or order */
   struct leader leader;  /* leader election */
   struct fsched *fsched; /* scheduler; NULL unless this instance leads */
   struct fconf *conf;    /* configuration; NULL until the first one is read */
--- a/core/fleet_load.c
+++ b/core/fleet_load.c
@@ -43,7 +43,7 @@
   struct fleet_load *l = &f->loads[kind];
   struct out *o = out_new (&f->out, OUT_STORE);
 
-  l->token = ++f->tokens;
+  l->token = ++f->last_token;
   o->u.store.token = l->token;
   o->u.store.op.kind = kind == FLEET_LOAD_ROSTER ? STORE_GET : STORE_LIST;
   o->u.store.op.key = strdup (keys[kind]);
@@ -56,7 +56,7 @@
   if (!f->loading || f->now_ms < f->load_retry_ms)
     return;
   for (int i = 0; i < FLEET_LOAD_N; i++)
-    if (!f->loads[i].done && !f->loads[i].token)
+    if (!f->loads[i].complete && !f->loads[i].token)
       send_read (f, i);
 }
 
@@ -120,11 +120,11 @@
   take_rows (f, kind, rep);
   free (l->after);
   l->after = NULL;
-  l->done = !rep->more || !rep->n_rows;
-  if (!l->done)
+  l->complete = !rep->more || !rep->n_rows;
+  if (!l->complete)
     l->after = strdup (rep->rows[rep->n_rows - 1].key);
   for (int i = 0; i < FLEET_LOAD_N; i++)
-    if (!f->loads[i].done)
+    if (!f->loads[i].complete)
       return;
   /* These tables are read last: an executor that is not in the roster has not
      been used by an earlier leader, and a job takes its progress from what was
--- a/core/follow.c
+++ b/core/follow.c
@@ -16,7 +16,7 @@
   f->parts = parts;
   f->wait_ms = wait_ms;
   f->out = out;
-  f->tokens = tokens;
+  f->last_token = tokens;
 }
 
 static int
@@ -33,8 +33,8 @@
   f->list_ver = 0;
   for (int i = 0; i < n_lists (f); i++)
     {
-      free (f->lists[i].after);
-      f->lists[i] = (struct follow_list){ 0 };
+      free (f->listings[i].after);
+      f->listings[i] = (struct follow_listing){ 0 };
     }
 }
 
@@ -62,7 +62,7 @@
 {
   struct out *o = out_new (f->out, OUT_STORE);
 
-  *token = ++*f->tokens;
+  *token = ++*f->last_token;
   *sent_ms = now_ms;
   o->u.store.token = *token;
   return &o->u.store.op;
@@ -71,7 +71,7 @@
 static void
 send_list (struct follow *f, int64_t now_ms, int part)
 {
-  struct follow_list *l = &f->lists[part];
+  struct follow_listing *l = &f->listings[part];
   char prefix[CLB_NAME_MAX + 16];
   struct store_op *op = send_call (f, now_ms, &l->token, &l->sent_ms);
 
@@ -103,16 +103,16 @@
   if (f->listed && !f->token)
     send_feed (f, now_ms);
   for (int i = 0; i < n_lists (f) && !f->listed; i++)
-    if (!f->lists[i].done && !f->lists[i].token)
+    if (!f->listings[i].complete && !f->listings[i].token)
       send_list (f, now_ms, i);
 }
 
-static struct follow_list *
+static struct follow_listing *
 list_of (struct follow *f, uint64_t token)
 {
   for (int i = 0; i < n_lists (f); i++)
-    if (f->lists[i].token == token)
-      return &f->lists[i];
+    if (f->listings[i].token == token)
+      return &f->listings[i];
   return NULL;
 }
 
@@ -126,7 +126,7 @@
 /* Takes a page of the list.  The feed starts from the lowest version that a
    page was read at, so that no change is missed. */
 static int
-page_reply (struct follow *f, struct follow_list *l,
+page_reply (struct follow *f, struct follow_listing *l,
             const struct store_rep *rep)
 {
   if (!f->list_ver || rep->ver < f->list_ver)
@@ -138,9 +138,9 @@
       l->after = strdup (rep->rows[rep->n_rows - 1].key);
       return FOLLOW_PAGE;
     }
-  l->done = true;
+  l->complete = true;
   for (int i = 0; i < n_lists (f); i++)
-    if (!f->lists[i].done)
+    if (!f->listings[i].complete)
       return FOLLOW_PAGE;
   f->listed = true;
   f->ver = f->list_ver;
@@ -160,7 +160,7 @@
 follow_store_reply (struct follow *f, int64_t now_ms, uint64_t token,
                     const struct store_rep *rep, bool use_rows, bool *mine)
 {
-  struct follow_list *l = NULL;
+  struct follow_listing *l = NULL;
 
   *mine = follow_owns (f, token);
   if (!*mine)
--- a/core/follow.h
+++ b/core/follow.h
@@ -24,13 +24,13 @@
   FOLLOW_CHANGES, /* changed rows from the feed; possibly none */
 };
 
-/** struct follow_list - the list of one part in progress */
-struct follow_list
+/** struct follow_listing - the list of one part in progress */
+struct follow_listing
 {
   uint64_t token;  /* outstanding call; 0: none */
   int64_t sent_ms; /* when the last call was sent */
   char *after;     /* owned: last key read; NULL: none */
-  bool done;
+  bool complete;
 };
 
 struct follow
@@ -40,11 +40,11 @@
   int64_t wait_ms; /* longest wait of a call of the feed for a change */
   /* Pause between calls of the feed, so that changes are fetched together. */
   int64_t batch_ms;
-  struct outq *out; /* borrowed: where calls are queued */
-  uint64_t *tokens; /* borrowed: last token given to a call */
-  bool active;      /* between follow_start() and follow_stop() */
-  bool listed;      /* the list is complete */
-  struct follow_list lists[FOLLOW_PARTS_MAX];
+  struct outq *out;     /* borrowed: where calls are queued */
+  uint64_t *last_token; /* borrowed: last token given to a call */
+  bool active;          /* between follow_start() and follow_stop() */
+  bool listed;          /* the list is complete */
+  struct follow_listing listings[FOLLOW_PARTS_MAX];
   /* Lowest version of the list's pages, from which the feed starts; 0: no page
      was read. */
   int64_t list_ver;
--- a/core/leader.c
+++ b/core/leader.c
@@ -64,7 +64,7 @@
   l->rank = -1;
   l->first_claim_ms = now_ms + small_share_delay_ms (l);
   l->out = out;
-  l->tokens = tokens;
+  l->last_token = tokens;
 }
 
 /* Forgets the write in progress and its earlier sends. */
@@ -92,7 +92,7 @@
 {
   struct out *o = out_new (l->out, OUT_STORE);
 
-  l->token = ++*l->tokens;
+  l->token = ++*l->last_token;
   l->sent_ms = now_ms;
   o->u.store.token = l->token;
   o->u.store.op.kind = kind;
--- a/core/leader.h
+++ b/core/leader.h
@@ -114,7 +114,7 @@
   char addr[CLB_ADDR_MAX]; /* where other instances reach it */
   int64_t boot;            /* number of this process's start */
   struct outq *out;        /* borrowed: where calls are queued */
-  uint64_t *tokens;        /* borrowed: last token given to a call */
+  uint64_t *last_token;    /* borrowed: last token given to a call */
   int state;               /* enum leader_state */
   int64_t epoch;           /* term of the last known leader */
   /* The last known leader, from the holder row; empty: none. */
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -183,7 +183,7 @@
       return;
     }
   o = out_new (&f->out, OUT_STORE);
-  o->u.store.token = ++f->tokens;
+  o->u.store.token = ++f->last_token;
   o->u.store.op = m->op;
   memset (&m->op, 0, sizeof m->op);
   c = call_new (&f->proxy_serving, o->u.store.token);
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -368,9 +368,9 @@
   struct tick *t = calloc (1, sizeof *t);
   struct fleet_settings set = { .boot = WALL_MS + s->now_ms,
                                 .revoke_ms = 5000,
-                                .codec = { .conf = read_conf,
-                                           .exec = read_exec,
-                                           .job = read_job,
+                                .codec = { .decode_conf = read_conf,
+                                           .decode_exec = read_exec,
+                                           .decode_job = read_job,
                                            .state_body = tell_state,
                                            .count_body = tell_count,
                                            .error_body = tell_error,
@@ -462,7 +462,7 @@
   c->no = s->n_calls;
   c->instance = instance;
   c->verb = verb;
-  rq.call = c->no;
+  rq.request_id = c->no;
   rq.verb = verb;
   rq.host = "h";
   rq.path = id;
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -15,10 +15,10 @@
 static void
 start (struct fleet *f, int64_t boot)
 {
-  struct fleet_settings set
-      = { .boot = boot,
-          .codec
-          = { .conf = no_conf, .conf_table = "op", .exec_table = "ex" } };
+  struct fleet_settings set = {
+    .boot = boot,
+    .codec = { .decode_conf = no_conf, .conf_table = "op", .exec_table = "ex" }
+  };
 
   clb_copy (set.id, "n1", sizeof set.id);
   clb_copy (set.mesh_addr, "a", sizeof set.mesh_addr);
@@ -87,7 +87,7 @@
   start (&f, 1796352007000);
   f.leader.state = LEADER_LEADING;
   f.leader.renewed_ms = 1000;
-  f.fsched = fsched_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.fsched);
+  f.fsched = fsched_new (&f.out, &f.last_token, 1000, 1, 0, &f.stats.fsched);
   CU_ASSERT_EQUAL (rank_told (&f, 1100, "n2"), 0);
   CU_ASSERT_EQUAL (rank_told (&f, 2600, "n2"), 1);
   fleet_fini (&f);
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -39,7 +39,7 @@
 {
   struct exec_report rep;
 
-  CU_ASSERT_EQUAL (pf_codec.exec ("i-1", entry, &rep), 0);
+  CU_ASSERT_EQUAL (pf_codec.decode_exec ("i-1", entry, &rep), 0);
   CU_ASSERT_STRING_EQUAL (rep.addr, "10.0.0.9:80");
   CU_ASSERT_STRING_EQUAL (rep.rack, "r1-3");
   CU_ASSERT_STRING_EQUAL (rep.labels, ",kind,r1-3,");
@@ -66,7 +66,7 @@
   struct exec_report rep;
 
   for (size_t i = 0; i < CLB_COUNT (bad); i++)
-    CU_ASSERT_TRUE (pf_codec.exec ("i-1", bad[i], &rep) < 0);
+    CU_ASSERT_TRUE (pf_codec.decode_exec ("i-1", bad[i], &rep) < 0);
 }
 
 static void
@@ -76,7 +76,7 @@
   struct codec_err ce;
   const struct fconf_queue *q;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.conf (config, &c, &ce), 0);
+  CU_ASSERT_EQUAL_FATAL (pf_codec.decode_conf (config, &c, &ce), 0);
   q = fconf_queue_for (c, "H", "/p/00000000000000ab");
   CU_ASSERT_PTR_NOT_NULL (q);
   if (!q)
@@ -91,7 +91,8 @@
   CU_ASSERT_PTR_NULL (fconf_tenant_of_key (c, "k3"));
   CU_ASSERT_EQUAL (fconf_tenant (c, "t")->limit.millicores, 424162);
   fconf_free (c);
-  CU_ASSERT_EQUAL (pf_codec.conf ("{\"version\":\"7\"}", &c, &ce), CLB_EFIELD);
+  CU_ASSERT_EQUAL (pf_codec.decode_conf ("{\"version\":\"7\"}", &c, &ce),
+                   CLB_EFIELD);
   CU_ASSERT_STRING_EQUAL (ce.path, "version");
 }
 
@@ -101,7 +102,8 @@
   struct job_spec spec;
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.job (job, strlen (job), &spec, &ce), 0);
+  CU_ASSERT_EQUAL_FATAL (pf_codec.decode_job (job, strlen (job), &spec, &ce),
+                         0);
   CU_ASSERT_EQUAL (spec.n_steps, 2);
   CU_ASSERT_EQUAL (spec.steps[0].need.millicores, 500);
   CU_ASSERT_EQUAL (spec.steps[1].after, 1);
@@ -130,7 +132,7 @@
 
   for (size_t i = 0; i < CLB_COUNT (bad); i++)
     {
-      int err = pf_codec.job (bad[i], strlen (bad[i]), &spec, &ce);
+      int err = pf_codec.decode_job (bad[i], strlen (bad[i]), &spec, &ce);
       if (!err)
         err = job_check (&spec, &ce);
       CU_ASSERT_TRUE (err < 0);
@@ -254,12 +256,12 @@
       struct order_result res;
       size_t len;
       damage (entry, text, sizeof text);
-      pf_codec.exec ("i-1", text, &rep);
+      pf_codec.decode_exec ("i-1", text, &rep);
       damage (config, text, sizeof text);
-      if (!pf_codec.conf (text, &conf, &ce))
+      if (!pf_codec.decode_conf (text, &conf, &ce))
         fconf_free (conf);
       len = damage (job, text, sizeof text);
-      if (!pf_codec.job (text, len, &spec, &ce))
+      if (!pf_codec.decode_job (text, len, &spec, &ce))
         {
           job_check (&spec, &ce);
           codec_free (&job_spec_desc, &spec);
