--- a/core/fleet.h
+++ b/core/fleet.h
@@ -3,9 +3,10 @@
  * keeps a copy of the configuration, and schedules jobs while it is the
  * leader.
  *
- * The module does no input or output.  Its user passes in every input together
- * with the present time and carries out the messages queued in @out.  Times
- * are read from a clock that also advances while the machine is suspended.
+ * The module does no input or output itself.  Its user passes in every input
+ * together with the current time, and sends or logs what fleet_next_out()
+ * returns.  Times are in milliseconds, from a clock that also advances while
+ * the machine is suspended, unless they are said to be of the wall clock.
  */
 #ifndef FLEET_H
 #define FLEET_H
@@ -17,52 +18,57 @@
 
 enum
 {
-  /* Longest wait for a change in a feed of a table.  Each answer of the
-     configuration's feed proves that the configuration is current. */
+  /* Longest time for which a call of a table's feed waits for a change.  Each
+     answer of the configuration's feed proves that the configuration is
+     current. */
   FLEET_FEED_WAIT_MS = 500,
-  /* Interval between a follower's hellos to the leader. */
+  /* Interval between the hellos that a follower sends to the leader. */
   FLEET_HELLO_MS = 400,
-  /* Time after its claim from which a leader reports ranks: every follower
-     has sent it a hello by then, as this covers three intervals. */
+  /* A new leader reports ranks to its followers only after this time, counted
+     from its claim.  Every follower has sent it a hello by then, as the time
+     covers three intervals of FLEET_HELLO_MS. */
   FLEET_RANK_AFTER_MS = 1500,
-  /* The leader's time to answer a query; after that the table service is read
-     instead. */
+  /* Time that the leader has to answer a query.  After it, a job's state is
+     read from the table service instead, and a count is refused. */
   FLEET_QUERY_TIMEOUT_MS = 250,
-  /* A request is answered this long before the caller's own timeout. */
+  /* A request is answered this long before the caller's own timeout ends. */
   FLEET_ANSWER_MARGIN_MS = 150,
-  /* Timeout of requests that state none. */
+  /* Timeout of a request that states none. */
   FLEET_DEFAULT_TIMEOUT_MS = 2500,
   /* Pause before the first retry of a failed call to the table service.  The
      pause doubles with each try, up to FLEET_RETRY_MAX_MS. */
   FLEET_RETRY_MS = 20,
   FLEET_RETRY_MAX_MS = 160,
-  /* Tries after which a request is refused, if surely none took effect. */
+  /* A request is refused after this many failed tries if none of them can
+     have taken effect. */
   FLEET_TRIES_MAX = 4,
-  /* Once the configuration's feed has failed for this long, new writes are
-     refused at once: a write that fails then cannot be told from one that
-     took effect. */
+  /* Once the calls of the configuration's feed have failed for this long and
+     no peer reaches the table service, requests that write are refused at
+     once: a write that fails then cannot be told from one that took effect. */
   FLEET_REFUSE_WRITES_MS = 500,
-  /* A peer is used to reach the table service if its last proof that it
-     reaches it is younger than this.  A proof is at most FLEET_FEED_WAIT_MS
-     old when it is reported, and is reported every FLEET_HELLO_MS. */
+  /* Calls to the table service are sent through a peer if the peer has reached
+     the service within this time.  The peer's last contact with the service
+     is at most FLEET_FEED_WAIT_MS old when it is reported, and is reported
+     every FLEET_HELLO_MS. */
   FLEET_PEER_FRESH_MS = 1700,
-  /* Requests that need a key are refused this long before the time at which a
-     withdrawn key must have stopped working. */
+  /* Without a current configuration, requests that need a key are refused this
+     long before the time at which a withdrawn key must not work any more. */
   FLEET_KEY_MARGIN_MS = 500,
-  /* The instance is ready while the configuration was proved current within
-     this time: two waits of its feed and slow answers. */
+  /* The instance is ready while the last proof that its configuration is
+     current is younger than this.  The time covers two waits of the
+     configuration's feed and slow answers. */
   FLEET_READY_CONF_AGE_MS = 1400,
-  /* Records that become due within this time share one write. */
+  /* Records that become due within this time are written together. */
   FLEET_RECORD_BATCH_MS = 25,
-  /* The same for records of starts; short, as each start waits for its
-     record. */
+  /* Records of starts that become due within this time are written together.
+     The time is short, as each start waits for its record. */
   FLEET_INTENT_BATCH_MS = 2,
-  /* Pause between reads of the feed of jobs.  The leader finds a job of which
-     no instance has notified it after at most this time. */
+  /* Pause between calls of the feed of jobs.  If no instance notifies the
+     leader of a job, the leader finds the job after at most this time. */
   FLEET_JOBS_BATCH_MS = 200,
-  /* Retry-After of answers with status 503. */
+  /* Value of the Retry-After header of answers with status 503. */
   FLEET_RETRY_AFTER_MS = 1000,
-  /* Most requests in progress; more are refused. */
+  /* Most callers' requests in progress; a further request is refused. */
   FLEET_REQUESTS_MAX = 2000,
 };
 
@@ -70,10 +76,11 @@
 enum fleet_verb
 {
   FLEET_SUBMIT,
-  /* State of a job; without an id, the number of waiting jobs of a queue. */
+  /* Asks for the state of a job or, if the path holds no job's id, for the
+     number of waiting jobs of a queue. */
   FLEET_STATE,
   FLEET_CANCEL,
-  /* Any other method; refused. */
+  /* Any other HTTP method; the request is refused. */
   FLEET_OTHER,
   FLEET_VERB_N
 };
@@ -82,65 +89,75 @@
 /** struct fleet_request - a caller's request; all pointers are borrowed */
 struct fleet_request
 {
-  uint64_t request_id; /* number of the request, never reused */
+  uint64_t request_id; /* number that is never reused */
   int verb;            /* enum fleet_verb */
-  const char *host;
-  const char *path;
-  const char *key;    /* API key; NULL: none given */
-  int64_t timeout_ms; /* the caller's timeout; 0: not stated */
+  const char *host;    /* host of the request's URL, without the port */
+  const char *path;    /* path of the URL: a queue's prefix, then a job's id */
+  const char *key;     /* API key; NULL: none was given */
+  int64_t timeout_ms;  /* the caller's timeout; 0: not stated */
   const char *body;
   size_t body_len;
 };
 
-/** struct fleet_codec - codec of the platform's documents, and their places */
+/**
+ * struct fleet_codec - functions that decode and encode the platform's
+ * documents, and the keys under which the table service holds the documents
+ */
 struct fleet_codec
 {
-  /** conf - Decodes a configuration; 0 and @out, which the caller frees, or
-   * an error. */
+  /** decode_conf - Decodes a configuration.  Returns 0 and sets @out, which
+   * the caller frees with fconf_free(), or returns an error and sets @ce. */
   int (*decode_conf) (const char *text, struct fconf **out,
                       struct codec_err *ce);
-  /** exec - Decodes an executor's entry; 0, or an error if the entry is
-   * damaged or its state is neither ready nor draining. */
+  /** decode_exec - Decodes the table entry of executor @id.  Returns 0, or an
+   * error if the entry is damaged or the state in it is neither ready nor
+   * draining. */
   int (*decode_exec) (const char *id, const char *text,
                       struct exec_report *out);
-  /** job - Decodes a submitted job; 0, or an error, after which @out is
-   * empty. */
+  /** decode_job - Decodes a submitted job.  Returns 0, or an error, after
+   * which
+   * @out is empty and @ce names the field. */
   int (*decode_job) (const char *text, size_t len, struct job_spec *out,
                      struct codec_err *ce);
-  /** state_body - Body of an answer with a job's state; the caller frees. */
+  /** state_body - Makes the body of an answer with a job's state, which is an
+   * enum job_state.  The caller frees the body. */
   char *(*state_body) (int state);
-  /** count_body - Body of an answer with a count; the caller frees. */
+  /** count_body - Makes the body of an answer with a number of waiting jobs.
+   * The caller frees the body. */
   char *(*count_body) (int64_t waiting);
-  /** error_body - Body of a refusal; the caller frees.  @detail names what
-   * was wrong, or is empty. */
+  /** error_body - Makes the body of a refusal, which the caller frees.
+   * @detail names what was wrong, or is empty. */
   char *(*error_body) (const char *error, const char *detail);
-  const char *conf_table; /* table of the configuration */
-  const char *conf_key;   /* key of the configuration, with its table */
-  const char *exec_table; /* table of the executors' entries, by their ids */
+  const char *conf_table; /* table that holds the configuration */
+  const char *conf_key;   /* the configuration's row, as "TABLE/KEY" */
+  const char *exec_table; /* table of executors' entries, keyed by id */
 };
 
 /** struct fleet_settings - settings of an instance, fixed at its start */
 struct fleet_settings
 {
-  char id[CLB_ID_MAX];
-  char zone[CLB_NAME_MAX];
-  char mesh_addr[CLB_ADDR_MAX]; /* where other instances reach this one */
-  int64_t boot;      /* wall clock at the start of the process, milliseconds */
-  int64_t revoke_ms; /* longest time that a withdrawn key may still work */
-  int64_t millicores; /* this instance's share of a core; 0: not known */
+  char id[CLB_ID_MAX];     /* id of this instance */
+  char zone[CLB_NAME_MAX]; /* failure domain of this instance */
+  /* Address at which other instances reach this one. */
+  char mesh_addr[CLB_ADDR_MAX];
+  int64_t boot; /* wall clock at the start of the process, milliseconds */
+  /* Longest time for which a withdrawn key may still work. */
+  int64_t revoke_ms;
+  /* This instance's share of a core, in thousandths; 0: not known. */
+  int64_t millicores;
   struct fleet_codec codec;
 };
 
 /** enum api_step - what a request in progress waits for */
 enum api_step
 {
-  /* The write of the job or of its cancellation. */
+  /* Waits for the write of the job or of its cancellation. */
   API_WRITING,
-  /* The leader's answer to a query. */
+  /* Waits for the leader's reply to a query. */
   API_QUERYING,
-  /* The read of the job's recorded progress. */
+  /* Waits for the read of the job's recorded progress. */
   API_READING_STATE,
-  /* The read of the job's own row. */
+  /* Waits for the read of the job's own row. */
   API_READING_JOB,
 };
 
@@ -148,51 +165,63 @@
 struct api_request
 {
   RB_ENTRY (api_request) by_request_id;
-  uint64_t request_id; /* number of the request */
+  uint64_t request_id; /* number that the caller's request came with */
   int verb;            /* enum fleet_verb */
   int step;            /* enum api_step */
   uint64_t token;      /* outstanding call to the table service; 0: none */
-  char job_id[JOB_ID_SIZE];
-  char queue[CLB_NAME_MAX];
-  char tenant[CLB_NAME_MAX]; /* empty: no key was given */
-  char *record;              /* owned: the job as it is written */
-  int64_t arrival_ms;
-  int64_t deadline_ms; /* the request is answered by then, whatever is known */
-  int64_t retry_at_ms; /* time of the next retry; 0: none is due */
-  int64_t query_ms;    /* time of the query to the leader */
+  char job_id[JOB_ID_SIZE];  /* empty: the request asks for a count */
+  char queue[CLB_NAME_MAX];  /* name of the queue */
+  char tenant[CLB_NAME_MAX]; /* client account of the key; empty: none */
+  char *record;              /* owned: row of a submitted job; NULL: none */
+  int64_t arrival_ms;        /* time at which the request arrived */
+  int64_t deadline_ms; /* time by which the request is answered in any case */
+  int64_t retry_at_ms; /* time of the next retry; 0: no retry is due */
+  int64_t query_ms;    /* time at which the leader was queried */
   int64_t query_seq;   /* number of the query to the leader */
   int tries;           /* calls and queries sent so far */
-  /* The answer to a write was lost: the write may take effect. */
+  /* True if the answer to a write was lost, so that the write may have taken
+     effect or may still do so. */
   bool outcome_unknown;
 };
 RB_HEAD (api_request_tree, api_request);
 
-/** enum fleet_answer - answers to callers; each has a counter and a status */
+/** enum fleet_answer - answers to callers; each has a counter of its own and
+ * an HTTP status */
 enum fleet_answer
 {
+  /* The job was recorded. */
   ANSWER_ACCEPTED,
-  /* A job of this id was recorded before. */
+  /* A job of this id had been recorded before. */
   ANSWER_DUPLICATE,
+  /* The answer holds the state of a job. */
   ANSWER_STATE,
+  /* The cancellation of the job was recorded. */
   ANSWER_CANCELLED,
-  /* The number of waiting jobs of a queue. */
+  /* The answer holds the number of waiting jobs of a queue. */
   ANSWER_WAITING,
   /* No configuration has been read yet. */
   ANSWER_NO_CONFIG,
-  /* The configuration is too old to check a key by it. */
+  /* The configuration is too old to check a key against it. */
   ANSWER_CONF_STALE,
+  /* No queue has the host and path of the request. */
   ANSWER_NO_QUEUE,
+  /* The queue needs a key, and no client account has the one given. */
   ANSWER_BAD_KEY,
-  /* The job's document, id or method is invalid. */
+  /* The job's document or id, or the HTTP method, is invalid. */
   ANSWER_BAD_JOB,
+  /* No job of this id is recorded. */
   ANSWER_NO_JOB,
-  /* The table service refused the call; nothing was recorded. */
+  /* The table service refused the call, or did not answer a read in time;
+     nothing was recorded. */
   ANSWER_STORE_REFUSED,
   /* The write may or may not have taken effect. */
   ANSWER_UNKNOWN,
+  /* No leader is reachable, or the leader did not answer the query for a
+     count. */
   ANSWER_NO_LEADER,
+  /* FLEET_REQUESTS_MAX requests are in progress. */
   ANSWER_TOO_MANY,
-  /* The table service was known to be unreachable; nothing was sent. */
+  /* The table service was known to be unreachable; no call was sent to it. */
   ANSWER_TABLE_UNREACHABLE,
   ANSWER_N
 };
@@ -201,26 +230,33 @@
 /** struct fleet_stats - counters since the process began */
 struct fleet_stats
 {
-  uint64_t answers[ANSWER_N]; /* answers to callers */
+  uint64_t answers[ANSWER_N]; /* answers to callers, by enum fleet_answer */
   uint64_t store_errors; /* failed calls to the table service for requests */
-  uint64_t terms;        /* times that this instance became leader */
+  uint64_t terms;        /* how often this instance became the leader */
   uint64_t queries;      /* queries sent to the leader */
-  uint64_t queries_lost; /* queries that the leader did not answer */
+  uint64_t queries_lost; /* queries that the leader did not answer in time */
   uint64_t retries;      /* retried calls to the table service for requests */
-  uint64_t proxied;      /* calls to the table service through a peer */
-  uint64_t bad_rows;     /* damaged rows of the platform's tables */
-  struct hist request_ms[FLEET_VERB_N]; /* from a request to its answer */
-  struct hist record_ms; /* from a leader's write to its success */
-  struct fsched_stats fsched;
+  uint64_t proxied;      /* calls to the table service sent through a peer */
+  uint64_t bad_rows;     /* damaged rows read from the platform's tables */
+  /* Time from a request's arrival to its answer, by enum fleet_verb. */
+  struct hist request_ms[FLEET_VERB_N];
+  /* Time from the first send of a leader's write to the answer that reports
+     its success. */
+  struct hist record_ms;
+  struct fsched_stats fsched; /* counters of the scheduler */
 };
 
 TAILQ_HEAD (proxy_callq, proxy_call);
 
-/** enum fleet_load_kind - records that a new leader reads first */
+/** enum fleet_load_kind - kinds of records that a new leader reads before it
+ * reads the tables of executors and jobs */
 enum fleet_load_kind
 {
+  /* The roster: the executors that earlier leaders have used. */
   FLEET_LOAD_ROSTER,
+  /* The recorded starts of tasks. */
   FLEET_LOAD_INTENTS,
+  /* The progress of jobs. */
   FLEET_LOAD_PROGRESS,
   FLEET_LOAD_N
 };
@@ -230,62 +266,69 @@
 {
   uint64_t token; /* outstanding call to the table service; 0: none */
   char *after;    /* owned: last key read so far; NULL: none */
-  bool complete;
+  bool complete;  /* all records of the kind have been read */
 };
 
 /** struct fleet - one instance on the fleet */
 struct fleet
 {
   struct fleet_settings settings;
-  int64_t now_ms;        /* time of the present input */
-  int64_t wall_ms;       /* wall clock, as passed with the last input */
-  struct outq out;       /* messages to be carried out */
+  int64_t now_ms;        /* time of the latest input */
+  int64_t wall_ms;       /* wall clock, as last passed in; milliseconds */
+  struct outq out;       /* output for fleet_next_out() to return */
   uint64_t last_token;   /* last number given to a call, query or order */
   struct leader leader;  /* leader election */
   struct fsched *fsched; /* scheduler; NULL unless this instance leads */
   struct fconf *conf;    /* configuration; NULL until the first one is read */
-  struct follow conf_feed;
-  struct follow exec_feed; /* active only while this instance leads */
-  struct follow job_feed;  /* active only while this instance leads */
-
-  /* The table service.  A failed call is no contact. */
+  struct follow conf_feed; /* reads the configuration's table */
+  /* Read the tables of executors and of jobs; active only while this instance
+     leads. */
+  struct follow exec_feed;
+  struct follow job_feed;
+
+  /* Time of the last answer of the table service; a failed call is not
+     counted as an answer. */
   int64_t store_last_contact_ms;
-  int store_failures;    /* failed calls since the last contact */
+  int store_failures;    /* calls to the table service failed since then */
   bool conf_feed_failed; /* the last call of the configuration's feed failed */
+  /* Time of the first failed call, if conf_feed_failed. */
   int64_t conf_feed_failed_since_ms;
 
-  /* Reading of the recorded state, and writes of records, while leading. */
-  bool loading; /* the recorded state is being read */
-  struct fleet_load loads[FLEET_LOAD_N];
-  int64_t load_retry_ms;   /* no read of the recorded state before then */
-  int64_t next_record_ms;  /* no write of records before then */
-  int64_t next_intents_ms; /* no write of starts' records before then */
+  /* The fields up to next_intents_ms are used while this instance leads. */
+  bool loading; /* the records of enum fleet_load_kind are being read */
+  struct fleet_load loads[FLEET_LOAD_N]; /* by enum fleet_load_kind */
+  int64_t load_retry_ms;   /* no read of these records is sent before then */
+  int64_t next_record_ms;  /* no write of records is due before then */
+  int64_t next_intents_ms; /* no write of starts' records is due before then */
 
   struct api_request_tree requests; /* callers' requests in progress */
   int n_requests;
 
-  /* The leader, while another instance leads. */
-  int64_t next_hello_ms; /* no hello to the leader before then */
+  int64_t next_hello_ms; /* no hello is sent to the leader before then */
+  /* Time of the leader's last reply to a hello of this instance. */
   int64_t leader_last_contact_ms;
 
-  /* Instance that reaches the table service, as reported by the leader; often
-     the leader itself; empty: none known. */
+  /* Address of an instance that reaches the table service, as the leader
+     reported; often the leader's own address; empty: none is known. */
   char table_peer[CLB_ADDR_MAX];
-  int64_t table_peer_fresh_ms; /* last time at which it surely reached it */
+  /* Last time at which table_peer is known to have reached the service. */
+  int64_t table_peer_fresh_ms;
 
-  struct proxy_callq proxy_sent;    /* calls that a peer makes for this one */
-  struct proxy_callq proxy_serving; /* calls that this one makes for peers */
-  int n_proxy_serving;
+  struct proxy_callq proxy_sent; /* calls that peers make for this instance */
+  struct proxy_callq proxy_serving; /* calls made here for peers */
+  int n_proxy_serving;              /* number of calls in proxy_serving */
 
-  int64_t conf_current_ms; /* last time when the configuration was current */
-  bool stopping;           /* fleet_stop() was called */
+  /* Last time at which conf is known to have been the newest configuration. */
+  int64_t conf_current_ms;
+  bool stopping; /* fleet_stop() was called */
   struct fleet_stats stats;
 };
 
 RB_PROTOTYPE (api_request_tree, api_request, by_call, api_request_cmp)
 int api_request_cmp (const struct api_request *a, const struct api_request *b);
 
-/** fleet_init() - Set up @f and begin to read the configuration. */
+/** fleet_init() - Set up @f with a copy of @set, and begin to read the
+ * configuration. */
 void fleet_init (struct fleet *f, const struct fleet_settings *set,
                  int64_t now_ms);
 /** fleet_fini() - Free all that @f owns. */
@@ -294,100 +337,121 @@
 /* Inputs. */
 
 /**
- * fleet_request() - A caller's request.
+ * fleet_request() - Handle a caller's request.
  * @rq: borrowed during the call
  *
- * Each request is answered once by an OUT_ANSWER with its number, unless
- * fleet_request_aborted() comes first.
+ * Each request is answered by one OUT_ANSWER with the request's number, unless
+ * fleet_request_aborted() is called before.
  */
 void fleet_request (struct fleet *f, int64_t now_ms, int64_t wall_ms,
                     const struct fleet_request *rq);
-/** fleet_request_aborted() - The caller of request @call has disconnected. */
-void fleet_request_aborted (struct fleet *f, uint64_t call);
-/** fleet_store_reply() - The answer to call @token to the table service. */
+/** fleet_request_aborted() - Drop request @request_id, whose caller has
+ * disconnected, without an answer. */
+void fleet_request_aborted (struct fleet *f, uint64_t request_id);
+/** fleet_store_reply() - Handle the table service's answer @rep, which is
+ * borrowed, to call @token. */
 void fleet_store_reply (struct fleet *f, int64_t now_ms, uint64_t token,
                         const struct store_rep *rep);
-/** fleet_order_result() - The result of an order; both are borrowed. */
+/** fleet_order_result() - Handle the result @res of order @o; both are
+ * borrowed. */
 void fleet_order_result (struct fleet *f, int64_t now_ms,
                          const struct order *o,
                          const struct order_result *res);
 /**
- * fleet_mesh_msg() - A message of another instance.
- * @m: still the caller's, but its store operation may have been taken over
+ * fleet_mesh_msg() - Handle a message from another instance.
+ * @m: stays owned by the caller; the function may take ownership of the
+ *     operation in it, which is empty then
  */
 void fleet_mesh_msg (struct fleet *f, int64_t now_ms, struct mesh_msg *m);
-/** fleet_tick() - Do what is due; to be called every few milliseconds. */
+/** fleet_tick() - Send the calls and messages that are due and end the
+ * requests that have timed out; to be called every few milliseconds. */
 void fleet_tick (struct fleet *f, int64_t now_ms, int64_t wall_ms);
 /**
- * fleet_next_out() - The next message to be carried out.
+ * fleet_next_out() - Take the next queued output: a message or call to be
+ * sent, an answer to a caller, or a log line.
  *
- * Return: owned by the caller, to be freed with out_free(); NULL: none.
+ * Return: the output, which the caller frees with out_free(); NULL if none is
+ * queued.
  */
 struct out *fleet_next_out (struct fleet *f);
 
-/** fleet_stop() - Begin a graceful shutdown; a leader gives up leadership. */
+/** fleet_stop() - Begin a graceful shutdown.  If this instance leads, it gives
+ * up leadership. */
 void fleet_stop (struct fleet *f, int64_t now_ms);
 /** fleet_idle() - Whether no caller's request is in progress. */
 bool fleet_idle (const struct fleet *f);
-/** fleet_ready() - Whether this instance is ready for callers. */
+/** fleet_ready() - Whether this instance is ready for callers: its
+ * configuration is recent, and fleet_stop() was not called. */
 bool fleet_ready (const struct fleet *f, int64_t now_ms);
-/** fleet_metrics() - Counters as Prometheus text; the caller frees. */
+/** fleet_metrics() - Return the counters as Prometheus text, which the caller
+ * frees. */
 char *fleet_metrics (struct fleet *f);
 
 /* api.c, used by fleet.c */
 
 /** api_tick() - Send due retries and end requests that have timed out. */
 void api_tick (struct fleet *f);
-/** api_store_reply() - Handle @rep if @token is a call for a request. */
+/** api_store_reply() - Handle @rep if call @token was made for a caller's
+ * request; return whether it was. */
 bool api_store_reply (struct fleet *f, uint64_t token,
                       const struct store_rep *rep);
-/** api_mesh_msg() - Answer a query of a peer, or take the reply to one. */
+/** api_mesh_msg() - Answer a query of another instance, or handle the leader's
+ * reply to a query of this one. */
 void api_mesh_msg (struct fleet *f, const struct mesh_msg *m);
-/** api_fini() - Drop all requests in progress without an answer. */
+/** api_fini() - Free all requests in progress, without answers. */
 void api_fini (struct fleet *f);
 
 /* fleet_load.c, used by fleet.c */
 
-/** fleet_load_start() - Begin to read the recorded state. */
+/** fleet_load_start() - Begin to read the records of enum fleet_load_kind. */
 void fleet_load_start (struct fleet *f);
-/** fleet_load_stop() - Stop reading; ignore answers still to come. */
+/** fleet_load_stop() - Stop reading; answers to outstanding reads are then
+ * ignored. */
 void fleet_load_stop (struct fleet *f);
 /** fleet_load_tick() - Send the reads that are due. */
 void fleet_load_tick (struct fleet *f);
-/** fleet_load_store_reply() - Handle @rep if @token is one of these reads. */
+/** fleet_load_store_reply() - Handle @rep if call @token is a read of the
+ * recorded state; return whether it is. */
 bool fleet_load_store_reply (struct fleet *f, uint64_t token,
                              const struct store_rep *rep);
-/** fleet_load_finish() - Start scheduling, if everything has been read. */
+/** fleet_load_finish() - Let the scheduler start, if all records and the
+ * tables of executors and jobs have been read. */
 void fleet_load_finish (struct fleet *f);
 
 /* proxy.c, used by fleet.c and api.c */
 
-/** proxy_init() - Set up the queues of calls. */
+/** proxy_init() - Set up the queues of calls that peers make for this instance
+ * and that it makes for peers. */
 void proxy_init (struct fleet *f);
-/** proxy_fini() - Drop all calls. */
+/** proxy_fini() - Free all calls in both queues. */
 void proxy_fini (struct fleet *f);
-/** proxy_table_unreachable() - Whether the table service does not answer this
- * instance. */
+/** proxy_table_unreachable() - Whether the table service is considered
+ * unreachable from this instance. */
 bool proxy_table_unreachable (const struct fleet *f);
-/** proxy_peer() - Address of an instance that reaches the table service, or
- * NULL. */
+/** proxy_peer() - Return the address of another instance that reaches the
+ * table service, or NULL if none is known. */
 const char *proxy_peer (const struct fleet *f);
 /**
  * proxy_route() - Send a call to the table service through a peer, if needed.
- * @o: an OUT_STORE; its operation is taken over when the call is routed
+ * @o: an OUT_STORE; if the call is sent through a peer, the function takes
+ *     ownership of the operation in @o
  *
- * Return: whether the call was routed; if not, it is to be sent directly.
+ * Return: true if the call was sent through a peer; false if the caller has to
+ * send it to the table service.
  */
 bool proxy_route (struct fleet *f, struct out *o);
-/** proxy_serve() - Make a call to the table service for a peer; takes over
- * the operation of @m. */
+/** proxy_serve() - Make the call to the table service that a peer requests in
+ * @m.  The function takes ownership of the operation in @m, or refuses it. */
 void proxy_serve (struct fleet *f, struct mesh_msg *m);
-/** proxy_store_reply() - Forward @rep if @token is a call made for a peer. */
+/** proxy_store_reply() - Forward @rep to the peer for which call @token was
+ * made; return false if it was made for none. */
 bool proxy_store_reply (struct fleet *f, uint64_t token,
                         const struct store_rep *rep);
-/** proxy_peer_reply() - Take a peer's answer to a call of this instance. */
+/** proxy_peer_reply() - Handle the answer that a peer forwards to a call of
+ * this instance. */
 void proxy_peer_reply (struct fleet *f, const struct mesh_msg *m);
-/** proxy_tick() - End the calls that a peer has not answered in time. */
+/** proxy_tick() - End the calls that peers have not answered in time, with
+ * %CLB_EUNKNOWN. */
 void proxy_tick (struct fleet *f);
 
 /* fleet.c, used by api.c and proxy.c */
@@ -396,14 +460,17 @@
 void fleet_dispatch_reply (struct fleet *f, uint64_t token,
                            const struct store_rep *rep);
 /**
- * fleet_notify_job() - Notify the leader that a job was recorded.
- * @record: the job's record; NULL: the job was cancelled
+ * fleet_notify_job() - Notify the leader that a job or its cancellation was
+ * recorded.
+ * @id: id of the job
+ * @record: the job's record, which is copied; NULL: the job was cancelled
  */
 void fleet_notify_job (struct fleet *f, const char *id, const char *record);
-/** fleet_send() - Send @m to the instance at @addr; takes @m over. */
+/** fleet_send() - Send @m to the instance at @addr.  The function takes
+ * ownership of @m. */
 void fleet_send (struct fleet *f, const char *addr, struct mesh_msg *m);
-/** fleet_leader_addr() - Address of the leader; NULL if it is unreachable,
- * unknown or this instance. */
+/** fleet_leader_addr() - Return the leader's address; NULL if the leader is
+ * unreachable, unknown or this instance. */
 const char *fleet_leader_addr (const struct fleet *f);
 
 #endif
