--- a/core/api.c
+++ b/core/api.c
@@ -1,8 +1,8 @@
 /*
- * Callers' requests.  Any instance takes them.  A job is accepted once it is
- * recorded in the platform's table service under its id.  The leader is
- * queried for states and counts; a state is read from the table service if the
- * leader does not answer.
+ * Handles callers' requests.  Any instance takes requests.  A job is accepted
+ * once the job is recorded in the platform's table service under its id.  The
+ * leader is queried for states and counts.  If the leader does not answer, a
+ * state is read from the table service, and a count is refused.
  */
 #include "fleet.h"
 
@@ -24,8 +24,8 @@
 const char *const fleet_verb_names[]
     = { "submit", "state", "cancel", "other", NULL };
 
-/* HTTP statuses by enum fleet_answer.  503 means that nothing was accepted,
-   504 that it is not known whether the request took effect. */
+/* HTTP statuses, by enum fleet_answer.  503 means that nothing was accepted,
+   504 that it is unknown whether the request took effect. */
 static const int answer_status[ANSWER_N]
     = { 200, 200, 200, 200, 200, 503, 503, 404,
         401, 400, 410, 503, 504, 503, 503, 503 };
@@ -38,7 +38,8 @@
 
 RB_GENERATE (api_request_tree, api_request, by_request_id, api_request_cmp)
 
-/* Writes the key of a job's row, or of its row with @suffix, to @out. */
+/* Writes to @out the key of the row of job @id.  @suffix ends the key; it is
+   empty for the row that holds the job itself. */
 static void
 job_key (const char *id, const char *suffix, char out[CLB_NAME_MAX])
 {
@@ -46,10 +47,11 @@
             suffix);
 }
 
-/* Queues the answer @answer to request @call; takes over @body.  @body NULL:
-   an error body is made, if the status needs one. */
+/* Queues the answer @answer (enum fleet_answer) to request @request_id.  The
+   function takes ownership of @body.  If @body is NULL and the status is an
+   error, the function makes a body. */
 static void
-send_answer (struct fleet *f, uint64_t call, int answer, char *body)
+send_answer (struct fleet *f, uint64_t request_id, int answer, char *body)
 {
   struct out *o = out_new (&f->out, OUT_ANSWER);
   int status = answer_status[answer];
@@ -57,15 +59,16 @@
   f->stats.answers[answer]++;
   if (status >= 400 && !body)
     body = f->settings.codec.error_body (fleet_answer_names[answer], "");
-  o->u.answer.call = call;
+  o->u.answer.call = request_id;
   o->u.answer.status = status;
   o->u.answer.body = body;
   if (status == 503)
     o->u.answer.retry_ms = FLEET_RETRY_AFTER_MS;
 }
 
+/* Removes @c from the requests in progress and frees it. */
 static void
-request_free (struct fleet *f, struct api_request *c)
+free_request (struct fleet *f, struct api_request *c)
 {
   RB_REMOVE (api_request_tree, &f->requests, c);
   f->n_requests--;
@@ -73,9 +76,10 @@
   free (c);
 }
 
-/* Answers and frees @c; takes over @body, which may be NULL. */
+/* Answers @c with @answer (enum fleet_answer) and frees @c.  The function
+   takes ownership of @body, which may be NULL. */
 static void
-finish (struct fleet *f, struct api_request *c, int answer, char *body)
+finish_request (struct fleet *f, struct api_request *c, int answer, char *body)
 {
   out_line (&f->out,
             "event=answer call=%llu verb=%d job=%s queue=%s tenant=%s "
@@ -88,13 +92,14 @@
             (long long)(f->now_ms - f->conf_current_ms), f->leader.holder);
   hist_add (&f->stats.request_ms[c->verb], f->now_ms - c->arrival_ms);
   send_answer (f, c->request_id, answer, body);
-  request_free (f, c);
+  free_request (f, c);
 }
 
-/* Answers @rq with the refusal @answer.  Nothing was written for it. */
+/* Answers @rq with the refusal @answer (enum fleet_answer).  @detail says what
+   is wrong, or is empty.  Nothing has been written for the request. */
 static void
-refuse (struct fleet *f, const struct fleet_request *rq, int answer,
-        const char *detail)
+refuse_request (struct fleet *f, const struct fleet_request *rq, int answer,
+                const char *detail)
 {
   out_line (&f->out,
             "event=refused call=%llu path=%.60s answer=%s status=%d "
@@ -108,10 +113,10 @@
       f->settings.codec.error_body (fleet_answer_names[answer], detail));
 }
 
-/* Queues a call to the table service for @c.  Returns its operation, to be
-   filled in by the caller. */
+/* Queues a call to the table service for @c.  Returns the operation of the
+   call, which is still to be filled in. */
 static struct store_op *
-store_call (struct fleet *f, struct api_request *c, int kind)
+send_call (struct fleet *f, struct api_request *c, int kind)
 {
   struct out *o = out_new (&f->out, OUT_STORE);
 
@@ -123,12 +128,13 @@
   return &o->u.store.op;
 }
 
-/* Writes the job's row if it does not exist: the first job of an id wins,
-   whichever instance took it. */
+/* Sends a write of the job's row on the condition that the row does not exist.
+   Of several jobs with the same id, only the first one written is accepted,
+   whichever instances handle them. */
 static void
 send_submit (struct fleet *f, struct api_request *c)
 {
-  struct store_op *op = store_call (f, c, STORE_TXN);
+  struct store_op *op = send_call (f, c, STORE_TXN);
   char key[CLB_NAME_MAX];
 
   c->step = API_WRITING;
@@ -137,10 +143,11 @@
   store_put (op, key, c->record);
 }
 
+/* Sends a write of the row that cancels the job. */
 static void
 send_cancel (struct fleet *f, struct api_request *c)
 {
-  struct store_op *op = store_call (f, c, STORE_TXN);
+  struct store_op *op = send_call (f, c, STORE_TXN);
   char key[CLB_NAME_MAX];
 
   c->step = API_WRITING;
@@ -148,11 +155,12 @@
   store_put (op, key, "{}");
 }
 
-/* Reads the row that @step waits for: the job's progress or the job itself. */
+/* Sends a read of the row that @step waits for: API_READING_STATE, the job's
+   progress; API_READING_JOB, the job itself. */
 static void
-read_row (struct fleet *f, struct api_request *c, int step)
+send_read (struct fleet *f, struct api_request *c, int step)
 {
-  struct store_op *op = store_call (f, c, STORE_GET);
+  struct store_op *op = send_call (f, c, STORE_GET);
   char key[CLB_NAME_MAX];
 
   c->step = step;
@@ -163,9 +171,10 @@
   op->key = strdup (key);
 }
 
-/* Queries the leader for the state of job @subject or the number of waiting
-   jobs of queue @subject.  If no leader is reachable, a state is read from the
-   table service, and a count is refused. */
+/* Queries the leader for the state of job @subject (@kind MESH_STATE_QUERY) or
+   for the number of waiting jobs of queue @subject (MESH_WAITING_QUERY).  If
+   no leader is reachable, a state is read from the table service, and a count
+   is refused. */
 static void
 query_leader (struct fleet *f, struct api_request *c, int kind,
               const char *subject)
@@ -176,9 +185,9 @@
   if (!addr)
     {
       if (kind == MESH_STATE_QUERY)
-        read_row (f, c, API_READING_STATE);
+        send_read (f, c, API_READING_STATE);
       else
-        finish (f, c, ANSWER_NO_LEADER, NULL);
+        finish_request (f, c, ANSWER_NO_LEADER, NULL);
       return;
     }
   m = calloc (1, sizeof *m);
@@ -195,7 +204,8 @@
   fleet_send (f, addr, m);
 }
 
-/* Checks the job and writes it, with the terms of its queue. */
+/* Checks the submitted job and sends a write of it with the terms of queue @q.
+ */
 static void
 begin_submit (struct fleet *f, struct api_request *c,
               const struct fleet_request *rq, const struct fconf_queue *q)
@@ -209,8 +219,8 @@
   if (err)
     {
       codec_free (&job_spec_desc, &spec);
-      refuse (f, rq, ANSWER_BAD_JOB, ce.path);
-      request_free (f, c);
+      refuse_request (f, rq, ANSWER_BAD_JOB, ce.path);
+      free_request (f, c);
       return;
     }
   clb_copy (spec.id, c->job_id, sizeof spec.id);
@@ -227,15 +237,15 @@
   codec_free (&job_spec_desc, &spec);
   if (strlen (c->record) > RECORD_MAX)
     {
-      refuse (f, rq, ANSWER_BAD_JOB, "job record too large");
-      request_free (f, c);
+      refuse_request (f, rq, ANSWER_BAD_JOB, "job record too large");
+      free_request (f, c);
       return;
     }
   send_submit (f, c);
 }
 
-/* Answers with the state of a job, if the scheduler here has it; otherwise
-   queries the leader. */
+/* Answers with the state of a job, if this instance's scheduler has the job;
+   otherwise queries the leader. */
 static void
 begin_state (struct fleet *f, struct api_request *c)
 {
@@ -244,45 +254,49 @@
                   : -1;
 
   if (state >= 0)
-    finish (f, c, ANSWER_STATE, f->settings.codec.state_body (state));
+    finish_request (f, c, ANSWER_STATE, f->settings.codec.state_body (state));
   else
     query_leader (f, c, MESH_STATE_QUERY, c->job_id);
 }
 
-/* Answers with the number of a queue's waiting jobs, or queries the leader. */
+/* Answers with the number of a queue's waiting jobs, if this instance leads;
+   otherwise queries the leader. */
 static void
 begin_count (struct fleet *f, struct api_request *c)
 {
   if (f->fsched && f->fsched->loaded
       && leader_lease_valid (&f->leader, f->now_ms))
-    finish (f, c, ANSWER_WAITING,
-            f->settings.codec.count_body (
-                fsched_jobs_waiting (f->fsched, c->queue)));
+    finish_request (f, c, ANSWER_WAITING,
+                    f->settings.codec.count_body (
+                        fsched_jobs_waiting (f->fsched, c->queue)));
   else
     query_leader (f, c, MESH_WAITING_QUERY, c->queue);
 }
 
-/* Whether the configuration is recent enough to accept a key by it: a key that
-   was withdrawn since it was current is still allowed to work. */
+/* Whether the configuration is recent enough to check keys against: a key that
+   was withdrawn after the configuration was last known to be current is still
+   allowed to work. */
 static bool
-keys_fresh (const struct fleet *f)
+conf_fresh_for_keys (const struct fleet *f)
 {
   return f->now_ms - f->conf_current_ms
          < f->settings.revoke_ms - FLEET_KEY_MARGIN_MS;
 }
 
-/* Whether neither this instance nor a reachable peer reaches the table
-   service. */
+/* Whether the table service has been unreachable from this instance for
+   FLEET_REFUSE_WRITES_MS and no peer is known that reaches the service. */
 static bool
-table_unreachable (const struct fleet *f)
+table_writes_blocked (const struct fleet *f)
 {
   return f->conf_feed_failed
          && f->now_ms - f->conf_feed_failed_since_ms > FLEET_REFUSE_WRITES_MS
          && !proxy_peer (f);
 }
 
+/* Adds a request in progress for @rq to queue @q.  @t is the client account,
+   or NULL. */
 static struct api_request *
-request_new (struct fleet *f, const struct fleet_request *rq,
+add_request (struct fleet *f, const struct fleet_request *rq,
              const struct fconf_queue *q, const struct fconf_tenant *t)
 {
   struct api_request *c = calloc (1, sizeof *c);
@@ -317,32 +331,34 @@
   f->now_ms = now_ms;
   f->wall_ms = wall_ms;
   if (!f->conf)
-    return refuse (f, rq, ANSWER_NO_CONFIG, "");
+    return refuse_request (f, rq, ANSWER_NO_CONFIG, "");
   q = fconf_queue_for (f->conf, rq->host, rq->path);
   if (!q)
-    return refuse (f, rq, ANSWER_NO_QUEUE, rq->host);
+    return refuse_request (f, rq, ANSWER_NO_QUEUE, rq->host);
   if (rq->key)
     t = fconf_tenant_of_key (f->conf, rq->key);
   if (!q->is_public && !t)
-    return refuse (f, rq, keys_fresh (f) ? ANSWER_BAD_KEY : ANSWER_CONF_STALE,
-                   "");
-  if (!q->is_public && !keys_fresh (f))
-    return refuse (f, rq, ANSWER_CONF_STALE, "");
+    return refuse_request (
+        f, rq, conf_fresh_for_keys (f) ? ANSWER_BAD_KEY : ANSWER_CONF_STALE,
+        "");
+  if (!q->is_public && !conf_fresh_for_keys (f))
+    return refuse_request (f, rq, ANSWER_CONF_STALE, "");
   if (f->n_requests >= FLEET_REQUESTS_MAX)
-    return refuse (f, rq, ANSWER_TOO_MANY, "");
-  if (rq->verb != FLEET_STATE && table_unreachable (f))
-    return refuse (f, rq, ANSWER_TABLE_UNREACHABLE, "");
+    return refuse_request (f, rq, ANSWER_TOO_MANY, "");
+  if (rq->verb != FLEET_STATE && table_writes_blocked (f))
+    return refuse_request (f, rq, ANSWER_TABLE_UNREACHABLE, "");
   id = rq->path + strlen (q->prefix);
   if (!*id ? rq->verb != FLEET_STATE : !job_id_ok (id))
-    return refuse (f, rq, ANSWER_BAD_JOB, "id is not 16 hexadecimal digits");
+    return refuse_request (f, rq, ANSWER_BAD_JOB,
+                           "id is not 16 hexadecimal digits");
   if (rq->verb == FLEET_OTHER)
-    return refuse (f, rq, ANSWER_BAD_JOB, "method");
-  c = request_new (f, rq, q, t);
+    return refuse_request (f, rq, ANSWER_BAD_JOB, "method");
+  c = add_request (f, rq, q, t);
   clb_copy (c->job_id, id, sizeof c->job_id);
   if (rq->verb == FLEET_SUBMIT)
     begin_submit (f, c, rq, q);
   else if (rq->verb == FLEET_CANCEL)
-    read_row (f, c, API_READING_JOB);
+    send_read (f, c, API_READING_JOB);
   else if (*id)
     begin_state (f, c);
   else
@@ -350,35 +366,37 @@
 }
 
 void
-fleet_request_aborted (struct fleet *f, uint64_t call)
+fleet_request_aborted (struct fleet *f, uint64_t request_id)
 {
-  struct api_request key = { .request_id = call };
+  struct api_request key = { .request_id = request_id };
   struct api_request *c = RB_FIND (api_request_tree, &f->requests, &key);
 
-  /* A write in progress goes on; its outcome is not reported. */
+  /* A write in progress goes on; the outcome of the write is not reported. */
   if (c)
-    request_free (f, c);
+    free_request (f, c);
 }
 
+/* Repeats the call to the table service for which @c waits. */
 static void
 send_retry (struct fleet *f, struct api_request *c)
 {
   if (c->step != API_WRITING)
-    read_row (f, c, c->step);
+    send_read (f, c, c->step);
   else if (c->verb == FLEET_SUBMIT)
     send_submit (f, c);
   else
     send_cancel (f, c);
 }
 
-/* Whether the table service has refused the call FLEET_TRIES_MAX times and
-   surely nothing was recorded. */
+/* Whether at least FLEET_TRIES_MAX tries have failed and none of them can have
+   recorded anything. */
 static bool
 definitely_refused (const struct api_request *c)
 {
   return !c->outcome_unknown && !c->token && c->tries >= FLEET_TRIES_MAX;
 }
 
+/* Returns the pause before the next retry after @tries tries. */
 static int64_t
 retry_delay_ms (int tries)
 {
@@ -389,10 +407,10 @@
   return pause;
 }
 
-/* A call to the table service failed: refuses the request, or schedules a
-   retry. */
+/* Handles the failure @err of the call to the table service for which @c
+   waits: refuses the request, or schedules a retry. */
 static void
-call_failed (struct fleet *f, struct api_request *c, int64_t err)
+handle_call_failure (struct fleet *f, struct api_request *c, int64_t err)
 {
   bool writing = c->step == API_WRITING;
 
@@ -401,7 +419,7 @@
   if (writing && err != CLB_EUNAVAIL)
     c->outcome_unknown = true;
   if (definitely_refused (c))
-    finish (f, c, ANSWER_STORE_REFUSED, NULL);
+    finish_request (f, c, ANSWER_STORE_REFUSED, NULL);
   else
     {
       int64_t pause = retry_delay_ms (c->tries);
@@ -418,25 +436,27 @@
     }
 }
 
-/* The write has succeeded, or has failed as the job is already recorded. */
+/* Handles the answer to a write that has succeeded, or that has failed as a
+   job of this id is already recorded. */
 static void
-write_done (struct fleet *f, struct api_request *c,
-            const struct store_rep *rep)
+handle_write_reply (struct fleet *f, struct api_request *c,
+                    const struct store_rep *rep)
 {
   if (c->verb == FLEET_CANCEL || !rep->err)
     fleet_notify_job (f, c->job_id,
                       c->verb == FLEET_CANCEL ? NULL : c->record);
   if (c->verb == FLEET_CANCEL)
-    finish (f, c, ANSWER_CANCELLED, NULL);
+    finish_request (f, c, ANSWER_CANCELLED, NULL);
   else
-    finish (f, c, rep->err ? ANSWER_DUPLICATE : ANSWER_ACCEPTED, NULL);
+    finish_request (f, c, rep->err ? ANSWER_DUPLICATE : ANSWER_ACCEPTED, NULL);
 }
 
-/* The job's progress was read.  A job without recorded progress has not
-   started, if it exists, so that its own row is read. */
+/* Handles the answer to a read of the job's progress.  A job without recorded
+   progress has not started or does not exist, so that the job's own row is
+   read. */
 static void
-progress_reply (struct fleet *f, struct api_request *c,
-                const struct store_rep *rep)
+handle_progress_reply (struct fleet *f, struct api_request *c,
+                       const struct store_rep *rep)
 {
   struct job_progress p = { 0 };
   struct codec_err ce;
@@ -446,23 +466,25 @@
       || codec_parse (&job_progress_desc, value, strlen (value), CODEC_LENIENT,
                       &p, &ce))
     {
-      read_row (f, c, API_READING_JOB);
+      send_read (f, c, API_READING_JOB);
       return;
     }
-  finish (f, c, ANSWER_STATE, f->settings.codec.state_body (p.state));
+  finish_request (f, c, ANSWER_STATE, f->settings.codec.state_body (p.state));
   codec_free (&job_progress_desc, &p);
 }
 
-/* The job's own row was read. */
+/* Handles the answer to a read of the job's own row. */
 static void
-job_reply (struct fleet *f, struct api_request *c, const struct store_rep *rep)
+handle_job_reply (struct fleet *f, struct api_request *c,
+                  const struct store_rep *rep)
 {
   if (rep->err)
-    finish (f, c, ANSWER_NO_JOB, NULL);
+    finish_request (f, c, ANSWER_NO_JOB, NULL);
   else if (c->verb == FLEET_CANCEL)
     send_cancel (f, c);
   else
-    finish (f, c, ANSWER_STATE, f->settings.codec.state_body (JOB_PENDING));
+    finish_request (f, c, ANSWER_STATE,
+                    f->settings.codec.state_body (JOB_PENDING));
 }
 
 bool
@@ -476,22 +498,22 @@
   if (!c)
     return false;
   if (rep->err && rep->err != CLB_ECONFLICT && rep->err != CLB_ENOTFOUND)
-    call_failed (f, c, rep->err);
+    handle_call_failure (f, c, rep->err);
   else if (c->step == API_WRITING)
-    write_done (f, c, rep);
+    handle_write_reply (f, c, rep);
   else if (c->step == API_READING_STATE)
-    progress_reply (f, c, rep);
+    handle_progress_reply (f, c, rep);
   else
-    job_reply (f, c, rep);
+    handle_job_reply (f, c, rep);
   return true;
 }
 
-/* Queries of other instances, and replies to this instance's queries. */
+/* Queries from other instances, and replies to this instance's queries. */
 
-/* Replies with the state of a job; "known" is false unless this instance
-   schedules and has the job. */
+/* Replies to the query @m for the state of a job.  In the reply, "known" is
+   false unless this instance leads and its scheduler has the job. */
 static void
-reply_state (struct fleet *f, const struct mesh_msg *m)
+reply_to_state_query (struct fleet *f, const struct mesh_msg *m)
 {
   struct mesh_msg *r = calloc (1, sizeof *r);
   int state;
@@ -509,10 +531,10 @@
   fleet_send (f, m->addr, r);
 }
 
-/* Replies with the number of waiting jobs of a queue, or not at all unless
-   this instance schedules. */
+/* Replies to the query @m for the number of waiting jobs of a queue, if this
+   instance leads and schedules; otherwise sends nothing. */
 static void
-reply_waiting (struct fleet *f, const struct mesh_msg *m)
+reply_to_waiting_query (struct fleet *f, const struct mesh_msg *m)
 {
   struct mesh_msg *r;
 
@@ -528,9 +550,10 @@
   fleet_send (f, m->addr, r);
 }
 
-/* The leader's reply to a query. */
+/* Handles the leader's reply to a query; a reply that comes too late is
+   ignored. */
 static void
-leader_reply (struct fleet *f, const struct mesh_msg *m)
+handle_leader_reply (struct fleet *f, const struct mesh_msg *m)
 {
   struct api_request *c;
 
@@ -540,11 +563,13 @@
   if (!c)
     return;
   if (m->kind == MESH_WAITING_REPLY)
-    finish (f, c, ANSWER_WAITING, f->settings.codec.count_body (m->count));
+    finish_request (f, c, ANSWER_WAITING,
+                    f->settings.codec.count_body (m->count));
   else if (m->known)
-    finish (f, c, ANSWER_STATE, f->settings.codec.state_body ((int)m->state));
+    finish_request (f, c, ANSWER_STATE,
+                    f->settings.codec.state_body ((int)m->state));
   else
-    read_row (f, c, API_READING_STATE);
+    send_read (f, c, API_READING_STATE);
 }
 
 void
@@ -553,13 +578,13 @@
   switch (m->kind)
     {
     case MESH_STATE_QUERY:
-      reply_state (f, m);
+      reply_to_state_query (f, m);
       break;
     case MESH_WAITING_QUERY:
-      reply_waiting (f, m);
+      reply_to_waiting_query (f, m);
       break;
     default:
-      leader_reply (f, m);
+      handle_leader_reply (f, m);
       break;
     }
 }
@@ -572,17 +597,17 @@
     {
       bool may_be_written
           = c->step == API_WRITING && (c->outcome_unknown || c->token);
-      finish (f, c, may_be_written ? ANSWER_UNKNOWN : ANSWER_STORE_REFUSED,
-              NULL);
+      finish_request (
+          f, c, may_be_written ? ANSWER_UNKNOWN : ANSWER_STORE_REFUSED, NULL);
     }
   else if (c->step == API_QUERYING && !c->token
            && f->now_ms - c->query_ms >= FLEET_QUERY_TIMEOUT_MS)
     {
       f->stats.queries_lost++;
       if (*c->job_id)
-        read_row (f, c, API_READING_STATE);
+        send_read (f, c, API_READING_STATE);
       else
-        finish (f, c, ANSWER_NO_LEADER, NULL);
+        finish_request (f, c, ANSWER_NO_LEADER, NULL);
     }
   else if (c->retry_at_ms && f->now_ms >= c->retry_at_ms)
     send_retry (f, c);
@@ -603,5 +628,5 @@
   struct api_request *c, *next;
 
   RB_FOREACH_SAFE (c, api_request_tree, &f->requests, next)
-    request_free (f, c);
+    free_request (f, c);
 }
--- a/core/leader.c
+++ b/core/leader.c
@@ -1,6 +1,6 @@
 /*
- * Leader election: reads the holder and journal rows, claims leadership, and
- * writes the leader's records; see leader.h.
+ * Elects the leader among the instances: reads the holder and journal rows,
+ * claims leadership, and writes the leader's records; see leader.h.
  */
 #include "leader.h"
 
@@ -14,11 +14,11 @@
 /* struct holder_row - value of the holder row, which names the leader */
 struct holder_row
 {
-  char node[CLB_ID_MAX];
-  char addr[CLB_ADDR_MAX];
-  int64_t boot;
-  int64_t epoch;
-  bool released;
+  char node[CLB_ID_MAX];   /* id of the leader */
+  char addr[CLB_ADDR_MAX]; /* address at which other instances reach it */
+  int64_t boot;            /* number of the start of its process */
+  int64_t epoch;           /* its term */
+  bool released;           /* true: it has given up leadership */
 };
 
 static const struct fld holder_fields[] = {
@@ -30,8 +30,8 @@
 };
 static DESC (holder_desc, struct holder_row, holder_fields);
 
-/* Delay of a claim of an instance with a small share of a core, in which
-   instances with a larger one may claim first. */
+/* Returns the delay of a claim by an instance with a small share of a core.
+   During the delay, instances with a larger share may claim first. */
 static int64_t
 small_share_delay_ms (const struct leader *l)
 {
@@ -40,8 +40,8 @@
              : 0;
 }
 
-/* Delay of a claim: by the rank that the leader reported, or by the own share
-   of a core if no rank is known. */
+/* Returns the delay of a claim by this instance, which depends on the rank
+   that the leader reported or, if no rank is known, on the share of a core. */
 static int64_t
 claim_delay_ms (const struct leader *l)
 {
@@ -54,7 +54,7 @@
 void
 leader_init (struct leader *l, int64_t now_ms, const char *id,
              const char *addr, int64_t boot, int64_t millicores,
-             struct outq *out, uint64_t *tokens)
+             struct outq *out, uint64_t *last_token)
 {
   memset (l, 0, sizeof *l);
   clb_copy (l->id, id, sizeof l->id);
@@ -64,12 +64,12 @@
   l->rank = -1;
   l->first_claim_ms = now_ms + small_share_delay_ms (l);
   l->out = out;
-  l->last_token = tokens;
+  l->last_token = last_token;
 }
 
-/* Forgets the write in progress and its earlier sends. */
+/* Frees the write in progress, if any, and forgets the earlier sends of it. */
 static void
-drop_write (struct leader *l)
+free_write (struct leader *l)
 {
   l->n_attempts = 0;
   if (!l->write)
@@ -82,13 +82,13 @@
 void
 leader_fini (struct leader *l)
 {
-  drop_write (l);
+  free_write (l);
 }
 
-/* Queues a call to the table service.  Returns its operation, to be filled in
-   by the caller. */
+/* Queues a call to the table service.  Returns the operation of the call,
+   which is still to be filled in. */
 static struct store_op *
-send_op (struct leader *l, int64_t now_ms, int kind)
+send_call (struct leader *l, int64_t now_ms, int kind)
 {
   struct out *o = out_new (l->out, OUT_STORE);
 
@@ -99,16 +99,18 @@
   return &o->u.store.op;
 }
 
+/* Sends a read of the holder and journal rows. */
 static void
 send_read (struct leader *l, int64_t now_ms)
 {
-  struct store_op *op = send_op (l, now_ms, STORE_LIST);
+  struct store_op *op = send_call (l, now_ms, STORE_LIST);
 
   op->key = strdup (LEADER_TABLE);
 }
 
-/* The value that this leader's last write gives to the journal row.  It is
-   unique, so that the row tells whether the write took effect. */
+/* Writes to @out the value that the last write in term @epoch gives to the
+   journal row.  Each write has a value of its own, so that the row tells
+   whether the write took effect. */
 static void
 journal_value (const struct leader *l, int64_t epoch, char out[CLB_NAME_MAX])
 {
@@ -116,6 +118,7 @@
             (long long)l->boot, (long long)l->seq);
 }
 
+/* Adds a put of the holder row, which then names this instance, to @op. */
 static void
 put_holder (struct store_op *op, const struct leader *l, int64_t epoch,
             bool released)
@@ -130,10 +133,12 @@
   store_put (op, KEY_HOLDER, text);
 }
 
+/* Claims leadership, on the condition that no other instance has written the
+   holder and journal rows since they were read. */
 static void
 send_claim (struct leader *l, int64_t now_ms)
 {
-  struct store_op *op = send_op (l, now_ms, STORE_TXN);
+  struct store_op *op = send_call (l, now_ms, STORE_TXN);
   char value[CLB_NAME_MAX];
 
   l->state = LEADER_CANDIDATE;
@@ -146,12 +151,13 @@
   store_put (op, KEY_JOURNAL, value);
 }
 
-/* Whether leadership may be claimed before the rows have been unchanged for
-   LEADER_CLAIM_AFTER_MS: no leader was ever elected, the last one has released
-   its leadership, or it was an earlier process of this instance, which has
-   enough of a core. */
+/* Whether this instance may claim leadership before the holder and journal
+   rows have been unchanged for LEADER_CLAIM_AFTER_MS.  It may if no leader was
+   ever elected, if the last leader has released leadership, or if the last
+   leader was an earlier process of this instance and this instance's share of
+   a core is not below LEADER_RECLAIM_MILLICORES. */
 static bool
-vacant (const struct leader *l, int64_t now_ms)
+may_claim_early (const struct leader *l, int64_t now_ms)
 {
   if (l->holder_ver == 0)
     return now_ms >= l->first_claim_ms;
@@ -161,18 +167,19 @@
          && (l->millicores == 0 || l->millicores >= LEADER_RECLAIM_MILLICORES);
 }
 
+/* Whether this instance has to claim leadership now. */
 static bool
 claim_due (const struct leader *l, int64_t now_ms)
 {
   if (!l->rows_known || l->stopping)
     return false;
-  return vacant (l, now_ms)
+  return may_claim_early (l, now_ms)
          || now_ms - l->unchanged_since_ms
                 >= LEADER_CLAIM_AFTER_MS + claim_delay_ms (l);
 }
 
-/* Interval between reads of the rows: short for the strongest followers and
-   while the leader is unreachable. */
+/* Returns the interval between reads of the holder and journal rows, which is
+   short for the strongest followers and while the leader is unreachable. */
 static int64_t
 read_interval_ms (const struct leader *l, int64_t now_ms)
 {
@@ -190,12 +197,13 @@
   l->last_contact_ms = now_ms;
   if (rank >= 0)
     l->rank = rank;
-  /* The rows read last name an earlier leader: read them again. */
+  /* The rows that were read last name an earlier leader and must be read
+     again. */
   if (epoch > l->epoch && l->state == LEADER_FOLLOWER)
     l->rows_known = false;
 }
 
-/* Time after which the unanswered write is sent again. */
+/* Returns the time after which a write without an answer is sent again. */
 static int64_t
 resend_delay_ms (const struct leader *l)
 {
@@ -207,8 +215,9 @@
   return ms < LEADER_RESEND_MAX_MS ? ms : LEADER_RESEND_MAX_MS;
 }
 
-/* Marks the leadership as released in the holder row.  Called when no write is
-   in progress: a successor waits until the journal row no longer changes. */
+/* Writes to the holder row that this instance has released leadership.  To be
+   called only while no write is in progress, as a successor waits until the
+   journal row no longer changes. */
 static void
 write_release (struct leader *l, int64_t now_ms)
 {
@@ -226,9 +235,9 @@
 {
   if (l->state == LEADER_LEADING && l->stopping && !l->write && !l->token)
     write_release (l, now_ms);
-  /* Sending a write twice is safe, as it is conditional: one send takes
-     effect, and the other one fails and finds the value that the first has
-     written. */
+  /* A write can safely be sent twice, as it is conditional: one send takes
+     effect, and the other one fails and returns the value that the first one
+     has written. */
   if (l->state == LEADER_LEADING && l->write && l->token
       && now_ms - l->sent_ms >= resend_delay_ms (l))
     {
@@ -240,7 +249,7 @@
   if (l->state == LEADER_LEADING && l->write && !l->token
       && now_ms >= l->next_ms)
     {
-      struct store_op *op = send_op (l, now_ms, STORE_TXN);
+      struct store_op *op = send_call (l, now_ms, STORE_TXN);
       for (size_t i = 0; i < l->write->n_conds; i++)
         store_cond (op, l->write->conds[i].key, l->write->conds[i].ver);
       for (size_t i = 0; i < l->write->n_puts; i++)
@@ -248,8 +257,8 @@
     }
   if (l->state != LEADER_FOLLOWER || l->token || now_ms < l->next_ms)
     return;
-  /* A claim must follow a recent read of the rows: if the last one is too old,
-     they are read first. */
+  /* A claim must follow a recent read of the holder and journal rows: if the
+     last read is too old, the rows are read first. */
   if (claim_due (l, now_ms) && now_ms - l->sent_ms < LEADER_READ_MS)
     send_claim (l, now_ms);
   else if (!l->rows_known
@@ -258,6 +267,7 @@
     send_read (l, now_ms);
 }
 
+/* Returns the row of @rep with @key, or NULL. */
 static const struct row *
 find_row (const struct store_rep *rep, const char *key)
 {
@@ -267,9 +277,10 @@
   return NULL;
 }
 
-/* Takes the last known leader from the holder row, unless it is damaged. */
+/* Sets the last known leader from the holder row @row, unless the row is
+   missing (NULL) or damaged. */
 static void
-parse_holder (struct leader *l, const struct row *row)
+set_holder (struct leader *l, const struct row *row)
 {
   struct holder_row h;
   struct codec_err ce;
@@ -285,6 +296,7 @@
   l->epoch = h.epoch;
 }
 
+/* Makes this instance the leader by the claim that was sent at @sent_ms. */
 static int
 become_leader (struct leader *l, int64_t sent_ms)
 {
@@ -294,13 +306,15 @@
   clb_copy (l->holder_addr, l->addr, sizeof l->holder_addr);
   l->holder_boot = l->boot;
   l->released = false;
-  drop_write (l);
+  free_write (l);
   return LEADER_ELECTED;
 }
 
-/* The answer to a read of the rows. */
+/* Handles the answer to a read of the holder and journal rows; returns enum
+   leader_event. */
 static int
-rows_reply (struct leader *l, int64_t now_ms, const struct store_rep *rep)
+handle_rows_reply (struct leader *l, int64_t now_ms,
+                   const struct store_rep *rep)
 {
   const struct row *holder = find_row (rep, KEY_HOLDER);
   const struct row *journal = find_row (rep, KEY_JOURNAL);
@@ -313,17 +327,19 @@
   l->rows_known = true;
   l->holder_ver = holder_ver;
   l->journal_ver = journal_ver;
-  parse_holder (l, holder);
-  /* The holder row names this process: a claim took effect whose answer was
-     lost. */
+  set_holder (l, holder);
+  /* If the holder row names this process, an earlier claim took effect, whose
+     answer was lost. */
   if (holder && strcmp (l->holder, l->id) == 0 && l->holder_boot == l->boot
       && !l->released && !l->stopping)
     return become_leader (l, l->claim_sent_ms);
   return LEADER_NO_CHANGE;
 }
 
+/* Handles the answer to a claim; returns enum leader_event. */
 static int
-claim_reply (struct leader *l, int64_t now_ms, const struct store_rep *rep)
+handle_claim_reply (struct leader *l, int64_t now_ms,
+                    const struct store_rep *rep)
 {
   l->state = LEADER_FOLLOWER;
   if (rep->err == 0)
@@ -333,30 +349,35 @@
       l->journal_ver = rep->ver;
       return become_leader (l, l->claim_sent_ms);
     }
-  /* The claim may or may not have taken effect: the rows must be read. */
+  /* The claim may or may not have taken effect: the holder and journal rows
+     must be read. */
   l->rows_known = false;
   l->next_ms = now_ms + LEADER_RETRY_MS;
   return LEADER_NO_CHANGE;
 }
 
+/* Makes this instance a follower, as another one has claimed leadership. */
 static int
 step_down (struct leader *l, int64_t now_ms)
 {
   l->state = LEADER_FOLLOWER;
   l->rows_known = false;
   l->next_ms = now_ms + LEADER_RETRY_MS;
-  drop_write (l);
+  free_write (l);
   return LEADER_SUPERSEDED;
 }
 
+/* Ends the write in progress, which took effect and gave the journal row
+   version
+   @ver; returns enum leader_event. */
 static int
-write_done (struct leader *l, int64_t ver)
+finish_write (struct leader *l, int64_t ver)
 {
   l->journal_ver = ver;
-  /* The journal row may have been unchanged since the first send took effect,
-     and other instances count from then. */
+  /* The write may have taken effect by its first send, and other instances
+     count from that time, as the journal row has not changed since. */
   l->renewed_ms = l->first_sent_ms;
-  drop_write (l);
+  free_write (l);
   if (l->releasing)
     {
       l->state = LEADER_FOLLOWER;
@@ -366,12 +387,13 @@
   return LEADER_RECORDED;
 }
 
-/* The answer to a send of the write in progress.  After a conflict, the
-   journal row tells whether an earlier send of the same write took effect or
-   another instance has claimed. */
+/* Handles the answer to a send of the write in progress; returns enum
+   leader_event.  After a conflict, the journal row tells whether an earlier
+   send of the same write took effect or another instance has claimed
+   leadership. */
 static int
-write_reply (struct leader *l, int64_t now_ms, int64_t sent_ms,
-             const struct store_rep *rep)
+handle_write_reply (struct leader *l, int64_t now_ms, int64_t sent_ms,
+                    const struct store_rep *rep)
 {
   char written[CLB_NAME_MAX];
   const struct row *journal;
@@ -381,7 +403,7 @@
   if (rep->err == 0 || rep->err == CLB_ECONFLICT)
     l->latency_ms = now_ms - sent_ms;
   if (rep->err == 0)
-    return write_done (l, rep->ver);
+    return finish_write (l, rep->ver);
   if (rep->err != CLB_ECONFLICT)
     {
       l->next_ms = now_ms + LEADER_RETRY_MS;
@@ -390,7 +412,7 @@
   journal = find_row (rep, KEY_JOURNAL);
   journal_value (l, l->epoch, written);
   if (journal && journal->value && strcmp (journal->value, written) == 0)
-    return write_done (l, journal->ver);
+    return finish_write (l, journal->ver);
   return step_down (l, now_ms);
 }
 
@@ -406,22 +428,22 @@
   *mine = token && (token == l->token || earlier);
   if (!*mine)
     return LEADER_NO_CHANGE;
-  /* The failure of an earlier send proves nothing while a later one is
+  /* The failure of an earlier send proves nothing while a later send is
      outstanding. */
   if (earlier && rep->err && rep->err != CLB_ECONFLICT)
     return LEADER_NO_CHANGE;
   l->token = 0;
   if (l->state == LEADER_CANDIDATE)
-    return claim_reply (l, now_ms, rep);
+    return handle_claim_reply (l, now_ms, rep);
   if (l->state == LEADER_LEADING)
-    return write_reply (l, now_ms, earlier ? earlier->sent_ms : l->sent_ms,
-                        rep);
+    return handle_write_reply (l, now_ms,
+                               earlier ? earlier->sent_ms : l->sent_ms, rep);
   if (rep->err)
     {
       l->next_ms = now_ms + LEADER_RETRY_MS;
       return LEADER_NO_CHANGE;
     }
-  return rows_reply (l, now_ms, rep);
+  return handle_rows_reply (l, now_ms, rep);
 }
 
 bool
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -1,14 +1,14 @@
 /*
- * Calls to the platform's table service through a peer while this instance
- * cannot reach it.  Callers need not know, the leader's journal included:
- * transactions are conditional, and their outcome may be unknown also without
- * a peer.
+ * Sends calls to the platform's table service through a peer while this
+ * instance cannot reach the service.  The modules that make the calls need not
+ * know of it, not even the one that writes the leader's journal: transactions
+ * are conditional, and their outcome may be unknown also without a peer.
  *
- * The configuration's feed is always called directly: it shows when the table
- * service is reachable again.
+ * Calls of the configuration's feed are always sent directly, as they show
+ * when the table service is reachable again.
  *
- * This is for a table service that refuses some instances, the leader first,
- * or for a network partition between them and it.
+ * Peers help when the table service refuses some instances, the leader first,
+ * or when a network partition separates some instances from the service.
  */
 #include "fleet.h"
 
@@ -17,18 +17,21 @@
 
 enum
 {
-  /* Without an answer for this long, the table service is unreachable, not
-     slow: a feed is answered within it even when that takes 50 times the usual
-     time. */
+  /* After this time without an answer, the table service counts as
+     unreachable, not as slow: a call of a feed is answered within the time
+     even if the answer takes 50 times as long as usual. */
   TABLE_UNREACHABLE_MS = 900,
-  /* Failed calls in a row after which the table service is unreachable: more
-     than one or two lost answers. */
-  FAILURES_MAX = 3,
-  /* The same time on the leader, which calls more often. */
+  /* Number of failed calls in a row after which the table service counts as
+     unreachable; one or two lost answers are not enough. */
+  TABLE_FAILURES_MAX = 3,
+  /* Like TABLE_UNREACHABLE_MS, but on the leader, which calls the table
+     service more often than other instances. */
   LEADER_TABLE_UNREACHABLE_MS = 500,
-  /* A peer's time for a call, beside the wait that the call asks for. */
-  ANSWER_MS = 1000,
-  /* Most calls in progress for peers; more are refused. */
+  /* Time that a peer has to answer a call, in addition to the time for which
+     the call itself waits (wait_ms). */
+  PEER_TIMEOUT_MS = 1000,
+  /* Most calls in progress that are made for peers; a further call is
+     refused. */
   SERVING_MAX = 2000,
 };
 
@@ -36,12 +39,16 @@
 struct proxy_call
 {
   TAILQ_ENTRY (proxy_call) link;
-  uint64_t token; /* of the call on this instance */
-  /* Of a call that a peer makes. */
-  int64_t deadline_ms; /* without an answer by then, its outcome is unknown */
-  /* Of a call made for a peer. */
-  int64_t peer_token;      /* the peer's token */
-  char addr[CLB_ADDR_MAX]; /* the peer */
+  uint64_t token; /* token of the call on this instance */
+  /* Time by which a peer has to answer the call; after it, the outcome of the
+     call is unknown.  0: the call is made for a peer. */
+  int64_t deadline_ms;
+  /* Token of the call on the peer for which the call is made; 0: a peer makes
+     the call. */
+  int64_t peer_token;
+  /* Address of the peer for which the call is made; empty: a peer makes the
+     call. */
+  char addr[CLB_ADDR_MAX];
 };
 
 void
@@ -51,8 +58,9 @@
   TAILQ_INIT (&f->proxy_serving);
 }
 
+/* Frees all calls of @q. */
 static void
-drop_all (struct proxy_callq *q)
+free_all_calls (struct proxy_callq *q)
 {
   struct proxy_call *c;
 
@@ -66,8 +74,8 @@
 void
 proxy_fini (struct fleet *f)
 {
-  drop_all (&f->proxy_sent);
-  drop_all (&f->proxy_serving);
+  free_all_calls (&f->proxy_sent);
+  free_all_calls (&f->proxy_serving);
 }
 
 bool
@@ -77,7 +85,7 @@
                          ? LEADER_TABLE_UNREACHABLE_MS
                          : TABLE_UNREACHABLE_MS;
 
-  return f->conf_feed_failed || f->store_failures >= FAILURES_MAX
+  return f->conf_feed_failed || f->store_failures >= TABLE_FAILURES_MAX
          || f->now_ms - f->store_last_contact_ms > limit_ms;
 }
 
@@ -96,8 +104,9 @@
                                                                     : NULL;
 }
 
+/* Appends a new call with @token to @q. */
 static struct proxy_call *
-call_new (struct proxy_callq *q, uint64_t token)
+add_call (struct proxy_callq *q, uint64_t token)
 {
   struct proxy_call *c = calloc (1, sizeof *c);
 
@@ -108,9 +117,9 @@
   return c;
 }
 
-/* The call @token of @q, or NULL. */
+/* Returns the call of @q with @token, or NULL. */
 static struct proxy_call *
-call_find (const struct proxy_callq *q, uint64_t token)
+find_call (const struct proxy_callq *q, uint64_t token)
 {
   struct proxy_call *c;
 
@@ -120,8 +129,9 @@
   return c;
 }
 
+/* Removes @c from @q and frees it. */
 static void
-call_free (struct proxy_callq *q, struct proxy_call *c)
+free_call (struct proxy_callq *q, struct proxy_call *c)
 {
   TAILQ_REMOVE (q, c, link);
   free (c);
@@ -136,10 +146,10 @@
   const char *peer;
 
   if (!proxy_table_unreachable (f) || follow_owns (&f->conf_feed, token)
-      || call_find (&f->proxy_serving, token) || !(peer = proxy_peer (f)))
+      || find_call (&f->proxy_serving, token) || !(peer = proxy_peer (f)))
     return false;
-  c = call_new (&f->proxy_sent, token);
-  c->deadline_ms = f->now_ms + ANSWER_MS + o->u.store.op.wait_ms;
+  c = add_call (&f->proxy_sent, token);
+  c->deadline_ms = f->now_ms + PEER_TIMEOUT_MS + o->u.store.op.wait_ms;
   m = calloc (1, sizeof *m);
   if (!m)
     abort ();
@@ -152,9 +162,8 @@
   return true;
 }
 
-/* Sends the answer to call @peer_token of the peer at @addr; takes over the
-   rows of
-   @rep. */
+/* Sends the answer @rep to call @peer_token of the peer at @addr.  The
+   function takes ownership of the rows of @rep and leaves @rep empty. */
 static void
 send_reply (struct fleet *f, const char *addr, int64_t peer_token,
             struct store_rep *rep)
@@ -186,13 +195,13 @@
   o->u.store.token = ++f->last_token;
   o->u.store.op = m->op;
   memset (&m->op, 0, sizeof m->op);
-  c = call_new (&f->proxy_serving, o->u.store.token);
+  c = add_call (&f->proxy_serving, o->u.store.token);
   f->n_proxy_serving++;
   c->peer_token = m->seq;
   clb_copy (c->addr, m->addr, sizeof c->addr);
 }
 
-/* Copies @rep to @to, which owns its rows; @rep stays unchanged. */
+/* Copies @rep to @to.  The rows are copied too, and @to owns the copies. */
 static void
 copy_rep (struct store_rep *to, const struct store_rep *rep)
 {
@@ -213,14 +222,14 @@
 proxy_store_reply (struct fleet *f, uint64_t token,
                    const struct store_rep *rep)
 {
-  struct proxy_call *c = call_find (&f->proxy_serving, token);
+  struct proxy_call *c = find_call (&f->proxy_serving, token);
   struct store_rep copy;
 
   if (!c)
     return false;
   copy_rep (&copy, rep);
   send_reply (f, c->addr, c->peer_token, &copy);
-  call_free (&f->proxy_serving, c);
+  free_call (&f->proxy_serving, c);
   f->n_proxy_serving--;
   return true;
 }
@@ -229,11 +238,11 @@
 proxy_peer_reply (struct fleet *f, const struct mesh_msg *m)
 {
   uint64_t token = (uint64_t)m->seq;
-  struct proxy_call *c = call_find (&f->proxy_sent, token);
+  struct proxy_call *c = find_call (&f->proxy_sent, token);
 
   if (!c)
     return;
-  call_free (&f->proxy_sent, c);
+  free_call (&f->proxy_sent, c);
   fleet_dispatch_reply (f, token, &m->rep);
 }
 
@@ -247,7 +256,7 @@
     if (f->now_ms >= c->deadline_ms)
       {
         uint64_t token = c->token;
-        call_free (&f->proxy_sent, c);
+        free_call (&f->proxy_sent, c);
         fleet_dispatch_reply (f, token, &unknown);
       }
 }
