--- a/core/api.c
+++ b/core/api.c
@@ -204,8 +204,7 @@
   fleet_send (f, addr, m);
 }
 
-/* Checks the submitted job and sends a write of it with the terms of queue @q.
- */
+/* Checks the submitted job and writes it with the terms of queue @q. */
 static void
 begin_submit (struct fleet *f, struct api_request *c,
               const struct fleet_request *rq, const struct fconf_queue *q)
--- a/core/fconf.h
+++ b/core/fconf.h
@@ -29,7 +29,7 @@
   /* The time objective of a job is slack times the job's longest chain of
      estimates, plus target_ms. */
   double slack;
-  int64_t target_ms;
+  int64_t target_ms;        /* constant part of a job's time objective */
   struct job_advice advice; /* cost of a query for advice on a step */
 };
 
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -30,22 +30,23 @@
 #define SUFFIX_CANCEL ".cancel"
 
 void
-fleet_init (struct fleet *f, const struct fleet_settings *set, int64_t now_ms)
+fleet_init (struct fleet *f, const struct fleet_settings *settings,
+            int64_t now_ms)
 {
   memset (f, 0, sizeof *f);
-  f->settings = *set;
+  f->settings = *settings;
   f->now_ms = now_ms;
   /* An answer to a call of an earlier process of this instance matches no
      token of this process. */
-  f->last_token = (uint64_t)set->boot << TOKEN_BITS;
+  f->last_token = (uint64_t)settings->boot << TOKEN_BITS;
   TAILQ_INIT (&f->out);
   RB_INIT (&f->requests);
-  leader_init (&f->leader, now_ms, set->id, set->mesh_addr, set->boot,
-               set->millicores, &f->out, &f->last_token);
-  follow_init (&f->conf_feed, set->codec.conf_table, 0, FLEET_FEED_WAIT_MS,
-               &f->out, &f->last_token);
-  follow_init (&f->exec_feed, set->codec.exec_table, 0, FLEET_FEED_WAIT_MS,
-               &f->out, &f->last_token);
+  leader_init (&f->leader, now_ms, settings->id, settings->mesh_addr,
+               settings->boot, settings->millicores, &f->out, &f->last_token);
+  follow_init (&f->conf_feed, settings->codec.conf_table, 0,
+               FLEET_FEED_WAIT_MS, &f->out, &f->last_token);
+  follow_init (&f->exec_feed, settings->codec.exec_table, 0,
+               FLEET_FEED_WAIT_MS, &f->out, &f->last_token);
   follow_init (&f->job_feed, "job", FSCHED_JOB_PARTS, FLEET_FEED_WAIT_MS,
                &f->out, &f->last_token);
   f->job_feed.batch_ms = FLEET_JOBS_BATCH_MS;
@@ -219,20 +220,20 @@
   return true;
 }
 
-/* Passes the job @id with the record @text to the scheduler, unless the
+/* Passes the job @id with @record to the scheduler, unless the
    scheduler has the job already or the job has ended. */
 static void
-add_job (struct fleet *f, const char *id, const char *text)
+add_job (struct fleet *f, const char *id, const char *record)
 {
   struct job_spec spec;
   struct codec_err ce;
   int64_t age_ms = 0;
 
   if (fsched_job_state (f->fsched, id) >= 0
-      || strcmp (text, FSCHED_TRIMMED) == 0)
+      || strcmp (record, FSCHED_TRIMMED) == 0)
     return;
-  if (codec_parse (&job_spec_desc, text, strlen (text), CODEC_LENIENT, &spec,
-                   &ce)
+  if (codec_parse (&job_spec_desc, record, strlen (record), CODEC_LENIENT,
+                   &spec, &ce)
       || strcmp (spec.id, id) != 0 || job_check (&spec, &ce))
     {
       f->stats.bad_rows++;
@@ -476,8 +477,7 @@
   fleet_send (f, f->leader.holder_addr, m);
 }
 
-/* Sends the calls, writes and orders that are due.  Called after each input.
- */
+/* Sends all calls, writes and orders that are due, after each input. */
 static void
 run_due (struct fleet *f)
 {
@@ -566,7 +566,7 @@
   run_due (f);
 }
 
-/* Messages of other instances. */
+/* Messages from other instances. */
 
 /* Sets in @r the address of an instance that reaches the table service, if
    this instance, which leads, does not reach it and knows one that does. */
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -25,8 +25,8 @@
   /* Interval between the hellos that a follower sends to the leader. */
   FLEET_HELLO_MS = 400,
   /* A new leader reports ranks to its followers only after this time, counted
-     from its claim.  Every follower has sent it a hello by then, as the time
-     covers three intervals of FLEET_HELLO_MS. */
+     from its claim.  Every follower has sent the leader a hello by then, as
+     the time covers three intervals of FLEET_HELLO_MS. */
   FLEET_RANK_AFTER_MS = 1500,
   /* Time that the leader has to answer a query.  After it, a job's state is
      read from the table service instead, and a count is refused. */
@@ -38,6 +38,7 @@
   /* Pause before the first retry of a failed call to the table service.  The
      pause doubles with each try, up to FLEET_RETRY_MAX_MS. */
   FLEET_RETRY_MS = 20,
+  /* Longest pause between two tries of a call to the table service. */
   FLEET_RETRY_MAX_MS = 160,
   /* A request is refused after this many failed tries if none of them can
      have taken effect. */
@@ -95,8 +96,8 @@
   const char *path;    /* path of the URL: a queue's prefix, then a job's id */
   const char *key;     /* API key; NULL: none was given */
   int64_t timeout_ms;  /* the caller's timeout; 0: not stated */
-  const char *body;
-  size_t body_len;
+  const char *body;    /* body of the HTTP request */
+  size_t body_len;     /* length of the body in bytes */
 };
 
 /**
@@ -114,9 +115,8 @@
    * draining. */
   int (*decode_exec) (const char *id, const char *text,
                       struct exec_report *out);
-  /** decode_job - Decodes a submitted job.  Returns 0, or an error, after
-   * which
-   * @out is empty and @ce names the field. */
+  /** decode_job - Decodes a submitted job.  Returns 0, or an error and sets
+   * @ce; after an error, @out is empty. */
   int (*decode_job) (const char *text, size_t len, struct job_spec *out,
                      struct codec_err *ce);
   /** state_body - Makes the body of an answer with a job's state, which is an
@@ -205,7 +205,7 @@
   ANSWER_CONF_STALE,
   /* No queue has the host and path of the request. */
   ANSWER_NO_QUEUE,
-  /* The queue needs a key, and no client account has the one given. */
+  /* The queue needs a key, and the request has none or an unknown one. */
   ANSWER_BAD_KEY,
   /* The job's document or id, or the HTTP method, is invalid. */
   ANSWER_BAD_JOB,
@@ -281,28 +281,29 @@
   struct fsched *fsched; /* scheduler; NULL unless this instance leads */
   struct fconf *conf;    /* configuration; NULL until the first one is read */
   struct follow conf_feed; /* reads the configuration's table */
-  /* Read the tables of executors and of jobs; active only while this instance
-     leads. */
+  /* Reads the executors' table; active only while this instance leads. */
   struct follow exec_feed;
+  /* Reads the table of jobs; active only while this instance leads. */
   struct follow job_feed;
 
-  /* Time of the last answer of the table service; a failed call is not
-     counted as an answer. */
+  /* Time of the last answer of the table service; an answer that reports a
+     failure is not counted. */
   int64_t store_last_contact_ms;
-  int store_failures;    /* calls to the table service failed since then */
+  int store_failures; /* failed calls since the table service's last answer */
   bool conf_feed_failed; /* the last call of the configuration's feed failed */
-  /* Time of the first failed call, if conf_feed_failed. */
+  /* While conf_feed_failed is true, the time at which the first call of the
+     configuration's feed failed. */
   int64_t conf_feed_failed_since_ms;
 
   /* The fields up to next_intents_ms are used while this instance leads. */
   bool loading; /* the records of enum fleet_load_kind are being read */
   struct fleet_load loads[FLEET_LOAD_N]; /* by enum fleet_load_kind */
-  int64_t load_retry_ms;   /* no read of these records is sent before then */
+  int64_t load_retry_ms;   /* no read of recorded state is sent before then */
   int64_t next_record_ms;  /* no write of records is due before then */
   int64_t next_intents_ms; /* no write of starts' records is due before then */
 
   struct api_request_tree requests; /* callers' requests in progress */
-  int n_requests;
+  int n_requests;                   /* number of requests in progress */
 
   int64_t next_hello_ms; /* no hello is sent to the leader before then */
   /* Time of the leader's last reply to a hello of this instance. */
@@ -324,12 +325,12 @@
   struct fleet_stats stats;
 };
 
-RB_PROTOTYPE (api_request_tree, api_request, by_call, api_request_cmp)
+RB_PROTOTYPE (api_request_tree, api_request, by_request_id, api_request_cmp)
 int api_request_cmp (const struct api_request *a, const struct api_request *b);
 
-/** fleet_init() - Set up @f with a copy of @set, and begin to read the
+/** fleet_init() - Set up @f with a copy of @settings, and begin to read the
  * configuration. */
-void fleet_init (struct fleet *f, const struct fleet_settings *set,
+void fleet_init (struct fleet *f, const struct fleet_settings *settings,
                  int64_t now_ms);
 /** fleet_fini() - Free all that @f owns. */
 void fleet_fini (struct fleet *f);
--- a/core/leader.c
+++ b/core/leader.c
@@ -15,10 +15,10 @@
 struct holder_row
 {
   char node[CLB_ID_MAX];   /* id of the leader */
-  char addr[CLB_ADDR_MAX]; /* address at which other instances reach it */
-  int64_t boot;            /* number of the start of its process */
-  int64_t epoch;           /* its term */
-  bool released;           /* true: it has given up leadership */
+  char addr[CLB_ADDR_MAX]; /* address at which others reach the leader */
+  int64_t boot;            /* start number of the leader's process */
+  int64_t epoch;           /* term of the leader */
+  bool released;           /* the leader has given up leadership */
 };
 
 static const struct fld holder_fields[] = {
@@ -296,7 +296,8 @@
   l->epoch = h.epoch;
 }
 
-/* Makes this instance the leader by the claim that was sent at @sent_ms. */
+/* Makes this instance the leader by the claim that was sent at @sent_ms;
+   returns enum leader_event. */
 static int
 become_leader (struct leader *l, int64_t sent_ms)
 {
@@ -356,7 +357,8 @@
   return LEADER_NO_CHANGE;
 }
 
-/* Makes this instance a follower, as another one has claimed leadership. */
+/* Makes this instance a follower, as another one has claimed leadership;
+   returns enum leader_event. */
 static int
 step_down (struct leader *l, int64_t now_ms)
 {
@@ -367,9 +369,8 @@
   return LEADER_SUPERSEDED;
 }
 
-/* Ends the write in progress, which took effect and gave the journal row
-   version
-   @ver; returns enum leader_event. */
+/* Ends the write in progress, which took effect; @ver is the version that the
+   journal row now has.  Returns enum leader_event. */
 static int
 finish_write (struct leader *l, int64_t ver)
 {
--- a/core/leader.h
+++ b/core/leader.h
@@ -114,8 +114,8 @@
 /** struct leader_attempt - an earlier send of the write in progress */
 struct leader_attempt
 {
-  uint64_t token;  /* token of that call */
-  int64_t sent_ms; /* time at which it was sent */
+  uint64_t token;  /* token of the call */
+  int64_t sent_ms; /* time at which the call was sent */
 };
 
 /** struct leader - an instance's view of the election and its part in it */
@@ -124,21 +124,23 @@
   char id[CLB_ID_MAX]; /* id of this instance */
   /* Address at which other instances reach this one. */
   char addr[CLB_ADDR_MAX];
-  int64_t boot;         /* number of this process's start */
+  int64_t boot;         /* start number of this process */
   struct outq *out;     /* borrowed: where calls are queued */
   uint64_t *last_token; /* borrowed: last token given to a call */
   int state;            /* enum leader_state */
   int64_t epoch;        /* term of the last known leader */
   /* Id of the last known leader, from the holder row; empty: none. */
   char holder[CLB_ID_MAX];
-  /* Address at which other instances reach that leader. */
+  /* Address at which other instances reach the last known leader. */
   char holder_addr[CLB_ADDR_MAX];
-  int64_t holder_boot; /* number of the start of the leader's process */
+  int64_t holder_boot; /* start number of the last known leader's process */
   bool released;       /* the last known leader has given up leadership */
-  bool rows_known;     /* false: both rows must be read before a claim */
+  /* True if the versions of the holder and journal rows are known; if not, the
+     rows must be read before a claim. */
+  bool rows_known;
   int64_t holder_ver;  /* version of the holder row; 0: there is none */
   int64_t journal_ver; /* version of the journal row; 0: there is none */
-  /* Time of the last read that found one of these rows changed. */
+  /* Time of the last read that found the holder or journal row changed. */
   int64_t unchanged_since_ms;
   int64_t last_contact_ms; /* time of the last message from the leader */
   /* While no leader has ever been elected, no claim is sent before then. */
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -60,13 +60,14 @@
   int64_t state; /* enum job_state */
   /* Occurrence of the job for which a query asks advice; the job is id. */
   int64_t occurrence;
-  int64_t step;    /* step of that occurrence */
+  int64_t step;    /* step for which a query asks advice */
   int64_t outcome; /* enum order_outcome of a query for advice */
   /* Timeout of a query for advice; in the reply, the time for which the
      tickets are valid. */
   int64_t valid_ms;
   int64_t conf_version; /* version of the leader's configuration; 0: none */
-  int64_t conf_age_ms;  /* time since that version was proved current */
+  /* Time since the leader's configuration was proved current. */
+  int64_t conf_age_ms;
   /* Time since the sender reached the table service or, if via is set, since
      the instance at via did. */
   int64_t table_age_ms;
@@ -78,8 +79,8 @@
   /* Address of an instance that reaches the table service while the leader
      does not; empty: the leader reaches it, or knows no such instance. */
   char via[CLB_ADDR_MAX];
-  struct store_op op;   /* a call to the table service */
-  struct store_rep rep; /* the answer to such a call */
+  struct store_op op;   /* call to the table service that is requested */
+  struct store_rep rep; /* answer of the table service to such a call */
   /* Owned: executors that a query for advice names, or that may run the
      step. */
   struct mesh_exec *execs;
