--- a/core/fleet_load.c
+++ b/core/fleet_load.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  RETRY_MS = 100, /* pause after a failed read */
+  RETRY_MS = 100, /* pause before a failed read is sent again */
 };
 
 /* By enum fleet_load_kind: the key of the roster, and the key prefixes of the
--- a/core/leader.h
+++ b/core/leader.h
@@ -53,8 +53,8 @@
   /* Shortest delay before an unanswered write is sent again.  An answer takes
      10 ms, or 250 ms when the table service is slow. */
   LEADER_RESEND_MIN_MS = 100,
-  /* The delay is this factor times the latency of the last answered write, and
-     doubles with each resend. */
+  /* The delay before an unanswered write is sent again is this factor times
+     the latency of the last answered write, and doubles with each resend. */
   LEADER_RESEND_FACTOR = 3,
   /* Longest delay before an unanswered write is sent again. */
   LEADER_RESEND_MAX_MS = 450,
@@ -153,7 +153,7 @@
   uint64_t token; /* outstanding call to the table service; 0: none */
   /* Earlier sends of the write in progress that are not answered yet. */
   struct leader_attempt attempts[LEADER_ATTEMPTS_MAX];
-  int n_attempts;
+  int n_attempts;  /* number of entries in attempts */
   int64_t sent_ms; /* time at which the last call was sent */
   int64_t next_ms; /* no call is sent before then */
 
@@ -178,7 +178,7 @@
  * leader_init() - Set up @l as a follower.
  * @id: id of this instance
  * @addr: address at which other instances reach this one
- * @boot: number of this process's start
+ * @boot: start number of this process
  * @millicores: this instance's share of a core, in thousandths; 0: not known,
  *              counts as the largest share
  * @out: borrowed; calls to the table service are queued here
