--- a/core/follow.h
+++ b/core/follow.h
@@ -48,13 +48,13 @@
   /* Pause between calls of the feed, so that several changes are read by one
      call. */
   int64_t batch_ms;
-  struct outq *out;     /* borrowed: where calls are queued */
+  struct outq *out;     /* borrowed: queue of calls to be sent */
   uint64_t *last_token; /* borrowed: last token given to a call */
   bool active; /* follow_start() was called, and not follow_stop() since */
   bool listed; /* all parts have been listed, and the feed is read */
-  struct follow_listing listings[FOLLOW_PARTS_MAX];
-  /* Lowest table version at which a page was listed; the feed is read from
-     there.  0: no page was read. */
+  struct follow_listing listings[FOLLOW_PARTS_MAX]; /* by part */
+  /* Lowest table version at which a page was listed, from which on the feed is
+     read; 0: no page was read. */
   int64_t list_ver;
   int64_t ver;     /* table version up to which the feed was read */
   uint64_t token;  /* outstanding call of the feed; 0: none */
--- a/core/leader.h
+++ b/core/leader.h
@@ -73,7 +73,8 @@
   /* A claim is delayed by this for each stronger follower, so that the
      stronger one can claim first: time for a read, a claim and the answers. */
   LEADER_RANK_DELAY_MS = 100,
-  /* Number of strongest followers that read the rows every LEADER_READ_MS. */
+  /* Number of strongest followers that read the holder and journal rows every
+     LEADER_READ_MS. */
   LEADER_WATCHERS = 3,
   /* Stronger followers beyond this number do not delay a claim further. */
   LEADER_RANK_MAX = 6,
@@ -118,14 +119,14 @@
   int64_t sent_ms; /* time at which the call was sent */
 };
 
-/** struct leader - an instance's view of the election and its part in it */
+/** struct leader - state of the leader election on one instance */
 struct leader
 {
   char id[CLB_ID_MAX]; /* id of this instance */
   /* Address at which other instances reach this one. */
   char addr[CLB_ADDR_MAX];
   int64_t boot;         /* start number of this process */
-  struct outq *out;     /* borrowed: where calls are queued */
+  struct outq *out;     /* borrowed: queue of calls to be sent */
   uint64_t *last_token; /* borrowed: last token given to a call */
   int state;            /* enum leader_state */
   int64_t epoch;        /* term of the last known leader */
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -19,13 +19,17 @@
   MESH_HELLO_REPLY,
   /* An instance queries the leader for the state of a job. */
   MESH_STATE_QUERY,
+  /* The leader replies to a query for the state of a job. */
   MESH_STATE_REPLY,
   /* An instance queries the leader for the number of jobs of a queue that have
      not started. */
   MESH_WAITING_QUERY,
+  /* The leader replies to a query for the number of jobs that have not
+   started. */
   MESH_WAITING_REPLY,
   /* The leader asks another instance to query the advice service. */
   MESH_ADVICE_QUERY,
+  /* The other instance replies with the advice service's answer. */
   MESH_ADVICE_REPLY,
   /* An instance notifies the leader that a job or its cancellation was
      recorded. */
@@ -33,7 +37,8 @@
   /* An instance that cannot reach the table service requests a peer to make a
      call to it. */
   MESH_STORE_REQUEST,
-  /* The peer forwards the table service's answer to that call. */
+  /* A peer forwards the table service's answer to a call that it was requested
+     to make. */
   MESH_STORE_REPLY,
   MESH_KIND_N
 };
@@ -84,7 +89,7 @@
   /* Owned: executors that a query for advice names, or that may run the
      step. */
   struct mesh_exec *execs;
-  size_t n_execs;
+  size_t n_execs; /* number of executors in execs */
 };
 
 /**
