--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -182,7 +182,7 @@
   struct fleetd *d = arg;
   struct fleet_request req;
 
-  pf_request (rq, &req);
+  pf_request_decode (rq, &req);
   fleet_request (&d->fleet, boot_ms (), wall_ms (), &req);
   pump (d);
 }
@@ -396,8 +396,8 @@
   httpc_limit (d->exec_http, EXEC_CONNECTIONS, EXEC_CONNECTIONS_KEPT);
   d->store
       = (struct pf_store){ d->store_http, d->set.store_addr, d, on_store };
-  d->orders
-      = (struct pf_orders){ d->exec_http, d->set.advice_addr, d, on_order };
+  d->orders = (struct pf_orders){ d->exec_http, d->set.advice_service_addr, d,
+                                  on_order };
   d->links = links_new (&links);
   d->callers = serve (d, d->set.callers_addr, on_caller, on_caller_gone);
   d->ready = serve (d, d->set.ready_addr, on_ready, ignore_gone);
--- a/core/api.c
+++ b/core/api.c
@@ -344,19 +344,19 @@
     return refuse_request (f, rq, ANSWER_CONF_STALE, "");
   if (f->n_requests >= FLEET_REQUESTS_MAX)
     return refuse_request (f, rq, ANSWER_TOO_MANY, "");
-  if (rq->verb != FLEET_STATE && table_writes_blocked (f))
+  if (rq->verb != FLEET_VERB_STATE && table_writes_blocked (f))
     return refuse_request (f, rq, ANSWER_TABLE_UNREACHABLE, "");
   id = rq->path + strlen (q->prefix);
-  if (!*id ? rq->verb != FLEET_STATE : !job_id_ok (id))
+  if (!*id ? rq->verb != FLEET_VERB_STATE : !job_id_ok (id))
     return refuse_request (f, rq, ANSWER_BAD_JOB,
                            "id is not 16 hexadecimal digits");
-  if (rq->verb == FLEET_OTHER)
+  if (rq->verb == FLEET_VERB_OTHER)
     return refuse_request (f, rq, ANSWER_BAD_JOB, "method");
   c = add_request (f, rq, q, t);
   clb_copy (c->job_id, id, sizeof c->job_id);
-  if (rq->verb == FLEET_SUBMIT)
+  if (rq->verb == FLEET_VERB_SUBMIT)
     begin_submit (f, c, rq, q);
-  else if (rq->verb == FLEET_CANCEL)
+  else if (rq->verb == FLEET_VERB_CANCEL)
     send_read (f, c, API_READING_JOB);
   else if (*id)
     begin_state (f, c);
@@ -381,7 +381,7 @@
 {
   if (c->step != API_WRITING)
     send_read (f, c, c->step);
-  else if (c->verb == FLEET_SUBMIT)
+  else if (c->verb == FLEET_VERB_SUBMIT)
     send_submit (f, c);
   else
     send_cancel (f, c);
@@ -441,10 +441,10 @@
 handle_write_reply (struct fleet *f, struct api_request *c,
                     const struct store_rep *rep)
 {
-  if (c->verb == FLEET_CANCEL || !rep->err)
+  if (c->verb == FLEET_VERB_CANCEL || !rep->err)
     fleet_notify_job (f, c->job_id,
-                      c->verb == FLEET_CANCEL ? NULL : c->record);
-  if (c->verb == FLEET_CANCEL)
+                      c->verb == FLEET_VERB_CANCEL ? NULL : c->record);
+  if (c->verb == FLEET_VERB_CANCEL)
     finish_request (f, c, ANSWER_CANCELLED, NULL);
   else
     finish_request (f, c, rep->err ? ANSWER_DUPLICATE : ANSWER_ACCEPTED, NULL);
@@ -479,7 +479,7 @@
 {
   if (rep->err)
     finish_request (f, c, ANSWER_NO_JOB, NULL);
-  else if (c->verb == FLEET_CANCEL)
+  else if (c->verb == FLEET_VERB_CANCEL)
     send_cancel (f, c);
   else
     finish_request (f, c, ANSWER_STATE,
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -13,10 +13,10 @@
 {
   /* From this time after a new leader's claim on, an unreachable executor runs
      nothing that an earlier leader has started.  The earlier leader may have
-     given orders for LEADER_ORDER_MS, of which LEADER_CLAIM_AFTER_MS had
+     given orders for LEADER_MAY_ORDER_MS, of which LEADER_CLAIM_AFTER_MS had
      passed before the claim.  After the last order the executor's lease has to
      end, on a clock that is 2% slow. */
-  RECOVERY_WAIT_MS = LEADER_ORDER_MS - LEADER_CLAIM_AFTER_MS
+  RECOVERY_WAIT_MS = LEADER_MAY_ORDER_MS - LEADER_CLAIM_AFTER_MS
                      + FSCHED_LEASE_MS * 102 / 100 + 300,
   /* Largest age in a message; a larger age is sent as this one. */
   AGE_MAX_MS = 86400000,
@@ -51,7 +51,7 @@
                &f->out, &f->last_token);
   f->job_feed.batch_ms = FLEET_JOBS_BATCH_MS;
   f->conf_current_ms = INT64_MIN / 2;
-  f->table_peer_fresh_ms = INT64_MIN / 2;
+  f->proxy_peer_fresh_ms = INT64_MIN / 2;
   proxy_init (f);
   follow_start (&f->conf_feed, now_ms);
 }
@@ -379,7 +379,7 @@
 {
   out_line (&f->out, "event=lead-taken epoch=%lld",
             (long long)f->leader.epoch);
-  f->stats.terms++;
+  f->stats.leader_terms++;
   drop_scheduler (f);
   f->fsched = fsched_new (&f->out, &f->last_token, f->now_ms, f->leader.epoch,
                           RECOVERY_WAIT_MS, &f->stats.fsched);
@@ -578,7 +578,7 @@
 
   if (!proxy_table_unreachable (f) || !a)
     return;
-  clb_copy (r->via, a->addr, sizeof r->via);
+  clb_copy (r->proxy_peer_addr, a->addr, sizeof r->proxy_peer_addr);
   r->table_age_ms = f->now_ms - a->table_contact_ms;
 }
 
@@ -665,12 +665,14 @@
 static void
 handle_hello_reply (struct fleet *f, const struct mesh_msg *m)
 {
-  leader_contact (&f->leader, f->now_ms, m->epoch, m->rank - 1);
+  leader_handle_contact (&f->leader, f->now_ms, m->epoch, m->rank - 1);
   if (strcmp (m->from, f->leader.holder) != 0)
     return;
   f->leader_last_contact_ms = f->now_ms;
-  f->table_peer_fresh_ms = m->seq - m->table_age_ms;
-  clb_copy (f->table_peer, *m->via ? m->via : m->addr, sizeof f->table_peer);
+  f->proxy_peer_fresh_ms = m->seq - m->table_age_ms;
+  clb_copy (f->proxy_peer_addr,
+            *m->proxy_peer_addr ? m->proxy_peer_addr : m->addr,
+            sizeof f->proxy_peer_addr);
   if (f->conf && m->conf_version == f->conf->version)
     set_conf_current (f, m->seq - m->conf_age_ms);
 }
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -76,13 +76,13 @@
 /** enum fleet_verb - what a caller requests, from the HTTP method */
 enum fleet_verb
 {
-  FLEET_SUBMIT,
+  FLEET_VERB_SUBMIT,
   /* Asks for the state of a job or, if the path holds no job's id, for the
      number of waiting jobs of a queue. */
-  FLEET_STATE,
-  FLEET_CANCEL,
+  FLEET_VERB_STATE,
+  FLEET_VERB_CANCEL,
   /* Any other HTTP method; the request is refused. */
-  FLEET_OTHER,
+  FLEET_VERB_OTHER,
   FLEET_VERB_N
 };
 extern const char *const fleet_verb_names[FLEET_VERB_N + 1];
@@ -232,7 +232,7 @@
 {
   uint64_t answers[ANSWER_N]; /* answers to callers, by enum fleet_answer */
   uint64_t store_errors; /* failed calls to the table service for requests */
-  uint64_t terms;        /* how often this instance became the leader */
+  uint64_t leader_terms; /* how often this instance became the leader */
   uint64_t queries;      /* queries sent to the leader */
   uint64_t queries_lost; /* queries that the leader did not answer in time */
   uint64_t retries;      /* retried calls to the table service for requests */
@@ -280,11 +280,11 @@
   struct leader leader;  /* leader election */
   struct fsched *fsched; /* scheduler; NULL unless this instance leads */
   struct fconf *conf;    /* configuration; NULL until the first one is read */
-  struct follow conf_feed; /* reads the configuration's table */
+  struct table_follower conf_feed; /* reads the configuration's table */
   /* Reads the executors' table; active only while this instance leads. */
-  struct follow exec_feed;
+  struct table_follower exec_feed;
   /* Reads the table of jobs; active only while this instance leads. */
-  struct follow job_feed;
+  struct table_follower job_feed;
 
   /* Time of the last answer of the table service; an answer that reports a
      failure is not counted. */
@@ -311,9 +311,10 @@
 
   /* Address of an instance that reaches the table service, as the leader
      reported; often the leader's own address; empty: none is known. */
-  char table_peer[CLB_ADDR_MAX];
-  /* Last time at which table_peer is known to have reached the service. */
-  int64_t table_peer_fresh_ms;
+  char proxy_peer_addr[CLB_ADDR_MAX];
+  /* Last time at which proxy_peer_addr is known to have reached the service.
+   */
+  int64_t proxy_peer_fresh_ms;
 
   struct proxy_callq proxy_sent; /* calls that peers make for this instance */
   struct proxy_callq proxy_serving; /* calls made here for peers */
--- a/core/fleet_metrics.c
+++ b/core/fleet_metrics.c
@@ -52,7 +52,7 @@
     metric_print (out, "answers_total", "answer", fleet_answer_names[i],
                   f->stats.answers[i]);
   metric_print (out, "store_errors_total", NULL, NULL, f->stats.store_errors);
-  metric_print (out, "terms_total", NULL, NULL, f->stats.terms);
+  metric_print (out, "terms_total", NULL, NULL, f->stats.leader_terms);
   metric_print (out, "asks_total", NULL, NULL, f->stats.queries);
   metric_print (out, "asks_lost_total", NULL, NULL, f->stats.queries_lost);
   metric_print (out, "retries_total", NULL, NULL, f->stats.retries);
--- a/core/follow.c
+++ b/core/follow.c
@@ -8,8 +8,8 @@
 #include <string.h>
 
 void
-follow_init (struct follow *f, const char *table, int parts, int64_t wait_ms,
-             struct outq *out, uint64_t *last_token)
+follow_init (struct table_follower *f, const char *table, int parts,
+             int64_t wait_ms, struct outq *out, uint64_t *last_token)
 {
   memset (f, 0, sizeof *f);
   clb_copy (f->table, table, sizeof f->table);
@@ -21,7 +21,7 @@
 
 /* Returns the number of parts to be listed. */
 static int
-n_listings (const struct follow *f)
+n_listings (const struct table_follower *f)
 {
   return f->parts ? f->parts : 1;
 }
@@ -29,19 +29,19 @@
 /* Drops the progress of listing, so that all parts are listed from their
    beginning. */
 static void
-relist (struct follow *f)
+relist (struct table_follower *f)
 {
   f->listed = false;
   f->list_ver = 0;
   for (int i = 0; i < n_listings (f); i++)
     {
       free (f->listings[i].after);
-      f->listings[i] = (struct follow_listing){ 0 };
+      f->listings[i] = (struct part_listing){ 0 };
     }
 }
 
 void
-follow_start (struct follow *f, int64_t now_ms)
+follow_start (struct table_follower *f, int64_t now_ms)
 {
   relist (f);
   f->active = true;
@@ -50,7 +50,7 @@
 }
 
 void
-follow_stop (struct follow *f)
+follow_stop (struct table_follower *f)
 {
   relist (f);
   f->active = false;
@@ -60,7 +60,8 @@
 /* Queues a call to the table service and sets @token and @sent_ms for it.
    Returns the operation of the call, which is still to be filled in. */
 static struct store_op *
-send_call (struct follow *f, int64_t now_ms, uint64_t *token, int64_t *sent_ms)
+send_call (struct table_follower *f, int64_t now_ms, uint64_t *token,
+           int64_t *sent_ms)
 {
   struct out *o = out_new (f->out, OUT_STORE);
 
@@ -72,9 +73,9 @@
 
 /* Sends a call that reads the next page of part @part. */
 static void
-send_listing (struct follow *f, int64_t now_ms, int part)
+send_listing (struct table_follower *f, int64_t now_ms, int part)
 {
-  struct follow_listing *l = &f->listings[part];
+  struct part_listing *l = &f->listings[part];
   char prefix[CLB_NAME_MAX + 16];
   struct store_op *op = send_call (f, now_ms, &l->token, &l->sent_ms);
 
@@ -89,7 +90,7 @@
 
 /* Sends a call that reads the changes since version f->ver. */
 static void
-send_feed (struct follow *f, int64_t now_ms)
+send_feed (struct table_follower *f, int64_t now_ms)
 {
   struct store_op *op = send_call (f, now_ms, &f->token, &f->sent_ms);
 
@@ -100,7 +101,7 @@
 }
 
 void
-follow_tick (struct follow *f, int64_t now_ms)
+follow_tick (struct table_follower *f, int64_t now_ms)
 {
   if (!f->active || now_ms < f->next_ms)
     return;
@@ -112,8 +113,8 @@
 }
 
 /* Returns the listing whose outstanding call is @token, or NULL. */
-static struct follow_listing *
-find_listing (struct follow *f, uint64_t token)
+static struct part_listing *
+find_listing (struct table_follower *f, uint64_t token)
 {
   for (int i = 0; i < n_listings (f); i++)
     if (f->listings[i].token == token)
@@ -122,17 +123,18 @@
 }
 
 bool
-follow_owns (const struct follow *f, uint64_t token)
+follow_owns (const struct table_follower *f, uint64_t token)
 {
   return f->active && token
-         && (token == f->token || find_listing ((struct follow *)f, token));
+         && (token == f->token
+             || find_listing ((struct table_follower *)f, token));
 }
 
 /* Handles a page of the part that @l lists; returns enum follow_event.  The
    feed is read from the lowest version at which a page was read, so that no
    change is missed. */
 static int
-handle_page (struct follow *f, struct follow_listing *l,
+handle_page (struct table_follower *f, struct part_listing *l,
              const struct store_rep *rep)
 {
   if (!f->list_ver || rep->ver < f->list_ver)
@@ -155,7 +157,8 @@
 
 /* Handles an answer of the feed; returns enum follow_event. */
 static int
-handle_changes (struct follow *f, int64_t now_ms, const struct store_rep *rep)
+handle_changes (struct table_follower *f, int64_t now_ms,
+                const struct store_rep *rep)
 {
   if (rep->ver > f->ver)
     f->ver = rep->ver;
@@ -164,10 +167,10 @@
 }
 
 int
-follow_store_reply (struct follow *f, int64_t now_ms, uint64_t token,
+follow_store_reply (struct table_follower *f, int64_t now_ms, uint64_t token,
                     const struct store_rep *rep, bool use_rows, bool *mine)
 {
-  struct follow_listing *l = NULL;
+  struct part_listing *l = NULL;
 
   *mine = follow_owns (f, token);
   if (!*mine)
--- a/core/follow.h
+++ b/core/follow.h
@@ -28,8 +28,8 @@
   FOLLOW_CHANGES,
 };
 
-/** struct follow_listing - listing in progress of one part of the table */
-struct follow_listing
+/** struct part_listing - listing in progress of one part of the table */
+struct part_listing
 {
   uint64_t token;  /* outstanding call to the table service; 0: none */
   int64_t sent_ms; /* time at which the last call was sent */
@@ -37,8 +37,8 @@
   bool complete;   /* all rows of the part have been read */
 };
 
-/** struct follow - state of following one table */
-struct follow
+/** struct table_follower - state of following one table */
+struct table_follower
 {
   char table[CLB_NAME_MAX]; /* name of the table */
   /* Number of the table's parts, which are numbered from 0; 0: the table has
@@ -52,7 +52,7 @@
   uint64_t *last_token; /* borrowed: last token given to a call */
   bool active; /* follow_start() was called, and not follow_stop() since */
   bool listed; /* all parts have been listed, and the feed is read */
-  struct follow_listing listings[FOLLOW_PARTS_MAX]; /* by part */
+  struct part_listing listings[FOLLOW_PARTS_MAX]; /* by part */
   /* Lowest table version at which a page was listed, from which on the feed is
      read; 0: no page was read. */
   int64_t list_ver;
@@ -72,17 +72,17 @@
  * @out: borrowed; calls to the table service are queued here
  * @last_token: borrowed; last token given to a call, raised for each call
  */
-void follow_init (struct follow *f, const char *table, int parts,
+void follow_init (struct table_follower *f, const char *table, int parts,
                   int64_t wait_ms, struct outq *out, uint64_t *last_token);
 /** follow_start() - Begin, or begin again, to list the table. */
-void follow_start (struct follow *f, int64_t now_ms);
+void follow_start (struct table_follower *f, int64_t now_ms);
 /** follow_stop() - Stop following the table; answers to outstanding calls are
  * then ignored. */
-void follow_stop (struct follow *f);
+void follow_stop (struct table_follower *f);
 /** follow_tick() - Send the calls to the table service that are due. */
-void follow_tick (struct follow *f, int64_t now_ms);
+void follow_tick (struct table_follower *f, int64_t now_ms);
 /** follow_owns() - Whether @token is an outstanding call of @f. */
-bool follow_owns (const struct follow *f, uint64_t token);
+bool follow_owns (const struct table_follower *f, uint64_t token);
 /**
  * follow_store_reply() - Handle the table service's answer @rep to a call.
  * @token: token of the call
@@ -94,8 +94,8 @@
  * Return: enum follow_event.  Unless it is FOLLOW_NONE, the caller has to use
  * the rows of @rep.
  */
-int follow_store_reply (struct follow *f, int64_t now_ms, uint64_t token,
-                        const struct store_rep *rep, bool use_rows,
-                        bool *mine);
+int follow_store_reply (struct table_follower *f, int64_t now_ms,
+                        uint64_t token, const struct store_rep *rep,
+                        bool use_rows, bool *mine);
 
 #endif
--- a/core/leader.c
+++ b/core/leader.c
@@ -190,7 +190,8 @@
 }
 
 void
-leader_contact (struct leader *l, int64_t now_ms, int64_t epoch, int64_t rank)
+leader_handle_contact (struct leader *l, int64_t now_ms, int64_t epoch,
+                       int64_t rank)
 {
   if (epoch < l->epoch)
     return;
@@ -487,7 +488,7 @@
 leader_may_order (const struct leader *l, int64_t now_ms)
 {
   return l->state == LEADER_LEADING && !l->stopping
-         && now_ms - l->renewed_ms < LEADER_ORDER_MS;
+         && now_ms - l->renewed_ms < LEADER_MAY_ORDER_MS;
 }
 
 bool
--- a/core/leader.h
+++ b/core/leader.h
@@ -14,8 +14,8 @@
  *
  * The leader's lease and its right to give orders are counted from the time at
  * which its last successful write was first sent.  For LEADER_LEASE_MS from
- * then on no other instance can have claimed; after LEADER_ORDER_MS the leader
- * gives no orders.
+ * then on no other instance can have claimed; after LEADER_MAY_ORDER_MS the
+ * leader gives no orders.
  *
  * Times are read from a clock that also advances while the machine is
  * suspended.
@@ -40,7 +40,7 @@
      long after its last successful write.  Tasks keep running through 7 s
      without the table service: 2 s of orders and 6 s of lease, less the 1 s by
      which an executor's last poll may precede the end of the orders. */
-  LEADER_ORDER_MS = 2000,
+  LEADER_MAY_ORDER_MS = 2000,
   /* Interval between reads of the holder and journal rows by a follower that
      may have to claim soon. */
   LEADER_READ_MS = 200,
@@ -192,13 +192,13 @@
 void leader_fini (struct leader *l);
 
 /**
- * leader_contact() - Handle a message from the leader of term @epoch.
+ * leader_handle_contact() - Handle a message from the leader of term @epoch.
  * @rank: number of followers stronger than this one that the leader knows; -1:
  *        the leader does not know yet, and the rank that an earlier leader
  *        reported is kept
  */
-void leader_contact (struct leader *l, int64_t now_ms, int64_t epoch,
-                     int64_t rank);
+void leader_handle_contact (struct leader *l, int64_t now_ms, int64_t epoch,
+                            int64_t rank);
 /** leader_tick() - Send a read of the holder and journal rows, a claim or a
  * write, whichever is due. */
 void leader_tick (struct leader *l, int64_t now_ms);
--- a/core/mesh.c
+++ b/core/mesh.c
@@ -42,7 +42,7 @@
   FLD_INT (struct mesh_msg, table_age_ms, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, millicores, 0, INT32_MAX),
   FLD_INT (struct mesh_msg, rank, 0, INT32_MAX),
-  FLD_CHARS (struct mesh_msg, via, false),
+  FLD_CHARS_AS ("via", struct mesh_msg, proxy_peer_addr, false),
   FLD_STRUCT (struct mesh_msg, op, &store_op_desc),
   FLD_STRUCT (struct mesh_msg, rep, &store_rep_desc),
   FLD_ARRAY_AS ("names", struct mesh_msg, execs, n_execs, &exec_desc,
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -83,7 +83,7 @@
   int64_t rank;
   /* Address of an instance that reaches the table service while the leader
      does not; empty: the leader reaches it, or knows no such instance. */
-  char via[CLB_ADDR_MAX];
+  char proxy_peer_addr[CLB_ADDR_MAX];
   struct store_op op;   /* call to the table service that is requested */
   struct store_rep rep; /* answer of the table service to such a call */
   /* Owned: executors that a query for advice names, or that may run the
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -96,9 +96,9 @@
       = f->fsched ? fsched_adviser_freshest (f->fsched) : NULL;
 
   if (fleet_leader_addr (f))
-    return *f->table_peer
-                   && f->now_ms - f->table_peer_fresh_ms < FLEET_PEER_FRESH_MS
-               ? f->table_peer
+    return *f->proxy_peer_addr
+                   && f->now_ms - f->proxy_peer_fresh_ms < FLEET_PEER_FRESH_MS
+               ? f->proxy_peer_addr
                : NULL;
   return a && f->now_ms - a->table_contact_ms < FLEET_PEER_FRESH_MS ? a->addr
                                                                     : NULL;
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -142,8 +142,8 @@
   snprintf (path, sizeof path, "/%s/%s", j->spec.queue, j->id);
   body = codec_text (&job_spec_desc, &hand_in);
   j->sent_ms = sim->now_ms;
-  lua_pushinteger (l, (lua_Integer)fsim_request (sim, inst, FLEET_SUBMIT, path,
-                                                 body,
+  lua_pushinteger (l, (lua_Integer)fsim_request (sim, inst, FLEET_VERB_SUBMIT,
+                                                 path, body,
                                                  luaL_optstring (l, 3, "k")));
   free (body);
   return 1;
@@ -159,10 +159,11 @@
 
   snprintf (path, sizeof path, "/%s/%s", j ? j->spec.queue : "q",
             luaL_checkstring (l, 2));
-  lua_pushinteger (l, (lua_Integer)fsim_request (
-                          sim, (int)luaL_checkinteger (l, 1),
-                          strcmp (what, "cancel") ? FLEET_STATE : FLEET_CANCEL,
-                          path, NULL, "k"));
+  lua_pushinteger (
+      l, (lua_Integer)fsim_request (
+             sim, (int)luaL_checkinteger (l, 1),
+             strcmp (what, "cancel") ? FLEET_VERB_STATE : FLEET_VERB_CANCEL,
+             path, NULL, "k"));
   return 1;
 }
 
@@ -174,7 +175,7 @@
 
   snprintf (path, sizeof path, "/%s/", luaL_checkstring (l, 2));
   lua_pushinteger (l, (lua_Integer)fsim_request (
-                          sim, (int)luaL_checkinteger (l, 1), FLEET_STATE,
+                          sim, (int)luaL_checkinteger (l, 1), FLEET_VERB_STATE,
                           path, NULL, luaL_optstring (l, 3, "k")));
   return 1;
 }
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -101,8 +101,8 @@
   uint64_t tokens = 0;
 
   leader_init (&l, 0, "n1", "a", 1, 120, &out, &tokens);
-  leader_contact (&l, 100, 1, 8);
-  leader_contact (&l, 200, 2, -1);
+  leader_handle_contact (&l, 100, 1, 8);
+  leader_handle_contact (&l, 200, 2, -1);
   CU_ASSERT_EQUAL (l.rank, 8);
   leader_fini (&l);
 }
