--- a/core/api.c
+++ b/core/api.c
@@ -206,8 +206,8 @@
 
 /* Checks the submitted job and writes it with the terms of queue @q. */
 static void
-begin_submit (struct fleet *f, struct api_request *c,
-              const struct fleet_request *rq, const struct fconf_queue *q)
+handle_submit (struct fleet *f, struct api_request *c,
+               const struct fleet_request *rq, const struct fconf_queue *q)
 {
   struct job_spec spec;
   struct codec_err ce = { 0 };
@@ -246,7 +246,7 @@
 /* Answers with the state of a job, if this instance's scheduler has the job;
    otherwise queries the leader. */
 static void
-begin_state (struct fleet *f, struct api_request *c)
+handle_state_request (struct fleet *f, struct api_request *c)
 {
   int state = f->fsched && f->fsched->loaded
                   ? fsched_job_state (f->fsched, c->job_id)
@@ -261,7 +261,7 @@
 /* Answers with the number of a queue's waiting jobs, if this instance leads;
    otherwise queries the leader. */
 static void
-begin_count (struct fleet *f, struct api_request *c)
+handle_count_request (struct fleet *f, struct api_request *c)
 {
   if (f->fsched && f->fsched->loaded
       && leader_lease_valid (&f->leader, f->now_ms))
@@ -355,13 +355,13 @@
   c = add_request (f, rq, q, t);
   clb_copy (c->job_id, id, sizeof c->job_id);
   if (rq->verb == FLEET_VERB_SUBMIT)
-    begin_submit (f, c, rq, q);
+    handle_submit (f, c, rq, q);
   else if (rq->verb == FLEET_VERB_CANCEL)
     send_read (f, c, API_READING_JOB);
   else if (*id)
-    begin_state (f, c);
+    handle_state_request (f, c);
   else
-    begin_count (f, c);
+    handle_count_request (f, c);
 }
 
 void
@@ -390,7 +390,7 @@
 /* Whether at least FLEET_TRIES_MAX tries have failed and none of them can have
    recorded anything. */
 static bool
-definitely_refused (const struct api_request *c)
+tries_used_up (const struct api_request *c)
 {
   return !c->outcome_unknown && !c->token && c->tries >= FLEET_TRIES_MAX;
 }
@@ -417,7 +417,7 @@
   c->token = 0;
   if (writing && err != CLB_EUNAVAIL)
     c->outcome_unknown = true;
-  if (definitely_refused (c))
+  if (tries_used_up (c))
     finish_request (f, c, ANSWER_STORE_REFUSED, NULL);
   else
     {
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -16,7 +16,7 @@
      given orders for LEADER_MAY_ORDER_MS, of which LEADER_CLAIM_AFTER_MS had
      passed before the claim.  After the last order the executor's lease has to
      end, on a clock that is 2% slow. */
-  RECOVERY_WAIT_MS = LEADER_MAY_ORDER_MS - LEADER_CLAIM_AFTER_MS
+  EARLIER_RUNS_WAIT_MS = LEADER_MAY_ORDER_MS - LEADER_CLAIM_AFTER_MS
                      + FSCHED_LEASE_MS * 102 / 100 + 300,
   /* Largest age in a message; a larger age is sent as this one. */
   AGE_MAX_MS = 86400000,
@@ -382,7 +382,7 @@
   f->stats.leader_terms++;
   drop_scheduler (f);
   f->fsched = fsched_new (&f->out, &f->last_token, f->now_ms, f->leader.epoch,
-                          RECOVERY_WAIT_MS, &f->stats.fsched);
+                          EARLIER_RUNS_WAIT_MS, &f->stats.fsched);
   fsched_adviser_seen (f->fsched, "", "", 0, 0);
   if (f->conf)
     fsched_set_conf (f->fsched, f->conf);
@@ -479,7 +479,7 @@
 
 /* Sends all calls, writes and orders that are due, after each input. */
 static void
-run_due (struct fleet *f)
+send_due_output (struct fleet *f)
 {
   leader_tick (&f->leader, f->now_ms);
   follow_tick (&f->conf_feed, f->now_ms);
@@ -524,7 +524,7 @@
     f->store_failures++;
   if (!proxy_store_reply (f, token, rep))
     fleet_dispatch_reply (f, token, rep);
-  run_due (f);
+  send_due_output (f);
 }
 
 /* Sends the result of a query for advice to the leader that requested it. */
@@ -563,7 +563,7 @@
     send_advice_reply (f, o, res);
   else if (f->fsched)
     fsched_order_result (f->fsched, now_ms, o->id, res);
-  run_due (f);
+  send_due_output (f);
 }
 
 /* Messages from other instances. */
@@ -571,7 +571,7 @@
 /* Sets in @r the address of an instance that reaches the table service, if
    this instance, which leads, does not reach it and knows one that does. */
 static void
-set_table_peer (const struct fleet *f, struct mesh_msg *r)
+set_proxy_peer (const struct fleet *f, struct mesh_msg *r)
 {
   const struct adviser *a
       = f->fsched ? fsched_adviser_freshest (f->fsched) : NULL;
@@ -584,7 +584,7 @@
 
 /* Handles a follower's hello.  Only the leader replies to it. */
 static void
-reply_to_hello (struct fleet *f, const struct mesh_msg *m)
+handle_hello (struct fleet *f, const struct mesh_msg *m)
 {
   struct mesh_msg *r;
   int rank = -1;
@@ -607,7 +607,7 @@
   r->conf_version = f->conf ? f->conf->version : 0;
   r->conf_age_ms = age_ms (f, f->conf_current_ms);
   r->table_age_ms = age_ms (f, f->store_last_contact_ms);
-  set_table_peer (f, r);
+  set_proxy_peer (f, r);
   r->rank = rank + 1;
   fleet_send (f, m->addr, r);
 }
@@ -684,7 +684,7 @@
   switch (m->kind)
     {
     case MESH_HELLO:
-      reply_to_hello (f, m);
+      handle_hello (f, m);
       break;
     case MESH_HELLO_REPLY:
       handle_hello_reply (f, m);
@@ -708,7 +708,7 @@
       api_mesh_msg (f, m);
       break;
     }
-  run_due (f);
+  send_due_output (f);
 }
 
 void
@@ -719,7 +719,7 @@
   send_hello (f);
   proxy_tick (f);
   api_tick (f);
-  run_due (f);
+  send_due_output (f);
 }
 
 void
--- a/core/follow.c
+++ b/core/follow.c
@@ -29,7 +29,7 @@
 /* Drops the progress of listing, so that all parts are listed from their
    beginning. */
 static void
-relist (struct table_follower *f)
+restart_listing (struct table_follower *f)
 {
   f->listed = false;
   f->list_ver = 0;
@@ -43,7 +43,7 @@
 void
 follow_start (struct table_follower *f, int64_t now_ms)
 {
-  relist (f);
+  restart_listing (f);
   f->active = true;
   f->token = 0;
   f->next_ms = now_ms;
@@ -52,7 +52,7 @@
 void
 follow_stop (struct table_follower *f)
 {
-  relist (f);
+  restart_listing (f);
   f->active = false;
   f->token = 0;
 }
@@ -183,7 +183,7 @@
      listed again. */
   if (rep->err == CLB_ENOTFOUND && !l)
     {
-      relist (f);
+      restart_listing (f);
       return FOLLOW_NONE;
     }
   if (rep->err || !use_rows)
--- a/core/leader.c
+++ b/core/leader.c
@@ -69,7 +69,7 @@
 
 /* Frees the write in progress, if any, and forgets the earlier sends of it. */
 static void
-free_write (struct leader *l)
+discard_write (struct leader *l)
 {
   l->n_attempts = 0;
   if (!l->write)
@@ -82,7 +82,7 @@
 void
 leader_fini (struct leader *l)
 {
-  free_write (l);
+  discard_write (l);
 }
 
 /* Queues a call to the table service.  Returns the operation of the call,
@@ -308,7 +308,7 @@
   clb_copy (l->holder_addr, l->addr, sizeof l->holder_addr);
   l->holder_boot = l->boot;
   l->released = false;
-  free_write (l);
+  discard_write (l);
   return LEADER_ELECTED;
 }
 
@@ -361,12 +361,12 @@
 /* Makes this instance a follower, as another one has claimed leadership;
    returns enum leader_event. */
 static int
-step_down (struct leader *l, int64_t now_ms)
+become_follower (struct leader *l, int64_t now_ms)
 {
   l->state = LEADER_FOLLOWER;
   l->rows_known = false;
   l->next_ms = now_ms + LEADER_RETRY_MS;
-  free_write (l);
+  discard_write (l);
   return LEADER_SUPERSEDED;
 }
 
@@ -379,7 +379,7 @@
   /* The write may have taken effect by its first send, and other instances
      count from that time, as the journal row has not changed since. */
   l->renewed_ms = l->first_sent_ms;
-  free_write (l);
+  discard_write (l);
   if (l->releasing)
     {
       l->state = LEADER_FOLLOWER;
@@ -415,7 +415,7 @@
   journal_value (l, l->epoch, written);
   if (journal && journal->value && strcmp (journal->value, written) == 0)
     return finish_write (l, journal->ver);
-  return step_down (l, now_ms);
+  return become_follower (l, now_ms);
 }
 
 int
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -32,7 +32,7 @@
   PEER_TIMEOUT_MS = 1000,
   /* Most calls in progress that are made for peers; a further call is
      refused. */
-  SERVING_MAX = 2000,
+  SERVED_CALLS_MAX = 2000,
 };
 
 /** struct proxy_call - a call that a peer makes, or that is made for a peer */
@@ -186,7 +186,7 @@
   struct proxy_call *c;
   struct out *o;
 
-  if (proxy_table_unreachable (f) || f->n_proxy_serving >= SERVING_MAX)
+  if (proxy_table_unreachable (f) || f->n_proxy_serving >= SERVED_CALLS_MAX)
     {
       send_reply (f, m->addr, m->seq, &refused);
       return;
