--- a/core/api.c
+++ b/core/api.c
@@ -12,7 +12,7 @@
 
 enum
 {
-  RECORD_MAX = 60000, /* most bytes of a job's row */
+  RECORD_MAX = 60000, /* maximum size of a job's row, in bytes */
 };
 
 const char *const fleet_answer_names[]
@@ -38,8 +38,8 @@
 
 RB_GENERATE (api_request_tree, api_request, by_request_id, api_request_cmp)
 
-/* Writes to @out the key of the row of job @id.  @suffix ends the key; it is
-   empty for the row that holds the job itself. */
+/* Writes the key of a row of job @id to @out.  The key ends with @suffix,
+   which is empty for the row that holds the job itself. */
 static void
 job_key (const char *id, const char *suffix, char out[CLB_NAME_MAX])
 {
@@ -204,7 +204,8 @@
   fleet_send (f, addr, m);
 }
 
-/* Checks the submitted job and writes it with the terms of queue @q. */
+/* Checks the job that @rq submits, adds the settings of queue @q to the job,
+   and sends a write of the job's row. */
 static void
 handle_submit (struct fleet *f, struct api_request *c,
                const struct fleet_request *rq, const struct fconf_queue *q)
@@ -272,9 +273,9 @@
     query_leader (f, c, MESH_WAITING_QUERY, c->queue);
 }
 
-/* Whether the configuration is recent enough to check keys against: a key that
-   was withdrawn after the configuration was last known to be current is still
-   allowed to work. */
+/* Returns true if the configuration is recent enough for the check of a key: a
+   key that was withdrawn after the configuration was last known to be current
+   is still allowed to work. */
 static bool
 conf_fresh_for_keys (const struct fleet *f)
 {
@@ -282,8 +283,8 @@
          < f->settings.revoke_ms - FLEET_KEY_MARGIN_MS;
 }
 
-/* Whether the table service has been unreachable from this instance for
-   FLEET_REFUSE_WRITES_MS and no peer is known that reaches the service. */
+/* Returns true if the table service has been unreachable from this instance
+   for FLEET_REFUSE_WRITES_MS and no peer is known that reaches the service. */
 static bool
 table_writes_blocked (const struct fleet *f)
 {
@@ -292,8 +293,9 @@
          && !proxy_peer (f);
 }
 
-/* Adds a request in progress for @rq to queue @q.  @t is the client account,
-   or NULL. */
+/* Adds a request in progress for @rq to queue @q.  @t is the client account of
+   the request's key; NULL: the queue is public, and the key is missing or
+   unknown. */
 static struct api_request *
 add_request (struct fleet *f, const struct fleet_request *rq,
              const struct fconf_queue *q, const struct fconf_tenant *t)
@@ -387,15 +389,16 @@
     send_cancel (f, c);
 }
 
-/* Whether at least FLEET_TRIES_MAX tries have failed and none of them can have
-   recorded anything. */
+/* Returns true if at least FLEET_TRIES_MAX tries have failed and none of them
+   can have recorded anything. */
 static bool
 tries_used_up (const struct api_request *c)
 {
   return !c->outcome_unknown && !c->token && c->tries >= FLEET_TRIES_MAX;
 }
 
-/* Returns the pause before the next retry after @tries tries. */
+/* Returns the pause before the next retry after @tries tries, in
+   milliseconds. */
 static int64_t
 retry_delay_ms (int tries)
 {
@@ -435,8 +438,8 @@
     }
 }
 
-/* Handles the answer to a write that has succeeded, or that has failed as a
-   job of this id is already recorded. */
+/* Handles the answer to a write that has succeeded, or that has failed because
+   a job of this id is already recorded. */
 static void
 handle_write_reply (struct fleet *f, struct api_request *c,
                     const struct store_rep *rep)
--- a/core/fconf.h
+++ b/core/fconf.h
@@ -14,18 +14,20 @@
   FCONF_KEY_SIZE = 128,
 };
 
-/** struct fconf_queue - a queue and the terms of the jobs submitted to it; a
- * request is for the queue whose host and path prefix it has */
+/** struct fconf_queue - a queue and the settings of the jobs submitted to it;
+ * a request belongs to the queue whose host and path prefix match the URL */
 struct fconf_queue
 {
   char name[CLB_NAME_MAX];
   char host[FCONF_HOST_SIZE];     /* host in the URLs of requests */
   char prefix[FCONF_PREFIX_SIZE]; /* prefix of the paths of requests */
   char service[CLB_NAME_MAX];     /* service whose executors run the jobs */
-  bool is_public;                 /* requests need no key */
+  bool is_public;                 /* true: requests need no key */
   int64_t timeout_ms; /* upper limit of a request's timeout; 0: no limit */
-  int64_t priority;   /* jobs of priority 0 are scheduled first */
-  int64_t attempts;   /* failures of one task that make its job fail; 0: 1 */
+  int64_t priority;   /* priority of the jobs; 0: highest */
+  /* Number of failures of one task after which the job fails; 0 counts as
+     1. */
+  int64_t attempts;
   /* The time objective of a job is slack times the job's longest chain of
      estimates, plus target_ms. */
   double slack;
@@ -43,11 +45,12 @@
 struct fconf_tenant
 {
   char name[CLB_NAME_MAX];
-  /* The account's share of a full fleet, relative to the other weights; also
-     the number of its jobs a second that count as within that share. */
+  /* The account's share of a full fleet, relative to the weights of the other
+     accounts; also the number of the account's jobs per second that count as
+     within that share. */
   double weight;
-  /* Most that the account's running tasks may take together; 0 in one of the
-     amounts: that resource is not limited. */
+  /* Maximum amount of each resource that the account's running tasks may use
+     together; an amount of 0: the resource is not limited. */
   struct job_need limit;
   struct fconf_key *keys; /* owned by struct fconf */
   size_t n_keys;
@@ -58,21 +61,21 @@
 {
   char name[CLB_NAME_MAX];
   char health_path[FCONF_PREFIX_SIZE]; /* path of health checks; empty: none */
-  /* The executors of the service refuse a task that does not fit. */
+  /* True if the executors of the service refuse a task that does not fit. */
   bool enforces_capacity;
 };
 
 /** struct fconf - one version of the configuration; owns its arrays */
 struct fconf
 {
-  int64_t version; /* larger after each change of the configuration */
+  int64_t version; /* grows with each change of the configuration */
   struct fconf_queue *queues;
   size_t n_queues;
   struct fconf_tenant *tenants;
   size_t n_tenants;
   struct fconf_service *services;
   size_t n_services;
-  int64_t body_max; /* most bytes of a request's body */
+  int64_t body_max; /* maximum size of a request's body, in bytes */
 };
 
 /**
@@ -80,8 +83,8 @@
  * @host: the request's host, without the port
  * @path: the request's path
  *
- * Return: of the queues of @host whose prefix @path has, the one with the
- * longest prefix, borrowed from @c; NULL if there is none.
+ * Return: the queue of @host with the longest prefix that @path begins with,
+ * borrowed from @c; NULL if no queue matches.
  */
 const struct fconf_queue *fconf_queue_for (const struct fconf *c,
                                            const char *host, const char *path);
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -11,14 +11,14 @@
 
 enum
 {
-  /* From this time after a new leader's claim on, an unreachable executor runs
-     nothing that an earlier leader has started.  The earlier leader may have
-     given orders for LEADER_MAY_ORDER_MS, of which LEADER_CLAIM_AFTER_MS had
-     passed before the claim.  After the last order the executor's lease has to
-     end, on a clock that is 2% slow. */
+  /* Time after a new leader's claim until an unreachable executor no longer
+     runs any task that an earlier leader has started.  The earlier leader may
+     have given orders for LEADER_MAY_ORDER_MS, of which LEADER_CLAIM_AFTER_MS
+     had passed before the claim.  After the last order the executor's lease
+     has to end, on a clock that is 2% slow. */
   EARLIER_RUNS_WAIT_MS = LEADER_MAY_ORDER_MS - LEADER_CLAIM_AFTER_MS
-                     + FSCHED_LEASE_MS * 102 / 100 + 300,
-  /* Largest age in a message; a larger age is sent as this one. */
+                         + FSCHED_LEASE_MS * 102 / 100 + 300,
+  /* Largest age in a message; a larger age is sent as AGE_MAX_MS. */
   AGE_MAX_MS = 86400000,
   /* Number of low bits of a call's token that count the calls of one process.
      The higher bits hold the start time of the process, so that the tokens of
@@ -26,7 +26,7 @@
   TOKEN_BITS = 20,
 };
 
-/* Ends the key of the row that cancels a job. */
+/* Suffix of the key of the row that cancels a job. */
 #define SUFFIX_CANCEL ".cancel"
 
 void
@@ -191,8 +191,8 @@
     fsched_set_conf (f->fsched, conf);
 }
 
-/* Handles @rep if call @token was made by the configuration's feed; returns
-   whether it was. */
+/* If call @token was made by the configuration's feed, handles @rep and
+   returns true; otherwise returns false. */
 static bool
 handle_config_reply (struct fleet *f, uint64_t token,
                      const struct store_rep *rep)
@@ -220,8 +220,8 @@
   return true;
 }
 
-/* Passes the job @id with @record to the scheduler, unless the
-   scheduler has the job already or the job has ended. */
+/* Parses @record, which holds job @id, and passes the job to the scheduler,
+   unless the scheduler has the job already or the job has ended. */
 static void
 add_job (struct fleet *f, const char *id, const char *record)
 {
@@ -300,8 +300,8 @@
   fleet_send (f, addr, m);
 }
 
-/* Handles @rep if call @token was made by the feed of jobs; returns whether it
-   was. */
+/* If call @token was made by the feed of jobs, handles @rep and returns true;
+   otherwise returns false. */
 static bool
 handle_jobs_reply (struct fleet *f, uint64_t token,
                    const struct store_rep *rep)
@@ -348,8 +348,8 @@
   fsched_exec_unlisted (f->fsched, id);
 }
 
-/* Handles @rep if call @token was made by the feed of executors; returns
-   whether it was. */
+/* If call @token was made by the feed of executors, handles @rep and returns
+   true; otherwise returns false. */
 static bool
 handle_execs_reply (struct fleet *f, uint64_t token,
                     const struct store_rep *rep)
@@ -389,8 +389,8 @@
   fleet_load_start (f);
 }
 
-/* Handles @rep if call @token was made by the leader election; returns whether
-   it was. */
+/* If call @token was made by the leader election, handles @rep and returns
+   true; otherwise returns false. */
 static bool
 handle_election_reply (struct fleet *f, uint64_t token,
                        const struct store_rep *rep)
@@ -447,7 +447,8 @@
   leader_write (&f->leader, f->now_ms, op);
 }
 
-/* Returns the age of the time @since_ms for a message, at most AGE_MAX_MS. */
+/* Returns the time since @since_ms for use in a message: at most
+   AGE_MAX_MS. */
 static int64_t
 age_ms (const struct fleet *f, int64_t since_ms)
 {
@@ -477,7 +478,8 @@
   fleet_send (f, f->leader.holder_addr, m);
 }
 
-/* Sends all calls, writes and orders that are due, after each input. */
+/* Queues all calls, writes and orders that are due.  Called after each
+   input. */
 static void
 send_due_output (struct fleet *f)
 {
@@ -568,8 +570,9 @@
 
 /* Messages from other instances. */
 
-/* Sets in @r the address of an instance that reaches the table service, if
-   this instance, which leads, does not reach it and knows one that does. */
+/* Sets the address of an instance that reaches the table service in the reply
+   @r, if this instance, the leader, does not reach the service and knows an
+   instance that does. */
 static void
 set_proxy_peer (const struct fleet *f, struct mesh_msg *r)
 {
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -44,8 +44,9 @@
      have taken effect. */
   FLEET_TRIES_MAX = 4,
   /* Once the calls of the configuration's feed have failed for this long and
-     no peer reaches the table service, requests that write are refused at
-     once: a write that fails then cannot be told from one that took effect. */
+     no peer reaches the table service, requests that write are refused without
+     a call to the service: the answer to such a call may be lost, and it would
+     then be unknown whether the write took effect. */
   FLEET_REFUSE_WRITES_MS = 500,
   /* Calls to the table service are sent through a peer if the peer has reached
      the service within this time.  The peer's last contact with the service
@@ -69,7 +70,8 @@
   FLEET_JOBS_BATCH_MS = 200,
   /* Value of the Retry-After header of answers with status 503. */
   FLEET_RETRY_AFTER_MS = 1000,
-  /* Most callers' requests in progress; a further request is refused. */
+  /* Maximum number of callers' requests in progress; a further request is
+     refused. */
   FLEET_REQUESTS_MAX = 2000,
 };
 
@@ -77,8 +79,8 @@
 enum fleet_verb
 {
   FLEET_VERB_SUBMIT,
-  /* Asks for the state of a job or, if the path holds no job's id, for the
-     number of waiting jobs of a queue. */
+  /* The caller requests the state of a job or, if the path holds no job's id,
+     the number of waiting jobs of a queue. */
   FLEET_VERB_STATE,
   FLEET_VERB_CANCEL,
   /* Any other HTTP method; the request is refused. */
@@ -90,7 +92,7 @@
 /** struct fleet_request - a caller's request; all pointers are borrowed */
 struct fleet_request
 {
-  uint64_t request_id; /* number that is never reused */
+  uint64_t request_id; /* number of the request; never reused */
   int verb;            /* enum fleet_verb */
   const char *host;    /* host of the request's URL, without the port */
   const char *path;    /* path of the URL: a queue's prefix, then a job's id */
@@ -129,7 +131,7 @@
    * @detail names what was wrong, or is empty. */
   char *(*error_body) (const char *error, const char *detail);
   const char *conf_table; /* table that holds the configuration */
-  const char *conf_key;   /* the configuration's row, as "TABLE/KEY" */
+  const char *conf_key;   /* key of the configuration's row, "TABLE/KEY" */
   const char *exec_table; /* table of executors' entries, keyed by id */
 };
 
@@ -168,14 +170,16 @@
   uint64_t request_id; /* number that the caller's request came with */
   int verb;            /* enum fleet_verb */
   int step;            /* enum api_step */
-  uint64_t token;      /* outstanding call to the table service; 0: none */
-  char job_id[JOB_ID_SIZE];  /* empty: the request asks for a count */
+  /* Token of the outstanding call to the table service; 0: none. */
+  uint64_t token;
+  /* Id of the job; empty: the request asks for a number of waiting jobs. */
+  char job_id[JOB_ID_SIZE];
   char queue[CLB_NAME_MAX];  /* name of the queue */
   char tenant[CLB_NAME_MAX]; /* client account of the key; empty: none */
   char *record;              /* owned: row of a submitted job; NULL: none */
   int64_t arrival_ms;        /* time at which the request arrived */
   int64_t deadline_ms; /* time by which the request is answered in any case */
-  int64_t retry_at_ms; /* time of the next retry; 0: no retry is due */
+  int64_t retry_at_ms; /* time of the next retry; 0: none is planned */
   int64_t query_ms;    /* time at which the leader was queried */
   int64_t query_seq;   /* number of the query to the leader */
   int tries;           /* calls and queries sent so far */
@@ -219,7 +223,8 @@
   /* No leader is reachable, or the leader did not answer the query for a
      count. */
   ANSWER_NO_LEADER,
-  /* FLEET_REQUESTS_MAX requests are in progress. */
+  /* The request was refused, as FLEET_REQUESTS_MAX requests are in
+     progress. */
   ANSWER_TOO_MANY,
   /* The table service was known to be unreachable; no call was sent to it. */
   ANSWER_TABLE_UNREACHABLE,
@@ -231,13 +236,17 @@
 struct fleet_stats
 {
   uint64_t answers[ANSWER_N]; /* answers to callers, by enum fleet_answer */
-  uint64_t store_errors; /* failed calls to the table service for requests */
-  uint64_t leader_terms; /* how often this instance became the leader */
+  /* Failed calls to the table service that were made for callers' requests. */
+  uint64_t store_errors;
+  /* Number of times that this instance became the leader. */
+  uint64_t leader_terms;
   uint64_t queries;      /* queries sent to the leader */
   uint64_t queries_lost; /* queries that the leader did not answer in time */
-  uint64_t retries;      /* retried calls to the table service for requests */
-  uint64_t proxied;      /* calls to the table service sent through a peer */
-  uint64_t bad_rows;     /* damaged rows read from the platform's tables */
+  /* Retried calls to the table service that were made for callers'
+     requests. */
+  uint64_t retries;
+  uint64_t proxied;  /* calls to the table service sent through a peer */
+  uint64_t bad_rows; /* damaged rows read from the platform's tables */
   /* Time from a request's arrival to its answer, by enum fleet_verb. */
   struct hist request_ms[FLEET_VERB_N];
   /* Time from the first send of a leader's write to the answer that reports
@@ -264,9 +273,10 @@
 /** struct fleet_load - progress of reading one kind of record */
 struct fleet_load
 {
-  uint64_t token; /* outstanding call to the table service; 0: none */
-  char *after;    /* owned: last key read so far; NULL: none */
-  bool complete;  /* all records of the kind have been read */
+  /* Token of the outstanding call to the table service; 0: none. */
+  uint64_t token;
+  char *after;   /* owned: last key read so far; NULL: none */
+  bool complete; /* true: all records of the kind have been read */
 };
 
 /** struct fleet - one instance on the fleet */
@@ -274,7 +284,7 @@
 {
   struct fleet_settings settings;
   int64_t now_ms;        /* time of the latest input */
-  int64_t wall_ms;       /* wall clock, as last passed in; milliseconds */
+  int64_t wall_ms;       /* latest wall-clock time passed in, milliseconds */
   struct outq out;       /* output for fleet_next_out() to return */
   uint64_t last_token;   /* last number given to a call, query or order */
   struct leader leader;  /* leader election */
@@ -290,39 +300,44 @@
      failure is not counted. */
   int64_t store_last_contact_ms;
   int store_failures; /* failed calls since the table service's last answer */
-  bool conf_feed_failed; /* the last call of the configuration's feed failed */
+  /* True if the last call of the configuration's feed failed. */
+  bool conf_feed_failed;
   /* While conf_feed_failed is true, the time at which the first call of the
      configuration's feed failed. */
   int64_t conf_feed_failed_since_ms;
 
-  /* The fields up to next_intents_ms are used while this instance leads. */
-  bool loading; /* the records of enum fleet_load_kind are being read */
+  /* The following fields, up to next_intents_ms, are used only while this
+     instance leads. */
+  bool loading; /* true: the records of enum fleet_load_kind are being read */
   struct fleet_load loads[FLEET_LOAD_N]; /* by enum fleet_load_kind */
-  int64_t load_retry_ms;   /* no read of recorded state is sent before then */
-  int64_t next_record_ms;  /* no write of records is due before then */
-  int64_t next_intents_ms; /* no write of starts' records is due before then */
+  int64_t load_retry_ms; /* earliest time of the next read of recorded state */
+  /* Earliest time at which due records other than starts cause a write. */
+  int64_t next_record_ms;
+  /* Earliest time at which due records of starts cause a write. */
+  int64_t next_intents_ms;
 
   struct api_request_tree requests; /* callers' requests in progress */
   int n_requests;                   /* number of requests in progress */
 
-  int64_t next_hello_ms; /* no hello is sent to the leader before then */
+  int64_t next_hello_ms; /* earliest time of the next hello to the leader */
   /* Time of the leader's last reply to a hello of this instance. */
   int64_t leader_last_contact_ms;
 
   /* Address of an instance that reaches the table service, as the leader
      reported; often the leader's own address; empty: none is known. */
   char proxy_peer_addr[CLB_ADDR_MAX];
-  /* Last time at which proxy_peer_addr is known to have reached the service.
-   */
+  /* Last time at which the instance at proxy_peer_addr is known to have
+     reached the table service. */
   int64_t proxy_peer_fresh_ms;
 
   struct proxy_callq proxy_sent; /* calls that peers make for this instance */
-  struct proxy_callq proxy_serving; /* calls made here for peers */
-  int n_proxy_serving;              /* number of calls in proxy_serving */
+  /* Calls that this instance makes for peers. */
+  struct proxy_callq proxy_serving;
+  int n_proxy_serving; /* number of calls in proxy_serving */
 
   /* Last time at which conf is known to have been the newest configuration. */
   int64_t conf_current_ms;
-  bool stopping; /* fleet_stop() was called */
+  bool stopping; /* true: fleet_stop() was called */
   struct fleet_stats stats;
 };
 
@@ -336,7 +351,7 @@
 /** fleet_fini() - Free all that @f owns. */
 void fleet_fini (struct fleet *f);
 
-/* Inputs. */
+/* Inputs to the instance. */
 
 /**
  * fleet_request() - Handle a caller's request.
@@ -380,21 +395,21 @@
 /** fleet_stop() - Begin a graceful shutdown.  If this instance leads, it gives
  * up leadership. */
 void fleet_stop (struct fleet *f, int64_t now_ms);
-/** fleet_idle() - Whether no caller's request is in progress. */
+/** fleet_idle() - Return true if no caller's request is in progress. */
 bool fleet_idle (const struct fleet *f);
-/** fleet_ready() - Whether this instance is ready for callers: its
+/** fleet_ready() - Return true if this instance is ready for callers: its
  * configuration is recent, and fleet_stop() was not called. */
 bool fleet_ready (const struct fleet *f, int64_t now_ms);
 /** fleet_metrics() - Return the counters as Prometheus text, which the caller
  * frees. */
 char *fleet_metrics (struct fleet *f);
 
-/* api.c, used by fleet.c */
+/* Functions of api.c that fleet.c uses. */
 
 /** api_tick() - Send due retries and end requests that have timed out. */
 void api_tick (struct fleet *f);
 /** api_store_reply() - Handle @rep if call @token was made for a caller's
- * request; return whether it was. */
+ * request; return true if it was. */
 bool api_store_reply (struct fleet *f, uint64_t token,
                       const struct store_rep *rep);
 /** api_mesh_msg() - Answer a query of another instance, or handle the leader's
@@ -403,7 +418,7 @@
 /** api_fini() - Free all requests in progress, without answers. */
 void api_fini (struct fleet *f);
 
-/* fleet_load.c, used by fleet.c */
+/* Functions of fleet_load.c that fleet.c uses. */
 
 /** fleet_load_start() - Begin to read the records of enum fleet_load_kind. */
 void fleet_load_start (struct fleet *f);
@@ -413,21 +428,21 @@
 /** fleet_load_tick() - Send the reads that are due. */
 void fleet_load_tick (struct fleet *f);
 /** fleet_load_store_reply() - Handle @rep if call @token is a read of the
- * recorded state; return whether it is. */
+ * recorded state; return true if it is. */
 bool fleet_load_store_reply (struct fleet *f, uint64_t token,
                              const struct store_rep *rep);
 /** fleet_load_finish() - Let the scheduler start, if all records and the
  * tables of executors and jobs have been read. */
 void fleet_load_finish (struct fleet *f);
 
-/* proxy.c, used by fleet.c and api.c */
+/* Functions of proxy.c that fleet.c and api.c use. */
 
 /** proxy_init() - Set up the queues of calls that peers make for this instance
  * and that it makes for peers. */
 void proxy_init (struct fleet *f);
 /** proxy_fini() - Free all calls in both queues. */
 void proxy_fini (struct fleet *f);
-/** proxy_table_unreachable() - Whether the table service is considered
+/** proxy_table_unreachable() - Return true if the table service is considered
  * unreachable from this instance. */
 bool proxy_table_unreachable (const struct fleet *f);
 /** proxy_peer() - Return the address of another instance that reaches the
@@ -446,7 +461,7 @@
  * @m.  The function takes ownership of the operation in @m, or refuses it. */
 void proxy_serve (struct fleet *f, struct mesh_msg *m);
 /** proxy_store_reply() - Forward @rep to the peer for which call @token was
- * made; return false if it was made for none. */
+ * made.  Return false if the call was not made for a peer. */
 bool proxy_store_reply (struct fleet *f, uint64_t token,
                         const struct store_rep *rep);
 /** proxy_peer_reply() - Handle the answer that a peer forwards to a call of
@@ -456,7 +471,7 @@
  * %CLB_EUNKNOWN. */
 void proxy_tick (struct fleet *f);
 
-/* fleet.c, used by api.c and proxy.c */
+/* Functions of fleet.c that api.c and proxy.c use. */
 
 /** fleet_dispatch_reply() - Pass @rep to the module that made call @token. */
 void fleet_dispatch_reply (struct fleet *f, uint64_t token,
--- a/core/fleet_load.c
+++ b/core/fleet_load.c
@@ -13,8 +13,9 @@
   RETRY_MS = 100, /* pause before a failed read is sent again */
 };
 
-/* By enum fleet_load_kind: the key of the roster, and the key prefixes of the
-   recorded starts and of the jobs' progress. */
+/* Key or key prefix of each kind of records, by enum fleet_load_kind: the key
+   of the roster, and the prefixes of the recorded starts and of the jobs'
+   progress. */
 static const char *const load_keys[FLEET_LOAD_N]
     = { LEADER_KEY_ROSTER, FSCHED_KEY_INTENTS, FSCHED_KEY_PROGRESS };
 
@@ -128,9 +129,9 @@
   for (int i = 0; i < FLEET_LOAD_N; i++)
     if (!f->loads[i].complete)
       return;
-  /* These tables are read after the records: an executor that is not in the
-     roster was not used by an earlier leader, and a job gets the progress that
-     the records hold. */
+  /* The tables of executors and jobs are read after the records: an executor
+     that is not in the roster was not used by an earlier leader, and a job
+     gets the progress that the records hold. */
   f->loading = false;
   follow_start (&f->exec_feed, f->now_ms);
   fsched_exec_list (f->fsched, true);
--- a/core/follow.c
+++ b/core/follow.c
@@ -88,7 +88,7 @@
   op->after = l->after ? strdup (l->after) : NULL;
 }
 
-/* Sends a call that reads the changes since version f->ver. */
+/* Sends a call of the feed that reads the changes since version f->ver. */
 static void
 send_feed (struct table_follower *f, int64_t now_ms)
 {
--- a/core/follow.h
+++ b/core/follow.h
@@ -12,32 +12,36 @@
 enum
 {
   FOLLOW_RETRY_MS = 150, /* pause after a failed call to the table service */
-  FOLLOW_PARTS_MAX = 8,  /* most parts of a table */
+  FOLLOW_PARTS_MAX = 8,  /* maximum number of parts of a table */
 };
 
 /** enum follow_event - what an answer of the table service holds */
 enum follow_event
 {
-  /* No rows that may be used. */
+  /* The answer holds no rows for the caller to use. */
   FOLLOW_NONE,
-  /* A page of rows of the table; other pages are still to be read. */
+  /* The answer holds a page of the table's rows; other pages are still to be
+     read. */
   FOLLOW_PAGE,
-  /* The last page of rows: all parts of the table have been listed. */
+  /* The answer holds the last page of rows: all parts of the table have been
+     listed. */
   FOLLOW_LISTED,
-  /* Changed rows from the feed; possibly none. */
+  /* The answer comes from the feed and holds the rows that have changed; there
+     may be none. */
   FOLLOW_CHANGES,
 };
 
 /** struct part_listing - listing in progress of one part of the table */
 struct part_listing
 {
-  uint64_t token;  /* outstanding call to the table service; 0: none */
+  /* Token of the outstanding call to the table service; 0: none. */
+  uint64_t token;
   int64_t sent_ms; /* time at which the last call was sent */
   char *after;     /* owned: last key read; NULL: none */
-  bool complete;   /* all rows of the part have been read */
+  bool complete;   /* true: all rows of the part have been read */
 };
 
-/** struct table_follower - state of following one table */
+/** struct table_follower - reader of one table and of the changes to it */
 struct table_follower
 {
   char table[CLB_NAME_MAX]; /* name of the table */
@@ -50,17 +54,17 @@
   int64_t batch_ms;
   struct outq *out;     /* borrowed: queue of calls to be sent */
   uint64_t *last_token; /* borrowed: last token given to a call */
-  bool active; /* follow_start() was called, and not follow_stop() since */
-  bool listed; /* all parts have been listed, and the feed is read */
+  bool active;          /* true between follow_start() and follow_stop() */
+  bool listed; /* true: all parts have been listed, and the feed is read */
   struct part_listing listings[FOLLOW_PARTS_MAX]; /* by part */
-  /* Lowest table version at which a page was listed, from which on the feed is
-     read; 0: no page was read. */
+  /* Lowest table version at which a page was listed; the feed is read from
+     this version on.  0: no page was read. */
   int64_t list_ver;
   int64_t ver;     /* table version up to which the feed was read */
-  uint64_t token;  /* outstanding call of the feed; 0: none */
+  uint64_t token;  /* token of the outstanding call of the feed; 0: none */
   int64_t sent_ms; /* time at which the last call of the feed was sent */
-  int64_t next_ms; /* no call is sent before then */
-  /* Time at which the call was sent whose answer was used last. */
+  int64_t next_ms; /* earliest time of the next call */
+  /* Send time of the last call whose answer was used. */
   int64_t fresh_ms;
 };
 
@@ -81,7 +85,7 @@
 void follow_stop (struct table_follower *f);
 /** follow_tick() - Send the calls to the table service that are due. */
 void follow_tick (struct table_follower *f, int64_t now_ms);
-/** follow_owns() - Whether @token is an outstanding call of @f. */
+/** follow_owns() - Return true if @token is an outstanding call of @f. */
 bool follow_owns (const struct table_follower *f, uint64_t token);
 /**
  * follow_store_reply() - Handle the table service's answer @rep to a call.
--- a/core/leader.c
+++ b/core/leader.c
@@ -14,11 +14,12 @@
 /* struct holder_row - value of the holder row, which names the leader */
 struct holder_row
 {
-  char node[CLB_ID_MAX];   /* id of the leader */
-  char addr[CLB_ADDR_MAX]; /* address at which others reach the leader */
-  int64_t boot;            /* start number of the leader's process */
-  int64_t epoch;           /* term of the leader */
-  bool released;           /* the leader has given up leadership */
+  char node[CLB_ID_MAX]; /* id of the leader */
+  /* Address at which other instances reach the leader. */
+  char addr[CLB_ADDR_MAX];
+  int64_t boot;  /* start number of the leader's process */
+  int64_t epoch; /* term of the leader */
+  bool released; /* true: the leader has given up leadership */
 };
 
 static const struct fld holder_fields[] = {
@@ -118,7 +119,9 @@
             (long long)l->boot, (long long)l->seq);
 }
 
-/* Adds a put of the holder row, which then names this instance, to @op. */
+/* Adds to @op a put of the holder row that names this instance as the leader
+   of term @epoch; @released is true if this instance gives up
+   leadership. */
 static void
 put_holder (struct store_op *op, const struct leader *l, int64_t epoch,
             bool released)
@@ -151,11 +154,11 @@
   store_put (op, KEY_JOURNAL, value);
 }
 
-/* Whether this instance may claim leadership before the holder and journal
-   rows have been unchanged for LEADER_CLAIM_AFTER_MS.  It may if no leader was
-   ever elected, if the last leader has released leadership, or if the last
-   leader was an earlier process of this instance and this instance's share of
-   a core is not below LEADER_RECLAIM_MILLICORES. */
+/* Returns true if this instance may claim leadership before the holder and
+   journal rows have been unchanged for LEADER_CLAIM_AFTER_MS.  This is allowed
+   if no leader was ever elected, if the last leader has released leadership,
+   or if the last leader was an earlier process of this instance and this
+   instance's share of a core is not below LEADER_RECLAIM_MILLICORES. */
 static bool
 may_claim_early (const struct leader *l, int64_t now_ms)
 {
@@ -167,7 +170,7 @@
          && (l->millicores == 0 || l->millicores >= LEADER_RECLAIM_MILLICORES);
 }
 
-/* Whether this instance has to claim leadership now. */
+/* Returns true if this instance has to claim leadership now. */
 static bool
 claim_due (const struct leader *l, int64_t now_ms)
 {
@@ -204,7 +207,8 @@
     l->rows_known = false;
 }
 
-/* Returns the time after which a write without an answer is sent again. */
+/* Returns the delay before a write without an answer is sent again, in
+   milliseconds. */
 static int64_t
 resend_delay_ms (const struct leader *l)
 {
@@ -216,9 +220,9 @@
   return ms < LEADER_RESEND_MAX_MS ? ms : LEADER_RESEND_MAX_MS;
 }
 
-/* Writes to the holder row that this instance has released leadership.  To be
-   called only while no write is in progress, as a successor waits until the
-   journal row no longer changes. */
+/* Writes to the holder row that this instance has released leadership.  The
+   function may be called only while no write is in progress, as a successor
+   waits until the journal row no longer changes. */
 static void
 write_release (struct leader *l, int64_t now_ms)
 {
@@ -330,8 +334,8 @@
   l->holder_ver = holder_ver;
   l->journal_ver = journal_ver;
   set_holder (l, holder);
-  /* If the holder row names this process, an earlier claim took effect, whose
-     answer was lost. */
+  /* If the holder row names this process, an earlier claim of this process
+     took effect and the answer to the claim was lost. */
   if (holder && strcmp (l->holder, l->id) == 0 && l->holder_boot == l->boot
       && !l->released && !l->stopping)
     return become_leader (l, l->claim_sent_ms);
@@ -376,8 +380,9 @@
 finish_write (struct leader *l, int64_t ver)
 {
   l->journal_ver = ver;
-  /* The write may have taken effect by its first send, and other instances
-     count from that time, as the journal row has not changed since. */
+  /* The first send of the write may be the one that took effect.  Other
+     instances then count from that send, as the journal row has not changed
+     since. */
   l->renewed_ms = l->first_sent_ms;
   discard_write (l);
   if (l->releasing)
--- a/core/leader.h
+++ b/core/leader.h
@@ -36,10 +36,11 @@
      LEADER_CLAIM_AFTER_MS by the most that the clocks of two instances may
      differ. */
   LEADER_LEASE_MS = 1100,
-  /* The leader gives orders, which renew executors' leases of 6 s, for this
-     long after its last successful write.  Tasks keep running through 7 s
-     without the table service: 2 s of orders and 6 s of lease, less the 1 s by
-     which an executor's last poll may precede the end of the orders. */
+  /* Time after its last successful write for which the leader may give orders.
+     Orders renew the executors' leases, which last 6 s.  Tasks thus keep
+     running through 7 s without the table service: 2 s of orders and 6 s of
+     lease, less the 1 s by which an executor's last poll may precede the end
+     of the orders. */
   LEADER_MAY_ORDER_MS = 2000,
   /* Interval between reads of the holder and journal rows by a follower that
      may have to claim soon. */
@@ -58,11 +59,12 @@
   LEADER_RESEND_FACTOR = 3,
   /* Longest delay before an unanswered write is sent again. */
   LEADER_RESEND_MAX_MS = 450,
-  /* Most earlier sends of one write whose answers are still accepted. */
+  /* Maximum number of earlier sends of one write whose answers are still
+     accepted. */
   LEADER_ATTEMPTS_MAX = 8,
   /* Pause after a refused or failed call to the table service. */
   LEADER_RETRY_MS = 100,
-  /* Most rows in one write beside the journal row. */
+  /* Maximum number of rows in one write, not counting the journal row. */
   LEADER_ROWS_MAX = 98,
   /* While no rank is known, an instance with at least this share of a core
      claims without delay. */
@@ -91,7 +93,7 @@
 /** enum leader_state - role of this instance in the election */
 enum leader_state
 {
-  /* Another instance leads, or none. */
+  /* This instance does not lead. */
   LEADER_FOLLOWER,
   /* This instance has sent a claim that is not answered yet. */
   LEADER_CANDIDATE,
@@ -135,7 +137,7 @@
   /* Address at which other instances reach the last known leader. */
   char holder_addr[CLB_ADDR_MAX];
   int64_t holder_boot; /* start number of the last known leader's process */
-  bool released;       /* the last known leader has given up leadership */
+  bool released; /* true: the last known leader has given up leadership */
   /* True if the versions of the holder and journal rows are known; if not, the
      rows must be read before a claim. */
   bool rows_known;
@@ -144,35 +146,37 @@
   /* Time of the last read that found the holder or journal row changed. */
   int64_t unchanged_since_ms;
   int64_t last_contact_ms; /* time of the last message from the leader */
-  /* While no leader has ever been elected, no claim is sent before then. */
+  /* Earliest time of a claim while no leader has ever been elected. */
   int64_t first_claim_ms;
   /* This instance's share of a core, in thousandths; 0: not known. */
   int64_t millicores;
   /* Number of followers stronger than this one, as the leader reported; -1:
      not known. */
   int64_t rank;
-  uint64_t token; /* outstanding call to the table service; 0: none */
+  /* Token of the outstanding call to the table service; 0: none. */
+  uint64_t token;
   /* Earlier sends of the write in progress that are not answered yet. */
   struct leader_attempt attempts[LEADER_ATTEMPTS_MAX];
   int n_attempts;  /* number of entries in attempts */
   int64_t sent_ms; /* time at which the last call was sent */
-  int64_t next_ms; /* no call is sent before then */
+  int64_t next_ms; /* earliest time of the next call */
 
-  /* The fields up to write describe this instance's claim and its term as the
-     leader. */
+  /* The following fields, up to write, describe this instance's claim and its
+     term as the leader. */
 
-  /* Time at which the last successful write or the claim was first sent. */
+  /* Time from which the lease counts: the first send of the last successful
+     write or, before the first write, the send of the claim. */
   int64_t renewed_ms;
   int64_t seq; /* number of the last write in this term */
   /* Time at which the write in progress was first sent. */
   int64_t first_sent_ms;
-  int64_t latency_ms;    /* latency of the last answered write */
+  int64_t latency_ms;    /* latency of the last answered write, milliseconds */
   int64_t claim_sent_ms; /* time at which the claim was sent */
   /* Owned: the write in progress, which is sent again until the outcome of the
      write is known; NULL: no write is in progress. */
   struct store_op *write;
-  bool stopping;  /* leader_release() was called */
-  bool releasing; /* the write in progress gives up leadership */
+  bool stopping;  /* true: leader_release() was called */
+  bool releasing; /* true: the write in progress gives up leadership */
 };
 
 /**
@@ -213,11 +217,11 @@
 int leader_store_reply (struct leader *l, int64_t now_ms, uint64_t token,
                         const struct store_rep *rep, bool *mine);
 
-/** leader_can_write() - Whether this instance leads and no write is in
+/** leader_can_write() - Return true if this instance leads and no write is in
  * progress. */
 bool leader_can_write (const struct leader *l, int64_t now_ms);
-/** leader_heartbeat_due() - Whether this instance has to write the journal row
- * now even if there is nothing to record. */
+/** leader_heartbeat_due() - Return true if this instance has to write the
+ * journal row now even if there is nothing to record. */
 bool leader_heartbeat_due (const struct leader *l, int64_t now_ms);
 /**
  * leader_write() - Write the puts of @op and the journal row in one
@@ -225,19 +229,21 @@
  * @op: the function takes ownership of @op and adds the condition on the
  *      journal row
  *
- * To be called only while leader_can_write().
+ * The function may be called only while leader_can_write() returns true.
  */
 void leader_write (struct leader *l, int64_t now_ms, struct store_op *op);
 /** leader_release() - Give up leadership, if this instance leads, so that a
- * successor may claim without waiting.  This instance claims no more. */
+ * successor may claim without waiting.  Afterwards, this instance does not
+ * claim leadership again. */
 void leader_release (struct leader *l, int64_t now_ms);
 
-/** leader_may_order() - Whether this instance may give orders to executors. */
+/** leader_may_order() - Return true if this instance may give orders to
+ * executors. */
 bool leader_may_order (const struct leader *l, int64_t now_ms);
 /**
- * leader_lease_valid() - Whether this instance leads and no other instance can
- * have claimed leadership yet, so that every row read until now was read
- * before any claim.
+ * leader_lease_valid() - Return true if this instance leads and its lease has
+ * not ended.  No other instance can have claimed leadership while the lease
+ * is valid, so that all rows read until now were read before any such claim.
  */
 bool leader_lease_valid (const struct leader *l, int64_t now_ms);
 
--- a/core/mesh.c
+++ b/core/mesh.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  DELAY_MAX_MS = 86400000, /* largest valid_ms in a message: one day */
-  RECORD_MAX = 65536,      /* most bytes of a job's record */
+  DELAY_MAX_MS = 86400000, /* maximum of valid_ms in a message: one day */
+  RECORD_MAX = 65536,      /* maximum size of a job's record, in bytes */
 };
 
 /* Names that stand for enum mesh_kind in messages. */
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -61,33 +61,37 @@
   char id[CLB_ID_MAX];     /* id of a job, or name of a queue */
   int64_t count;           /* number of jobs that have not started */
   char *record;  /* owned: a job's record; NULL: the job was cancelled */
-  bool known;    /* true: the leader has the job, and state is valid */
+  bool known;    /* true: the leader has the job, whose state is in state */
   int64_t state; /* enum job_state */
-  /* Occurrence of the job for which a query asks advice; the job is id. */
+  /* Occurrence of the job for which a query asks advice; the job's id is in
+     id. */
   int64_t occurrence;
   int64_t step;    /* step for which a query asks advice */
   int64_t outcome; /* enum order_outcome of a query for advice */
-  /* Timeout of a query for advice; in the reply, the time for which the
-     tickets are valid. */
+  /* In a query for advice, the timeout of the query; in the reply, the time
+     for which the tickets are valid. */
   int64_t valid_ms;
   int64_t conf_version; /* version of the leader's configuration; 0: none */
-  /* Time since the leader's configuration was proved current. */
+  /* Time since the leader's configuration was last known to be current. */
   int64_t conf_age_ms;
-  /* Time since the sender reached the table service or, if via is set, since
-     the instance at via did. */
+  /* Time since the table service was last reached: by the instance at
+     proxy_peer_addr or, if that is empty, by the sender. */
   int64_t table_age_ms;
   /* The sender's share of a core, in thousandths; 0: not known. */
   int64_t millicores;
-  /* 1 plus the number of followers stronger than the receiver that the leader
-     knows; 0: the leader does not know yet. */
+  /* 1 plus the number of followers that are stronger than the receiver; 0: the
+     leader does not know that number yet. */
   int64_t rank;
   /* Address of an instance that reaches the table service while the leader
-     does not; empty: the leader reaches it, or knows no such instance. */
+     does not; empty: the leader reaches the service itself, or knows no
+     instance that does. */
   char proxy_peer_addr[CLB_ADDR_MAX];
-  struct store_op op;   /* call to the table service that is requested */
-  struct store_rep rep; /* answer of the table service to such a call */
-  /* Owned: executors that a query for advice names, or that may run the
-     step. */
+  /* MESH_STORE_REQUEST: the call to the table service that the peer is to
+     make. */
+  struct store_op op;
+  struct store_rep rep; /* MESH_STORE_REPLY: the table service's answer */
+  /* Owned.  In a query for advice, the executors that the query names; in the
+     reply, the executors that may run the step. */
   struct mesh_exec *execs;
   size_t n_execs; /* number of executors in execs */
 };
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -1,8 +1,9 @@
 /*
  * Sends calls to the platform's table service through a peer while this
- * instance cannot reach the service.  The modules that make the calls need not
- * know of it, not even the one that writes the leader's journal: transactions
- * are conditional, and their outcome may be unknown also without a peer.
+ * instance cannot reach the service.  The modules that make the calls,
+ * including the one that writes the leader's journal, need not know
+ * whether a peer is used: transactions are conditional, and their outcome may
+ * be unknown without a peer, too.
  *
  * Calls of the configuration's feed are always sent directly, as they show
  * when the table service is reachable again.
@@ -30,8 +31,8 @@
   /* Time that a peer has to answer a call, in addition to the time for which
      the call itself waits (wait_ms). */
   PEER_TIMEOUT_MS = 1000,
-  /* Most calls in progress that are made for peers; a further call is
-     refused. */
+  /* Maximum number of calls in progress that are made for peers; a further
+     call is refused. */
   SERVED_CALLS_MAX = 2000,
 };
 
@@ -43,11 +44,11 @@
   /* Time by which a peer has to answer the call; after it, the outcome of the
      call is unknown.  0: the call is made for a peer. */
   int64_t deadline_ms;
-  /* Token of the call on the peer for which the call is made; 0: a peer makes
-     the call. */
+  /* Token that the call has on the peer for which it is made; 0: a peer makes
+     the call for this instance. */
   int64_t peer_token;
   /* Address of the peer for which the call is made; empty: a peer makes the
-     call. */
+     call for this instance. */
   char addr[CLB_ADDR_MAX];
 };
 
