--- a/core/api.c
+++ b/core/api.c
@@ -114,7 +114,7 @@
 }
 
 /* Queues a call to the table service for @c.  Returns the operation of the
-   call, which is still to be filled in. */
+   call, which the function's caller fills in. */
 static struct store_op *
 send_call (struct fleet *f, struct api_request *c, int kind)
 {
@@ -155,8 +155,8 @@
   store_put (op, key, "{}");
 }
 
-/* Sends a read of the row that @step waits for: API_READING_STATE, the job's
-   progress; API_READING_JOB, the job itself. */
+/* Sends a read of the row that @step waits for: for API_READING_STATE the
+   job's progress, for API_READING_JOB the job itself. */
 static void
 send_read (struct fleet *f, struct api_request *c, int step)
 {
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -56,7 +56,8 @@
   follow_start (&f->conf_feed, now_ms);
 }
 
-/* Frees the scheduler, if there is one, and stops reading its inputs. */
+/* Frees the scheduler, if there is one, and stops reading the scheduler's
+   inputs. */
 static void
 drop_scheduler (struct fleet *f)
 {
@@ -450,7 +451,7 @@
 /* Returns the time since @since_ms for use in a message: at most
    AGE_MAX_MS. */
 static int64_t
-age_ms (const struct fleet *f, int64_t since_ms)
+message_age_ms (const struct fleet *f, int64_t since_ms)
 {
   int64_t ms = f->now_ms - since_ms;
 
@@ -474,7 +475,7 @@
   m->kind = MESH_HELLO;
   m->seq = f->now_ms;
   m->millicores = f->settings.millicores;
-  m->table_age_ms = age_ms (f, f->store_last_contact_ms);
+  m->table_age_ms = message_age_ms (f, f->store_last_contact_ms);
   fleet_send (f, f->leader.holder_addr, m);
 }
 
@@ -608,8 +609,8 @@
   r->kind = MESH_HELLO_REPLY;
   r->seq = m->seq;
   r->conf_version = f->conf ? f->conf->version : 0;
-  r->conf_age_ms = age_ms (f, f->conf_current_ms);
-  r->table_age_ms = age_ms (f, f->store_last_contact_ms);
+  r->conf_age_ms = message_age_ms (f, f->conf_current_ms);
+  r->table_age_ms = message_age_ms (f, f->store_last_contact_ms);
   set_proxy_peer (f, r);
   r->rank = rank + 1;
   fleet_send (f, m->addr, r);
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -75,7 +75,7 @@
   FLEET_REQUESTS_MAX = 2000,
 };
 
-/** enum fleet_verb - what a caller requests, from the HTTP method */
+/** enum fleet_verb - kinds of callers' requests, from the HTTP method */
 enum fleet_verb
 {
   FLEET_VERB_SUBMIT,
@@ -167,7 +167,7 @@
 struct api_request
 {
   RB_ENTRY (api_request) by_request_id;
-  uint64_t request_id; /* number that the caller's request came with */
+  uint64_t request_id; /* number of the request, from struct fleet_request */
   int verb;            /* enum fleet_verb */
   int step;            /* enum api_step */
   /* Token of the outstanding call to the table service; 0: none. */
@@ -265,7 +265,7 @@
   FLEET_LOAD_ROSTER,
   /* The recorded starts of tasks. */
   FLEET_LOAD_INTENTS,
-  /* The progress of jobs. */
+  /* The recorded progress of jobs. */
   FLEET_LOAD_PROGRESS,
   FLEET_LOAD_N
 };
@@ -309,7 +309,7 @@
   /* The following fields, up to next_intents_ms, are used only while this
      instance leads. */
   bool loading; /* true: the records of enum fleet_load_kind are being read */
-  struct fleet_load loads[FLEET_LOAD_N]; /* by enum fleet_load_kind */
+  struct fleet_load loads[FLEET_LOAD_N]; /* indexed by enum fleet_load_kind */
   int64_t load_retry_ms; /* earliest time of the next read of recorded state */
   /* Earliest time at which due records other than starts cause a write. */
   int64_t next_record_ms;
@@ -376,8 +376,8 @@
                          const struct order_result *res);
 /**
  * fleet_mesh_msg() - Handle a message from another instance.
- * @m: stays owned by the caller; the function may take ownership of the
- *     operation in it, which is empty then
+ * @m: stays owned by the caller; if the function takes ownership of the
+ *     operation in @m, it leaves the operation empty
  */
 void fleet_mesh_msg (struct fleet *f, int64_t now_ms, struct mesh_msg *m);
 /** fleet_tick() - Send the calls and messages that are due and end the
@@ -467,8 +467,8 @@
 /** proxy_peer_reply() - Handle the answer that a peer forwards to a call of
  * this instance. */
 void proxy_peer_reply (struct fleet *f, const struct mesh_msg *m);
-/** proxy_tick() - End the calls that peers have not answered in time, with
- * %CLB_EUNKNOWN. */
+/** proxy_tick() - End the calls that peers have not answered in time; their
+ * result is %CLB_EUNKNOWN. */
 void proxy_tick (struct fleet *f);
 
 /* Functions of fleet.c that api.c and proxy.c use. */
--- a/core/follow.c
+++ b/core/follow.c
@@ -58,7 +58,7 @@
 }
 
 /* Queues a call to the table service and sets @token and @sent_ms for it.
-   Returns the operation of the call, which is still to be filled in. */
+   Returns the operation of the call, which the function's caller fills in. */
 static struct store_op *
 send_call (struct table_follower *f, int64_t now_ms, uint64_t *token,
            int64_t *sent_ms)
--- a/core/follow.h
+++ b/core/follow.h
@@ -48,7 +48,7 @@
   /* Number of the table's parts, which are numbered from 0; 0: the table has
      one unnamed part. */
   int parts;
-  int64_t wait_ms; /* longest time for which a call of the feed waits */
+  int64_t wait_ms; /* longest wait of a call of the feed for a change */
   /* Pause between calls of the feed, so that several changes are read by one
      call. */
   int64_t batch_ms;
@@ -56,7 +56,7 @@
   uint64_t *last_token; /* borrowed: last token given to a call */
   bool active;          /* true between follow_start() and follow_stop() */
   bool listed; /* true: all parts have been listed, and the feed is read */
-  struct part_listing listings[FOLLOW_PARTS_MAX]; /* by part */
+  struct part_listing listings[FOLLOW_PARTS_MAX]; /* indexed by part */
   /* Lowest table version at which a page was listed; the feed is read from
      this version on.  0: no page was read. */
   int64_t list_ver;
--- a/core/leader.c
+++ b/core/leader.c
@@ -68,7 +68,8 @@
   l->last_token = last_token;
 }
 
-/* Frees the write in progress, if any, and forgets the earlier sends of it. */
+/* Frees the write in progress, if any, and empties the list of its earlier
+   sends. */
 static void
 discard_write (struct leader *l)
 {
@@ -87,7 +88,7 @@
 }
 
 /* Queues a call to the table service.  Returns the operation of the call,
-   which is still to be filled in. */
+   which the function's caller fills in. */
 static struct store_op *
 send_call (struct leader *l, int64_t now_ms, int kind)
 {
@@ -181,8 +182,9 @@
                 >= LEADER_CLAIM_AFTER_MS + claim_delay_ms (l);
 }
 
-/* Returns the interval between reads of the holder and journal rows, which is
-   short for the strongest followers and while the leader is unreachable. */
+/* Returns the interval between reads of the holder and journal rows.  The
+   interval is short for the followers with the largest shares of a core, and
+   while the leader is unreachable. */
 static int64_t
 read_interval_ms (const struct leader *l, int64_t now_ms)
 {
@@ -362,7 +364,7 @@
   return LEADER_NO_CHANGE;
 }
 
-/* Makes this instance a follower, as another one has claimed leadership;
+/* Makes this instance a follower, as another instance has claimed leadership;
    returns enum leader_event. */
 static int
 become_follower (struct leader *l, int64_t now_ms)
--- a/core/leader.h
+++ b/core/leader.h
@@ -32,9 +32,8 @@
   /* A follower claims after the holder and journal rows have not changed for
      this long: five heartbeats, three of which may be lost or slow. */
   LEADER_CLAIM_AFTER_MS = 1300,
-  /* Duration of the leader's lease, which is shorter than
-     LEADER_CLAIM_AFTER_MS by the most that the clocks of two instances may
-     differ. */
+  /* Duration of the leader's lease.  It is shorter than LEADER_CLAIM_AFTER_MS
+     by the largest difference that the clocks of two instances may have. */
   LEADER_LEASE_MS = 1100,
   /* Time after its last successful write for which the leader may give orders.
      Orders renew the executors' leases, which last 6 s.  Tasks thus keep
@@ -72,13 +71,13 @@
   /* A leader whose process was restarted claims again at once only if it has
      at least this share of a core. */
   LEADER_RECLAIM_MILLICORES = 250,
-  /* A claim is delayed by this for each stronger follower, so that the
-     stronger one can claim first: time for a read, a claim and the answers. */
+  /* Delay of a claim for each stronger follower, so that the stronger follower
+     can claim first.  The delay covers a read, a claim and the answers. */
   LEADER_RANK_DELAY_MS = 100,
-  /* Number of strongest followers that read the holder and journal rows every
-     LEADER_READ_MS. */
+  /* Number of followers, those with the largest shares of a core, that read
+     the holder and journal rows every LEADER_READ_MS. */
   LEADER_WATCHERS = 3,
-  /* Stronger followers beyond this number do not delay a claim further. */
+  /* Maximum number of stronger followers for which a claim is delayed. */
   LEADER_RANK_MAX = 6,
 };
 
@@ -127,7 +126,7 @@
   char id[CLB_ID_MAX]; /* id of this instance */
   /* Address at which other instances reach this one. */
   char addr[CLB_ADDR_MAX];
-  int64_t boot;         /* start number of this process */
+  int64_t boot;         /* number of this start of the process */
   struct outq *out;     /* borrowed: queue of calls to be sent */
   uint64_t *last_token; /* borrowed: last token given to a call */
   int state;            /* enum leader_state */
@@ -150,8 +149,8 @@
   int64_t first_claim_ms;
   /* This instance's share of a core, in thousandths; 0: not known. */
   int64_t millicores;
-  /* Number of followers stronger than this one, as the leader reported; -1:
-     not known. */
+  /* Number of followers stronger than this one (with a larger share of a
+     core), as the leader reported; -1: not known. */
   int64_t rank;
   /* Token of the outstanding call to the table service; 0: none. */
   uint64_t token;
@@ -161,8 +160,8 @@
   int64_t sent_ms; /* time at which the last call was sent */
   int64_t next_ms; /* earliest time of the next call */
 
-  /* The following fields, up to write, describe this instance's claim and its
-     term as the leader. */
+  /* The following fields, up to the field write, describe this instance's
+     claim and its term as the leader. */
 
   /* Time from which the lease counts: the first send of the last successful
      write or, before the first write, the send of the claim. */
@@ -183,7 +182,7 @@
  * leader_init() - Set up @l as a follower.
  * @id: id of this instance
  * @addr: address at which other instances reach this one
- * @boot: start number of this process
+ * @boot: number of this start of the process
  * @millicores: this instance's share of a core, in thousandths; 0: not known,
  *              counts as the largest share
  * @out: borrowed; calls to the table service are queued here
@@ -197,9 +196,9 @@
 
 /**
  * leader_handle_contact() - Handle a message from the leader of term @epoch.
- * @rank: number of followers stronger than this one that the leader knows; -1:
- *        the leader does not know yet, and the rank that an earlier leader
- *        reported is kept
+ * @rank: number of followers that are stronger than this one (have a larger
+ *        share of a core); -1: the leader does not know the number yet, and
+ *        the rank that an earlier leader reported is kept
  */
 void leader_handle_contact (struct leader *l, int64_t now_ms, int64_t epoch,
                             int64_t rank);
--- a/core/mesh.c
+++ b/core/mesh.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  DELAY_MAX_MS = 86400000, /* maximum of valid_ms in a message: one day */
+  VALID_MAX_MS = 86400000, /* maximum of valid_ms in a message: one day */
   RECORD_MAX = 65536,      /* maximum size of a job's record, in bytes */
 };
 
@@ -36,7 +36,7 @@
   FLD_INT (struct mesh_msg, occurrence, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, step, 0, JOB_STEPS_MAX - 1),
   FLD_INT (struct mesh_msg, outcome, 0, ORDER_OUTCOME_N - 1),
-  FLD_INT (struct mesh_msg, valid_ms, 0, DELAY_MAX_MS),
+  FLD_INT (struct mesh_msg, valid_ms, 0, VALID_MAX_MS),
   FLD_INT (struct mesh_msg, conf_version, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, conf_age_ms, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, table_age_ms, 0, INT64_MAX),
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -29,7 +29,8 @@
   MESH_WAITING_REPLY,
   /* The leader asks another instance to query the advice service. */
   MESH_ADVICE_QUERY,
-  /* The other instance replies with the advice service's answer. */
+  /* The instance that was asked sends the advice service's answer to the
+     leader. */
   MESH_ADVICE_REPLY,
   /* An instance notifies the leader that a job or its cancellation was
      recorded. */
@@ -61,8 +62,8 @@
   char id[CLB_ID_MAX];     /* id of a job, or name of a queue */
   int64_t count;           /* number of jobs that have not started */
   char *record;  /* owned: a job's record; NULL: the job was cancelled */
-  bool known;    /* true: the leader has the job, whose state is in state */
-  int64_t state; /* enum job_state */
+  bool known;    /* true: the leader has the job; see state */
+  int64_t state; /* enum job_state of the job, if known is true */
   /* Occurrence of the job for which a query asks advice; the job's id is in
      id. */
   int64_t occurrence;
@@ -79,8 +80,8 @@
   int64_t table_age_ms;
   /* The sender's share of a core, in thousandths; 0: not known. */
   int64_t millicores;
-  /* 1 plus the number of followers that are stronger than the receiver; 0: the
-     leader does not know that number yet. */
+  /* 1 plus the number of followers that are stronger than the receiver (have a
+     larger share of a core); 0: the leader does not know that number yet. */
   int64_t rank;
   /* Address of an instance that reaches the table service while the leader
      does not; empty: the leader reaches the service itself, or knows no
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -44,8 +44,8 @@
   /* Time by which a peer has to answer the call; after it, the outcome of the
      call is unknown.  0: the call is made for a peer. */
   int64_t deadline_ms;
-  /* Token that the call has on the peer for which it is made; 0: a peer makes
-     the call for this instance. */
+  /* Token that the call has on the peer that requested it; 0: a peer makes the
+     call for this instance. */
   int64_t peer_token;
   /* Address of the peer for which the call is made; empty: a peer makes the
      call for this instance. */
