--- a/core/fleet_load.c
+++ b/core/fleet_load.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  RETRY_MS = 100, /* pause before a failed read is sent again */
+  RETRY_DELAY_MS = 100, /* pause before a failed read is sent again */
 };
 
 /* Key or key prefix of each kind of records, by enum fleet_load_kind: the key
@@ -148,7 +148,7 @@
         continue;
       f->loads[i].token = 0;
       if (rep->err && rep->err != CLB_ENOTFOUND)
-        f->load_retry_ms = f->now_ms + RETRY_MS;
+        f->load_retry_ms = f->now_ms + RETRY_DELAY_MS;
       else
         handle_page (f, i, rep);
       return true;
--- a/core/follow.c
+++ b/core/follow.c
@@ -21,7 +21,7 @@
 
 /* Returns the number of parts to be listed. */
 static int
-n_listings (const struct table_follower *f)
+n_parts_to_list (const struct table_follower *f)
 {
   return f->parts ? f->parts : 1;
 }
@@ -33,7 +33,7 @@
 {
   f->listed = false;
   f->list_ver = 0;
-  for (int i = 0; i < n_listings (f); i++)
+  for (int i = 0; i < n_parts_to_list (f); i++)
     {
       free (f->listings[i].after);
       f->listings[i] = (struct part_listing){ 0 };
@@ -107,7 +107,7 @@
     return;
   if (f->listed && !f->token)
     send_feed (f, now_ms);
-  for (int i = 0; i < n_listings (f) && !f->listed; i++)
+  for (int i = 0; i < n_parts_to_list (f) && !f->listed; i++)
     if (!f->listings[i].complete && !f->listings[i].token)
       send_listing (f, now_ms, i);
 }
@@ -116,7 +116,7 @@
 static struct part_listing *
 find_listing (struct table_follower *f, uint64_t token)
 {
-  for (int i = 0; i < n_listings (f); i++)
+  for (int i = 0; i < n_parts_to_list (f); i++)
     if (f->listings[i].token == token)
       return &f->listings[i];
   return NULL;
@@ -147,7 +147,7 @@
       return FOLLOW_PAGE;
     }
   l->complete = true;
-  for (int i = 0; i < n_listings (f); i++)
+  for (int i = 0; i < n_parts_to_list (f); i++)
     if (!f->listings[i].complete)
       return FOLLOW_PAGE;
   f->listed = true;
--- a/core/leader.c
+++ b/core/leader.c
@@ -124,8 +124,8 @@
    of term @epoch; @released is true if this instance gives up
    leadership. */
 static void
-put_holder (struct store_op *op, const struct leader *l, int64_t epoch,
-            bool released)
+add_holder_put (struct store_op *op, const struct leader *l, int64_t epoch,
+                bool released)
 {
   struct holder_row row
       = { .boot = l->boot, .epoch = epoch, .released = released };
@@ -150,7 +150,7 @@
   l->seq = 0;
   store_cond (op, KEY_HOLDER, l->holder_ver);
   store_cond (op, KEY_JOURNAL, l->journal_ver);
-  put_holder (op, l, l->epoch + 1, false);
+  add_holder_put (op, l, l->epoch + 1, false);
   journal_value (l, l->epoch + 1, value);
   store_put (op, KEY_JOURNAL, value);
 }
@@ -233,7 +233,7 @@
   if (!op)
     abort ();
   l->releasing = true;
-  put_holder (op, l, l->epoch, true);
+  add_holder_put (op, l, l->epoch, true);
   leader_write (l, now_ms, op);
 }
 
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -204,7 +204,7 @@
 
 /* Copies @rep to @to.  The rows are copied too, and @to owns the copies. */
 static void
-copy_rep (struct store_rep *to, const struct store_rep *rep)
+copy_reply (struct store_rep *to, const struct store_rep *rep)
 {
   *to = *rep;
   to->rows = calloc (rep->n_rows ? rep->n_rows : 1, sizeof *to->rows);
@@ -228,7 +228,7 @@
 
   if (!c)
     return false;
-  copy_rep (&copy, rep);
+  copy_reply (&copy, rep);
   send_reply (f, c->addr, c->peer_token, &copy);
   free_call (&f->proxy_serving, c);
   f->n_proxy_serving--;
