--- a/core/calls.c
+++ b/core/calls.c
@@ -1,4 +1,7 @@
-/* What entry instances ask of a domain's scheduler. */
+/*
+ * Calls from entry instances: submit, status, cancel and why for tasks,
+ * acquire and release for the slots of service requests.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -7,14 +10,17 @@
 
 enum
 {
-  ASKER_MAX_MS = 600000, /* longest wait for a task's end */
+  /* Longest time that a status call waits for a task's end. */
+  WAITER_MAX_MS = 600000,
 };
 
+/* Refuses a call.  @err is an enum clb_err, @reason an enum clb_reason. */
 static void
-reply_err (struct sched *s, const char *entry, int64_t no, int err, int reason)
+reply_err (struct sched *s, const char *entry, int64_t call_seq, int err,
+           int reason)
 {
   struct reply r = {
-    .call_seq = no,
+    .call_seq = call_seq,
     .err = err,
     .reason = reason,
     .retry_ms = clb_err_http (err) == 503 ? RETRY_HINT_MS : 0,
@@ -23,6 +29,7 @@
   sched_reply (s, entry, &r);
 }
 
+/* Whether the call describes the same work as the task. */
 static bool
 same_request (const struct task *t, const struct call *c)
 {
@@ -35,6 +42,7 @@
   return same;
 }
 
+/* Finds the recorded task with the call's team and request id, or NULL. */
 static struct task *
 find_request (struct sched *s, const struct call *c)
 {
@@ -56,9 +64,10 @@
   return t;
 }
 
+/* Replies to a call whose request id belongs to the task already. */
 static void
-answer_known (struct sched *s, const char *entry, const struct call *c,
-              struct task *t)
+reply_known (struct sched *s, const char *entry, const struct call *c,
+             struct task *t)
 {
   if (!same_request (t, c))
     {
@@ -70,7 +79,7 @@
   r.reason = WHY_DUPLICATE;
   if (c->verb == CALL_ACQUIRE)
     r.err = CLB_EDONE;
-  /* Its accept may still be on the way to the table. */
+  /* An accept that is not durable may yet fail, so the reply waits for it. */
   if (t->accept_durable)
     sched_reply (s, entry, &r);
   else
@@ -81,12 +90,14 @@
     }
 }
 
+/* Whether new work must be refused: an enum clb_err, or 0 if not. */
 static int
 call_refused (struct sched *s, const struct call *c)
 {
   struct team *team = sched_team (s, c->team);
 
-  /* What needs a record could only be left waiting. */
+  /* Work that is recorded in the journal could not be accepted before the
+     table service answers again. */
   if (!s->store_up && (c->verb == CALL_SUBMIT || !c->idempotent))
     return CLB_EUNAVAIL;
   if (journal_full (s) || s->n_tasks >= TASKS_MAX)
@@ -96,6 +107,7 @@
   return 0;
 }
 
+/* Creates a task and journals its accept. */
 static struct task *
 accept_recorded (struct sched *s, const char *id, const struct call *c)
 {
@@ -110,16 +122,17 @@
   return t;
 }
 
-/* True when the call has its answer: its request is known, or refused. */
+/* Replies to a call for new work if its request is known (@known is not NULL)
+   or has to be refused.  Returns whether it did. */
 static bool
-answered_at_once (struct sched *s, const char *entry, const struct call *c,
-                  struct task *known)
+replied_at_once (struct sched *s, const char *entry, const struct call *c,
+                 struct task *known)
 {
   int err;
 
   if (known)
     {
-      answer_known (s, entry, c, known);
+      reply_known (s, entry, c, known);
       return true;
     }
   err = call_refused (s, c);
@@ -134,7 +147,7 @@
   char id[CLB_ID_MAX];
   struct task *t;
 
-  if (answered_at_once (s, entry, c, find_request (s, c)))
+  if (replied_at_once (s, entry, c, find_request (s, c)))
     return;
   snprintf (id, sizeof id, "%s.%lld.%lld", s->domain, (long long)s->epoch,
             (long long)++s->next_id);
@@ -144,37 +157,38 @@
   task_reply_durable (s, t, entry, c->seq);
 }
 
+/* Lets the call wait for the task's end or for its slot. */
 static void
-add_asker (struct sched *s, struct task *t, const char *entry,
-           const struct call *c)
+add_waiter (struct sched *s, struct task *t, const char *entry,
+            const struct call *c)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
-  /* The same call sent again. */
-  TAILQ_FOREACH (a, &t->waiters, link)
-    if (a->call_seq == c->seq && strcmp (a->entry, entry) == 0)
+  /* The same call may be sent again. */
+  TAILQ_FOREACH (waiter, &t->waiters, link)
+    if (waiter->call_seq == c->seq && strcmp (waiter->entry, entry) == 0)
       return;
-  a = calloc (1, sizeof *a);
-  if (!a)
+  waiter = calloc (1, sizeof *waiter);
+  if (!waiter)
     abort ();
-  clb_copy (a->entry, entry, sizeof a->entry);
-  a->call_seq = c->seq;
-  a->stamp = c->sent_ms;
-  a->expires_ms
-      = s->now_ms + (c->wait_ms < ASKER_MAX_MS ? c->wait_ms : ASKER_MAX_MS);
-  TAILQ_INSERT_TAIL (&t->waiters, a, link);
+  clb_copy (waiter->entry, entry, sizeof waiter->entry);
+  waiter->call_seq = c->seq;
+  waiter->stamp = c->sent_ms;
+  waiter->expires_ms
+      = s->now_ms + (c->wait_ms < WAITER_MAX_MS ? c->wait_ms : WAITER_MAX_MS);
+  TAILQ_INSERT_TAIL (&t->waiters, waiter, link);
 }
 
 void
-service_reply (struct sched *s, struct task *t, const char *entry, int64_t no,
-               int64_t stamp)
+service_reply (struct sched *s, struct task *t, const char *entry,
+               int64_t call_seq, int64_t call_sent_ms)
 {
   const struct worker *w = t->members[0].worker;
-  struct reply r = task_reply (t, no);
+  struct reply r = task_reply (t, call_seq);
 
   clb_copy (r.executor, w->inst.id, sizeof r.executor);
   clb_copy (r.addr, w->inst.addr, sizeof r.addr);
-  r.call_sent_ms = stamp;
+  r.call_sent_ms = call_sent_ms;
   if (!t->recorded)
     {
       sched_reply (s, entry, &r);
@@ -185,7 +199,8 @@
   e->reply = r;
 }
 
-/* The same call again, after a change of holder or a lost answer. */
+/* Handles an acquire call that is known already: it is sent again after a
+   change of holder or when the reply was lost. */
 static void
 acquire_again (struct sched *s, const char *entry, const struct call *c,
                struct task *t)
@@ -195,12 +210,13 @@
   else if (t->n_members > 0 && t->members[0].worker)
     service_reply (s, t, entry, c->seq, c->sent_ms);
   else if (TAILQ_EMPTY (&t->waiters))
-    add_asker (s, t, entry, c);
+    add_waiter (s, t, entry, c);
   else
     TAILQ_FIRST (&t->waiters)->stamp = c->sent_ms;
 }
 
-/* A service request asks for a slot; the answer comes when one is free. */
+/* Handles an entry instance's call for a slot for a service request.  The
+   reply is sent once a slot is free. */
 static void
 call_acquire (struct sched *s, const char *entry, const struct call *c)
 {
@@ -213,7 +229,7 @@
     }
   if (!c->idempotent)
     t = find_request (s, c);
-  if (answered_at_once (s, entry, c, t))
+  if (replied_at_once (s, entry, c, t))
     return;
   if (!c->idempotent)
     t = accept_recorded (s, c->id, c);
@@ -224,10 +240,9 @@
       task_enqueue (s, t);
     }
   t->expires_ms = s->now_ms + c->wait_ms;
-  add_asker (s, t, entry, c);
+  add_waiter (s, t, entry, c);
 }
 
-/* The entry instance says how its service request ended. */
 void
 service_release (struct sched *s, struct task *t, int state)
 {
@@ -249,6 +264,7 @@
   task_evaluate (s, t);
 }
 
+/* Handles an entry instance's report of how a service request has ended. */
 static void
 call_release (struct sched *s, const char *entry, const struct call *c)
 {
@@ -301,9 +317,12 @@
   sched_reply (s, entry, &r);
 }
 
-/* An operator's call names no team; a call without a key is marked. */
+/* Whether the call may see the task.  A call without a key, marked open_only,
+   sees tasks of open queues; a call of an operator names no team and sees
+   every task; any other call sees the tasks of its team. */
 static bool
-may_ask (const struct sched *s, const struct call *c, const struct task *t)
+call_may_see (const struct sched *s, const struct call *c,
+              const struct task *t)
 {
   const struct conf_queue *q = conf_queue (s->conf, t->spec.queue);
 
@@ -312,19 +331,20 @@
   return !*c->team || strcmp (t->team->name, c->team) == 0;
 }
 
+/* Handles a call about an existing task: status, cancel or why. */
 static void
-call_about (struct sched *s, const char *entry, const struct call *c)
+call_for_task (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
 
-  if (!t || !may_ask (s, c, t))
+  if (!t || !call_may_see (s, c, t))
     reply_err (s, entry, c->seq, CLB_ENOTFOUND, WHY_NONE);
   else if (c->verb == CALL_CANCEL)
     call_cancel (s, entry, c, t);
   else if (c->verb == CALL_WHY)
     call_why (s, entry, c, t);
   else if (c->wait_ms > 0 && !task_state_final (t->state))
-    add_asker (s, t, entry, c);
+    add_waiter (s, t, entry, c);
   else if (c->wait_ms > 0 && !t->end_durable)
     task_reply_durable (s, t, entry, c->seq);
   else
@@ -339,8 +359,8 @@
 {
   bool new_work = c->verb == CALL_SUBMIT || c->verb == CALL_ACQUIRE;
 
-  /* What a lapsed holder knows may be out of date; one that hands over leaves
-     new work to its successor. */
+  /* The state of a holder whose lease has lapsed may be out of date.  A holder
+     that is handing over leaves new work to its successor. */
   if (s->phase != SCHED_READY || !s->may_start || (s->stopping && new_work))
     {
       reply_err (s, entry, c->seq, CLB_ENOHOLDER, WHY_NONE);
@@ -358,12 +378,12 @@
       call_release (s, entry, c);
       break;
     default:
-      call_about (s, entry, c);
+      call_for_task (s, entry, c);
       break;
     }
 }
 
-/* Service slots across a change of holder or entry instance. */
+/* Service slots that were granted by an earlier holder. */
 
 void
 sched_used_slots (struct sched *s, const struct held_list *held)
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -1,7 +1,13 @@
 /*
- * Upper limits by escrow: each team's limit is split among the domains in one
- * table row.  The parts never add up to more than the limit, so a domain that
- * stays within its own part needs to ask nobody.
+ * Upper limits by escrow.  Each team's limit on the whole fleet is split into
+ * parts, one for each failure domain, in one table row, the team's grant row.
+ * The parts never add up to more than the limit, so a domain that stays within
+ * its own part need not coordinate with the others.
+ *
+ * A domain raises its part while the team's tasks wait for it and the limit
+ * and the others' parts allow it, and gives up what is unused.  It names the
+ * teams that are short of their part in its want row, which the other domains
+ * read.
  */
 #include "sched.h"
 
@@ -11,12 +17,20 @@
 
 enum
 {
-  READ_PERIOD_MS = 1000, /* while parts exceed the limit, or are short */
-  GIVE_PERIOD_MS = 500,  /* between looks at what others want */
-  IDLE_MS = 3000,        /* unused part kept this long */
-  WANT_PERIOD_MS = 1000, /* between looks at what other domains want */
+  /* Time between two reads of a grant row while the parts exceed the limit,
+     this domain's part is too small or the row's configuration is newer, and
+     wait after a failed operation. */
+  READ_PERIOD_MS = 1000,
+  /* Time between two decisions about this domain's part. */
+  ADJUST_PERIOD_MS = 500,
+  /* An unused part is kept for this long. */
+  IDLE_MS = 3000,
+  /* Time between two reads of the domains' want rows. */
+  WANT_PERIOD_MS = 1000,
+  /* A read of the want rows without an answer is given up after this. */
   WANT_TIMEOUT_MS = 3000,
-  WAITING_COUNTED = 256, /* waiting tasks that a look goes through */
+  /* Waiting tasks that are counted to find a team's demand. */
+  DEMAND_TASKS_MAX = 256,
 };
 
 static void
@@ -25,8 +39,9 @@
   snprintf (out, ROW_KEY_SIZE, "grant/%s", team->name);
 }
 
+/* Finds a domain's part in a grant row; adds an empty one if it has none. */
 static struct grant *
-row_part (struct grant_row *row, const char *domain)
+row_grant (struct grant_row *row, const char *domain)
 {
   for (size_t i = 0; i < row->n_grants; i++)
     if (strcmp (row->grants[i].domain, domain) == 0)
@@ -41,28 +56,32 @@
   return g;
 }
 
+/* Sum of the other domains' parts; sets *@others_want to whether one of them
+   wants a larger part. */
 static struct clb_res
-others_sum (const struct sched *s, const struct team *team, bool *want)
+others_granted (const struct sched *s, const struct team *team,
+                bool *others_want)
 {
   struct clb_res sum = { 0 };
 
-  *want = false;
+  *others_want = false;
   for (size_t i = 0; i < team->row.n_grants; i++)
     {
       const struct grant *g = &team->row.grants[i];
       if (strcmp (g->domain, s->domain) == 0)
         continue;
       clb_res_add (&sum, &g->amount, 1);
-      *want |= g->wants_more;
+      *others_want |= g->wants_more;
     }
   return sum;
 }
 
+/* Whether all domains' parts add up to more than the team's limit. */
 static bool
 over_limit (const struct sched *s, const struct team *team)
 {
-  bool want;
-  struct clb_res sum = others_sum (s, team, &want);
+  bool others_want;
+  struct clb_res sum = others_granted (s, team, &others_want);
 
   clb_res_add (&sum, &team->granted, 1);
   return !clb_res_fits (&sum, &team->limit);
@@ -82,9 +101,10 @@
   return false;
 }
 
-/* What the team would use if all its waiting work started. */
+/* What the team would use in this domain if its waiting tasks started, up to
+   DEMAND_TASKS_MAX of them. */
 static struct clb_res
-wanted_part (const struct team *team)
+team_demand (const struct team *team)
 {
   struct clb_res sum = team->used;
   struct task *t;
@@ -93,15 +113,16 @@
   for (int class = 0; class < CLASS_N; class ++)
     TAILQ_FOREACH (t, &team->queue[class], queued)
       {
-        if (counted++ >= WAITING_COUNTED)
+        if (counted++ >= DEMAND_TASKS_MAX)
           return sum;
         clb_res_add (&sum, &t->spec.need, t->spec.members);
       }
   return sum;
 }
 
+/* An even part of the limit. */
 static struct clb_res
-base_part (const struct sched *s, const struct team *team)
+even_part (const struct sched *s, const struct team *team)
 {
   struct clb_res part;
 
@@ -122,48 +143,51 @@
   return a < b ? a : b;
 }
 
-/* As much of what is wanted as the limit and the others' parts allow. */
+/* The raised part: as much of the team's demand as the limit and the others'
+   parts allow, and no less than is granted. */
 static struct clb_res
 raised_part (const struct sched *s, const struct team *team)
 {
-  bool want;
-  struct clb_res others = others_sum (s, team, &want);
-  struct clb_res base = base_part (s, team);
+  bool others_want;
+  struct clb_res others = others_granted (s, team, &others_want);
+  struct clb_res even = even_part (s, team);
   struct clb_res part;
 
   for (int k = 0; k < RES_N; k++)
     {
       int64_t have = clb_res_get (&team->granted, k);
-      int64_t aim = clb_res_get (&team->demand, k);
-      /* Beyond its even part a domain goes only while nobody else waits. */
-      if (want)
-        aim = min64 (aim, clb_res_get (&base, k));
+      int64_t target = clb_res_get (&team->demand, k);
+      /* A domain exceeds its even part only while no other domain wants
+         more. */
+      if (others_want)
+        target = min64 (target, clb_res_get (&even, k));
       else
-        aim = max64 (aim, clb_res_get (&base, k));
+        target = max64 (target, clb_res_get (&even, k));
       int64_t left = clb_res_get (&team->limit, k) - clb_res_get (&others, k);
-      clb_res_set (&part, k, max64 (have, min64 (aim, left)));
+      clb_res_set (&part, k, max64 (have, min64 (target, left)));
     }
   return part;
 }
 
-/* What stays when unused parts go: never below what runs. */
+/* The part after unused capacity is given up: down to the even part, or to
+   zero if @to_used, but never below what is in use. */
 static struct clb_res
 lowered_part (const struct sched *s, const struct team *team, bool to_used)
 {
-  struct clb_res base = base_part (s, team);
+  struct clb_res even = even_part (s, team);
   struct clb_res part;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t keep = to_used ? 0 : clb_res_get (&base, k);
+      int64_t keep = to_used ? 0 : clb_res_get (&even, k);
       keep = max64 (keep, clb_res_get (&team->used, k));
       clb_res_set (&part, k, min64 (keep, clb_res_get (&team->granted, k)));
     }
   return part;
 }
 
-/* The team is acted on again @wait_ms after now, and not before the
- * answer. */
+/* Reads the team's grant row.  The next decision about the team is made when
+   the answer is there and @wait_ms have passed. */
 static void
 read_row (struct sched *s, struct team *team, int64_t wait_ms)
 {
@@ -177,13 +201,15 @@
   team->next_op_ms = s->now_ms + wait_ms;
 }
 
+/* Writes this domain's part to the team's grant row.  @want says whether it
+   wants a larger one. */
 static void
 write_part (struct sched *s, struct team *team, const struct clb_res *part,
             bool want)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
-  struct grant *g = row_part (&team->row, s->domain);
+  struct grant *g = row_grant (&team->row, s->domain);
   char key[ROW_KEY_SIZE];
 
   g->amount = *part;
@@ -198,17 +224,19 @@
   store_cond (op, key, team->row_ver);
   store_put (op, key, text);
   team->op_granted = *part;
-  /* What is being given up may not be used any more, whatever the answer. */
+  /* What is being given up must not be used from now on, since the write may
+     take effect whatever its answer is. */
   for (int k = 0; k < RES_N; k++)
     clb_res_set (
         &team->granted, k,
         min64 (clb_res_get (&team->granted, k), clb_res_get (part, k)));
-  team->next_op_ms = s->now_ms + GIVE_PERIOD_MS;
+  team->next_op_ms = s->now_ms + ADJUST_PERIOD_MS;
 }
 
-/* Takes over a row; reading alone never raises what may be used. */
+/* Replaces the team's copy of its grant row; NULL if the row is absent.  What
+   may be used here does not change: only this domain's own writes raise it. */
 static void
-take_row (struct sched *s, struct team *team, const struct row *row)
+set_row (struct sched *s, struct team *team, const struct row *row)
 {
   struct codec_err ce;
 
@@ -232,9 +260,10 @@
   if (!name)
     return;
   struct team *team = sched_team (s, name + 1);
-  take_row (s, team, row);
-  /* The epoch is new: no earlier write of this domain is under way. */
-  team->granted = row_part (&team->row, s->domain)->amount;
+  set_row (s, team, row);
+  /* The epoch is new, so no earlier write of this domain is in progress and
+     its part may be taken from the row. */
+  team->granted = row_grant (&team->row, s->domain)->amount;
 }
 
 void
@@ -259,8 +288,9 @@
     }
 }
 
+/* Finds the team whose outstanding store operation has the token, or NULL. */
 static struct team *
-team_of_op (struct sched *s, uint64_t token)
+team_by_token (struct sched *s, uint64_t token)
 {
   struct team *team;
 
@@ -270,8 +300,9 @@
   return NULL;
 }
 
+/* A write of the grant row has succeeded. */
 static void
-wrote (struct sched *s, struct team *team, const struct store_rep *rep)
+write_done (struct sched *s, struct team *team, const struct store_rep *rep)
 {
   bool raised = !clb_res_fits (&team->op_granted, &team->granted);
   char key[ROW_KEY_SIZE];
@@ -286,8 +317,10 @@
   s->dirty = true;
 }
 
-/* One small row a domain tells the others which grant rows to look at. */
+/* Want rows.  Each domain has one, in which it names the teams that want a
+   larger part there.  The other domains then read these teams' grant rows. */
 
+/* This domain's want row as JSON text that the caller frees. */
 static char *
 want_text (struct sched *s)
 {
@@ -306,6 +339,7 @@
   return text;
 }
 
+/* Writes this domain's want row if it has changed. */
 static void
 want_write (struct sched *s)
 {
@@ -328,6 +362,7 @@
   s->want_written = text;
 }
 
+/* Reads the want rows of all domains. */
 static void
 want_read (struct sched *s)
 {
@@ -339,6 +374,8 @@
   s->want_read_ms = s->now_ms;
 }
 
+/* Has the grant rows read of all teams that another domain's want row names.
+ */
 static void
 want_row (struct sched *s, const struct row *row)
 {
@@ -355,6 +392,7 @@
   codec_free (&want_row_desc, &wr);
 }
 
+/* As escrow_store(), for want rows. */
 static bool
 want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
@@ -392,7 +430,7 @@
 bool
 escrow_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
-  struct team *team = token ? team_of_op (s, token) : NULL;
+  struct team *team = token ? team_by_token (s, token) : NULL;
   bool write;
   char key[ROW_KEY_SIZE];
 
@@ -402,9 +440,9 @@
   team->op_token = 0;
   grant_key (team, key);
   if (rep->err == 0 && write)
-    wrote (s, team, rep);
+    write_done (s, team, rep);
   else if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-    take_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
+    set_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
   else
     {
       team->row_known = false;
@@ -416,29 +454,32 @@
         s->phase = SCHED_SUPERSEDED;
       if (strcmp (rep->rows[i].key, key) != 0)
         continue;
-      take_row (s, team, &rep->rows[i]);
+      set_row (s, team, &rep->rows[i]);
       team->next_op_ms = s->now_ms;
     }
   return true;
 }
 
 static bool
-same_res (const struct clb_res *a, const struct clb_res *b)
+res_equal (const struct clb_res *a, const struct clb_res *b)
 {
   return clb_res_fits (a, b) && clb_res_fits (b, a);
 }
 
+/* Lowers the part of a team whose parts exceed its limit: to the even part or,
+   if that is no change, to what is in use.  If nothing can be given up, the
+   row is read again later. */
 static void
-shrink (struct sched *s, struct team *team)
+lower_over_limit (struct sched *s, struct team *team)
 {
   struct clb_res part;
 
   team->frozen = true;
   sched_withdraw (s, team);
   part = lowered_part (s, team, false);
-  if (same_res (&part, &team->granted))
+  if (res_equal (&part, &team->granted))
     part = lowered_part (s, team, true);
-  if (same_res (&part, &team->granted))
+  if (res_equal (&part, &team->granted))
     {
       read_row (s, team, READ_PERIOD_MS);
       return;
@@ -447,56 +488,63 @@
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
 }
 
+/* Raises the part if the team's demand needs it; reads the row again later if
+   that is not possible. */
 static void
 raise_part (struct sched *s, struct team *team)
 {
   struct clb_res part = raised_part (s, team);
-  struct grant *mine = row_part (&team->row, s->domain);
-  bool short_of = team->wants_more && !clb_res_fits (&team->demand, &part);
+  struct grant *own = row_grant (&team->row, s->domain);
+  bool wants_more = team->wants_more && !clb_res_fits (&team->demand, &part);
 
-  if (!same_res (&part, &team->granted) || mine->wants_more != short_of)
-    write_part (s, team, &part, short_of);
+  if (!res_equal (&part, &team->granted) || own->wants_more != wants_more)
+    write_part (s, team, &part, wants_more);
   else if (team->wants_more)
     read_row (s, team, READ_PERIOD_MS);
 }
 
-/* Gives up what is unused, or what is above the even part while others wait.
-   False when there is nothing to give. */
+/* Gives up unused capacity above the even part if the team is @idle here or
+   other domains want more, and all that is unused if both hold.  Returns false
+   if there is nothing to give up. */
 static bool
-give_back (struct sched *s, struct team *team, bool idle)
+give_up_unused (struct sched *s, struct team *team, bool idle)
 {
-  bool want;
+  bool others_want;
   struct clb_res part;
 
-  others_sum (s, team, &want);
-  if (!idle && !want)
+  others_granted (s, team, &others_want);
+  if (!idle && !others_want)
     return false;
-  part = lowered_part (s, team, want && idle);
-  if (same_res (&part, &team->granted))
+  part = lowered_part (s, team, others_want && idle);
+  if (res_equal (&part, &team->granted))
     return false;
   write_part (s, team, &part, team->wants_more);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
 
+/* Decides about this domain's part of a team's limit; the copy of the grant
+   row is current. */
 static void
-team_act (struct sched *s, struct team *team)
+team_adjust (struct sched *s, struct team *team)
 {
   bool idle = s->now_ms - team->idle_since_ms >= IDLE_MS && !team->wants_more;
-  bool want;
+  bool others_want;
 
-  others_sum (s, team, &want);
-  team->demand = wanted_part (team);
+  others_granted (s, team, &others_want);
+  team->demand = team_demand (team);
   team->frozen = over_limit (s, team);
   if (team->frozen)
-    shrink (s, team);
+    lower_over_limit (s, team);
   else if (team->rewrite_due)
     {
-      /* Domains that go by an older limit may not raise past this row. */
+      /* The row's version keeps domains that have an older configuration from
+         raising their part by its limit. */
       write_part (s, team, &team->granted, team->wants_more);
       team->rewrite_due = false;
     }
-  else if (!give_back (s, team, idle) && (team->wants_more || !want))
+  else if (!give_up_unused (s, team, idle)
+           && (team->wants_more || !others_want))
     raise_part (s, team);
 }
 
@@ -515,9 +563,9 @@
       read_row (s, team, 0);
       return;
     }
-  team_act (s, team);
+  team_adjust (s, team);
   if (!team->op_token)
-    team->next_op_ms = s->now_ms + GIVE_PERIOD_MS;
+    team->next_op_ms = s->now_ms + ADJUST_PERIOD_MS;
   team->wants_more = false;
   s->dirty |= team->waiting > 0;
 }
--- a/core/journal.c
+++ b/core/journal.c
@@ -1,4 +1,12 @@
-/* The domain's journal: group commits, snapshots, and reading them back. */
+/*
+ * The write side of the domain's journal: group commits and snapshots.
+ *
+ * Records are collected in the open group.  One group at a time is written, as
+ * one row of the table; every write has the condition that the epoch row is
+ * unchanged, so a scheduler that was superseded cannot write.  What has to
+ * wait for the write, such as replies and starts, is kept as the group's
+ * effects.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -7,19 +15,26 @@
 
 enum
 {
-  GROUP_WAIT_MS = 5,      /* a group stays open for more records */
-  GROUP_RECORDS = 512,    /* or until it has this many */
-  BACKLOG_RECORDS = 8192, /* then new work is refused */
+  /* Longest time that a group stays open for more records while no other one
+     is being written. */
+  GROUP_WAIT_MS = 5,
+  /* A group with this many records is committed without that wait. */
+  GROUP_RECORDS_MAX = 512,
+  /* With this many records in the open group, new work is refused. */
+  OPEN_RECORDS_MAX = 8192,
+  /* Wait after a failed snapshot before the next one is made. */
   SNAP_RETRY_MS = 5000,
-  CUT_ROWS = 200, /* journal rows deleted in one write */
+  /* Journal rows deleted in one write. */
+  SNAP_DELETE_ROWS = 200,
 };
 
+/** enum snap_step - progress of the current snapshot */
 enum snap_step
 {
-  SNAP_NONE,
-  SNAP_HELD,   /* text is made, its last row not yet durable */
-  SNAP_OBJECT, /* object being written */
-  SNAP_ROW,    /* row being pointed at it, older rows cut */
+  SNAP_NONE,   /* no snapshot in progress */
+  SNAP_MADE,   /* its text is made, the last row that it covers not durable */
+  SNAP_OBJECT, /* the object with its text is being written */
+  SNAP_ROW,    /* the snapshot row is being set to it, older rows deleted */
 };
 
 void
@@ -35,6 +50,8 @@
   snprintf (out, ROW_KEY_SIZE, "snap/%s", s->domain);
 }
 
+/* Key of a request's row, which names the task that was accepted for the
+   request in any of the domains. */
 static void
 request_key (const char *team, const char *request_id, char out[ROW_KEY_SIZE])
 {
@@ -116,10 +133,10 @@
 bool
 journal_full (const struct sched *s)
 {
-  return s->journal.open.row.n_recs >= BACKLOG_RECORDS;
+  return s->journal.open.row.n_recs >= OPEN_RECORDS_MAX;
 }
 
-/* What was waiting for the table. */
+/* Effects: what was waiting for a group to be durable. */
 
 static void
 effect_accept (struct sched *s, struct task *t)
@@ -175,6 +192,7 @@
     }
 }
 
+/* Runs and frees all effects of the list. */
 static void
 effects_run (struct sched *s, struct effect_list *list)
 {
@@ -188,7 +206,7 @@
     }
 }
 
-/* Writing. */
+/* Writing groups. */
 
 struct store_op *
 journal_store_op (struct sched *s, int kind, uint64_t *token)
@@ -200,8 +218,12 @@
   return &o->u.store.op;
 }
 
+/* Adds to @op what a group does to request rows: an accept creates one and has
+   the condition that it is absent, so that a request is accepted once in all
+   domains; a forgotten task's row is deleted. */
 static void
-group_conds (struct sched *s, struct store_op *op, const struct group *g)
+group_request_rows (struct sched *s, struct store_op *op,
+                    const struct group *g)
 {
   char key[ROW_KEY_SIZE];
 
@@ -223,8 +245,10 @@
     }
 }
 
+/* Sends the write of the group that is being committed, for the first time or
+   again. */
 static void
-flight_send (struct sched *s)
+commit_send (struct sched *s)
 {
   struct journal *j = &s->journal;
   char key[ROW_KEY_SIZE];
@@ -235,25 +259,27 @@
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_cond (op, key, 0);
   store_put (op, key, text);
-  group_conds (s, op, &j->commit);
+  group_request_rows (s, op, &j->commit);
   j->sent_ms = s->now_ms;
   j->retry_ms = 0;
 }
 
-static void snap_hold (struct sched *s);
+static void snap_make (struct sched *s);
 
+/* Begins to commit the open group.  A group without records has nothing to be
+   written, so its effects follow at once. */
 static void
-flight_begin (struct sched *s)
+commit_begin (struct sched *s)
 {
   struct journal *j = &s->journal;
 
   if (TAILQ_EMPTY (&j->open.effects) && j->open.row.n_recs == 0)
     return;
-  struct group old = j->commit;
+  struct group spare = j->commit;
   j->commit = j->open;
   TAILQ_INIT (&j->commit.effects);
   TAILQ_CONCAT (&j->commit.effects, &j->open.effects, link);
-  j->open = old;
+  j->open = spare;
   group_init (&j->open);
   if (j->commit.row.n_recs == 0)
     {
@@ -265,12 +291,13 @@
             s->me, (long long)s->boot, (long long)++j->nonce);
   j->committing = true;
   s->stats.groups++;
-  snap_hold (s);
-  flight_send (s);
+  snap_make (s);
+  commit_send (s);
 }
 
+/* The group that was being committed is durable. */
 static void
-flight_durable (struct sched *s)
+commit_done (struct sched *s)
 {
   struct journal *j = &s->journal;
   struct group done = j->commit;
@@ -284,9 +311,12 @@
   group_clear (&done);
 }
 
+/* Removes the effects of task @id from the list and answers its calls.
+   @first_id is the id of the task that was accepted first for the request,
+   @err the reply's enum clb_err. */
 static void
 refuse_effects (struct sched *s, struct effect_list *list, const char *id,
-                const char *first, int err)
+                const char *first_id, int err)
 {
   struct effect *e;
   struct effect *next;
@@ -298,7 +328,7 @@
         continue;
       if (e->kind == EFFECT_REPLY)
         {
-          clb_copy (e->reply.id, first, sizeof e->reply.id);
+          clb_copy (e->reply.id, first_id, sizeof e->reply.id);
           e->reply.err = err;
           e->reply.reason = WHY_DUPLICATE;
           sched_reply (s, e->entry, &e->reply);
@@ -308,38 +338,41 @@
     }
 }
 
-/* The request was accepted before, perhaps in another domain. */
+/* Frees task @id, whose request was accepted before, perhaps in another
+   domain, as task @first_id. */
 static void
-accept_refused (struct sched *s, const char *id, const char *first)
+accept_refused (struct sched *s, const char *id, const char *first_id)
 {
   struct journal *j = &s->journal;
   struct task *t = sched_task (s, id);
   int err = t && t->lane == LANE_SERVICE ? CLB_EDONE : 0;
-  struct waiter *a;
+  struct waiter *waiter;
 
-  /* Doubled calls may wait for it in the next group too. */
-  refuse_effects (s, &j->commit.effects, id, first, err);
-  refuse_effects (s, &j->open.effects, id, first, err);
+  /* Repeated calls for the request may wait in the open group too. */
+  refuse_effects (s, &j->commit.effects, id, first_id, err);
+  refuse_effects (s, &j->open.effects, id, first_id, err);
   if (!t)
     return;
-  while ((a = TAILQ_FIRST (&t->waiters)))
+  while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      struct reply r = { .call_seq = a->call_seq, .err = CLB_EDONE };
-      clb_copy (r.id, first, sizeof r.id);
-      sched_reply (s, a->entry, &r);
-      TAILQ_REMOVE (&t->waiters, a, link);
-      free (a);
+      struct reply r = { .call_seq = waiter->call_seq, .err = CLB_EDONE };
+      clb_copy (r.id, first_id, sizeof r.id);
+      sched_reply (s, waiter->entry, &r);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      free (waiter);
     }
   s->stats.reasons[WHY_DUPLICATE]++;
   task_free (s, t);
-  /* The snapshot made for this group has the refused task in it. */
-  if (j->snap_step == SNAP_HELD)
+  /* The snapshot made for this group contains the refused task. */
+  if (j->snap_step == SNAP_MADE)
     j->snap_step = SNAP_NONE;
 }
 
-/* Takes the records of refused accepts out of the group. */
+/* If @row is the request row of an accept in the group that is being
+   committed, refuses the accept and removes its record.  Returns whether it
+   was. */
 static bool
-drop_refused (struct sched *s, const struct row *row)
+drop_refused_accept (struct sched *s, const struct row *row)
 {
   struct group *g = &s->journal.commit;
   char key[ROW_KEY_SIZE];
@@ -361,6 +394,8 @@
   return false;
 }
 
+/* Whether the journal row was written by this scheduler for the group that is
+   being committed. */
 static bool
 is_own_row (const struct sched *s, const struct row *row)
 {
@@ -376,23 +411,25 @@
   return own;
 }
 
+/* Handles a group's write that had no effect because a condition failed. */
 static void
-flight_conflict (struct sched *s, const struct store_rep *rep)
+commit_conflict (struct sched *s, const struct store_rep *rep)
 {
   struct journal *j = &s->journal;
   char key[ROW_KEY_SIZE];
   bool dropped = false;
 
   journal_row_key (s, j->seq, key);
-  /* An earlier try of this very write took effect and its answer was lost. */
+  /* An earlier attempt of the same write has succeeded and its answer was
+     lost. */
   for (size_t i = 0; i < rep->n_rows; i++)
     if (strcmp (rep->rows[i].key, key) == 0 && is_own_row (s, &rep->rows[i]))
       {
-        flight_durable (s);
+        commit_done (s);
         return;
       }
   for (size_t i = 0; i < rep->n_rows; i++)
-    dropped |= drop_refused (s, &rep->rows[i]);
+    dropped |= drop_refused_accept (s, &rep->rows[i]);
   if (!dropped)
     {
       s->phase = SCHED_SUPERSEDED;
@@ -405,11 +442,11 @@
       j->committing = false;
       return;
     }
-  flight_send (s);
+  commit_send (s);
 }
 
 static void
-flight_answer (struct sched *s, const struct store_rep *rep)
+commit_reply (struct sched *s, const struct store_rep *rep)
 {
   struct journal *j = &s->journal;
 
@@ -417,10 +454,10 @@
   switch (rep->err)
     {
     case 0:
-      flight_durable (s);
+      commit_done (s);
       break;
     case CLB_ECONFLICT:
-      flight_conflict (s, rep);
+      commit_conflict (s, rep);
       break;
     default:
       s->stats.group_retries++;
@@ -431,6 +468,7 @@
 
 /* Snapshots. */
 
+/* Appends a record of kind @kind to the snapshot; *@cap is the space. */
 static void
 snap_add (struct journal_row *row, size_t *cap, const struct task *t, int kind)
 {
@@ -444,6 +482,7 @@
   row->recs[row->n_recs++] = task_rec (t, kind);
 }
 
+/* Appends the records that restore the task's state. */
 static void
 snap_task (struct journal_row *row, size_t *cap, const struct task *t)
 {
@@ -461,9 +500,10 @@
     snap_add (row, cap, t, REC_CANCEL);
 }
 
-/* The state after the group in flight; used only once that is durable. */
+/* Makes a snapshot if one is due.  It contains the effect of the group that is
+   being committed, so it is written only once that is durable. */
 static void
-snap_hold (struct sched *s)
+snap_make (struct sched *s)
 {
   struct journal *j = &s->journal;
   struct journal_row row = { .n_recs = 0 };
@@ -480,9 +520,10 @@
   j->snap_text = codec_text (&journal_row_desc, &row);
   codec_free (&journal_row_desc, &row);
   j->snap_last_seq = j->seq;
-  j->snap_step = SNAP_HELD;
+  j->snap_step = SNAP_MADE;
 }
 
+/* Name of the object for the snapshot in progress. */
 static void
 snap_name (const struct sched *s, char out[CLB_ID_MAX])
 {
@@ -490,6 +531,7 @@
             (long long)s->epoch, (long long)s->journal.snap_last_seq);
 }
 
+/* Writes the snapshot's object once the last row that it covers is durable. */
 static void
 snap_put_object (struct sched *s)
 {
@@ -506,6 +548,8 @@
   j->snap_step = SNAP_OBJECT;
 }
 
+/* Sets the snapshot row to the new object and deletes the oldest journal rows
+   that it covers, up to SNAP_DELETE_ROWS of them. */
 static void
 snap_put_row (struct sched *s)
 {
@@ -515,14 +559,15 @@
   char key[ROW_KEY_SIZE];
 
   snap_name (s, row.object);
-  row.first_seq = j->first_seq + CUT_ROWS;
+  row.first_seq = j->first_seq + SNAP_DELETE_ROWS;
   if (row.first_seq > j->snap_last_seq)
     row.first_seq = j->snap_last_seq + 1;
   clb_auto char *text = codec_text (&snap_row_desc, &row);
   journal_snap_key (s, key);
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_put (op, key, text);
-  for (int n = 0; n < CUT_ROWS && j->first_seq + n <= j->snap_last_seq; n++)
+  for (int n = 0; n < SNAP_DELETE_ROWS && j->first_seq + n <= j->snap_last_seq;
+       n++)
     {
       journal_row_key (s, j->first_seq + n, key);
       store_put (op, key, NULL);
@@ -531,7 +576,7 @@
 }
 
 static void
-snap_answer (struct sched *s, const struct store_rep *rep)
+snap_reply (struct sched *s, const struct store_rep *rep)
 {
   struct journal *j = &s->journal;
 
@@ -550,10 +595,10 @@
   if (j->snap_step == SNAP_ROW)
     {
       j->snap_seq = j->snap_last_seq;
-      j->first_seq += CUT_ROWS;
+      j->first_seq += SNAP_DELETE_ROWS;
       if (j->first_seq > j->snap_last_seq)
         {
-          /* Rows that an earlier holder had not yet cut are gone too. */
+          /* This includes rows that an earlier holder had not deleted. */
           j->first_seq = j->snap_last_seq + 1;
           j->snap_step = SNAP_NONE;
           return;
@@ -570,20 +615,22 @@
   if (token == s->load_token)
     load_reply (s, rep);
   else if (token == j->token)
-    flight_answer (s, rep);
+    commit_reply (s, rep);
   else if (token == j->snap_token)
-    snap_answer (s, rep);
+    snap_reply (s, rep);
   else
     return false;
   return true;
 }
 
+/* Whether the open group is committed without waiting for more records.  One
+   without records, which may have effects, is. */
 static bool
 group_due (const struct sched *s)
 {
   const struct journal *j = &s->journal;
 
-  return j->open.row.n_recs == 0 || j->open.row.n_recs >= GROUP_RECORDS
+  return j->open.row.n_recs == 0 || j->open.row.n_recs >= GROUP_RECORDS_MAX
          || s->now_ms - j->opened_ms >= GROUP_WAIT_MS;
 }
 
@@ -598,9 +645,9 @@
   if (s->phase != SCHED_READY)
     return;
   if (j->committing && j->retry_ms && s->now_ms >= j->retry_ms)
-    flight_send (s);
+    commit_send (s);
   if (!j->committing && group_due (s))
-    flight_begin (s);
-  if (j->snap_step == SNAP_HELD)
+    commit_begin (s);
+  if (j->snap_step == SNAP_MADE)
     snap_put_object (s);
 }
--- a/core/load.c
+++ b/core/load.c
@@ -1,16 +1,20 @@
-/* Reading a domain's journal back: snapshot, rows, grants. */
+/*
+ * Recovery at the start of an epoch: reads the domain's latest snapshot, the
+ * journal rows after it and the teams' grants, and restores tasks and teams.
+ */
 #include "sched.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+/** enum load_step - what is read next */
 enum load_step
 {
-  LOAD_SNAP_ROW,
-  LOAD_SNAP_OBJ,
-  LOAD_ROWS,
-  LOAD_GRANTS,
+  LOAD_SNAP_ROW, /* row that names the latest snapshot */
+  LOAD_SNAP_OBJ, /* object with that snapshot */
+  LOAD_ROWS,     /* journal rows after the snapshot */
+  LOAD_GRANTS,   /* grant rows of all teams */
   LOAD_DONE,
 };
 
@@ -52,6 +56,8 @@
   s->load_retry_ms = 0;
 }
 
+/* Replay: these functions apply one record each. */
+
 static void
 replay_accept (struct sched *s, const struct rec *r)
 {
@@ -75,6 +81,7 @@
   task_enqueue (s, t);
 }
 
+/* Finds the worker of a place, or creates it if it has not been listed yet. */
 static struct worker *
 replay_worker (struct sched *s, const struct place *p, int lane)
 {
@@ -91,6 +98,7 @@
   return w;
 }
 
+/* Places the task as recorded.  Its starts may have been sent. */
 static void
 replay_intent (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -173,7 +181,8 @@
     }
 }
 
-/* 0, or %CLB_EPARSE when the text is not a journal row. */
+/* Applies the records of a journal row or snapshot.  Returns 0, or an enum
+   clb_err if the text cannot be parsed. */
 static int
 replay_text (struct sched *s, const char *text)
 {
@@ -225,7 +234,8 @@
   s->load_step = LOAD_ROWS;
 }
 
-/* Remembers where a list goes on; true while there is more. */
+/* Sets load_after to the last key listed if the list goes on, else to NULL.
+   Returns whether it goes on. */
 static bool
 load_more (struct sched *s, const struct store_rep *rep)
 {
--- a/core/place.c
+++ b/core/place.c
@@ -1,3 +1,7 @@
+/*
+ * The pool of workers and the choice of workers for a task by scores: the
+ * worker with the lowest score is chosen.
+ */
 #include "place.h"
 
 #include <stdlib.h>
@@ -5,9 +9,13 @@
 
 enum
 {
-  SCORE_ONE = 1024,         /* a whole worker left over */
-  SCORE_ACCEL_WASTE = 8192, /* accelerators that the task cannot use */
-  SCORE_SAME_RACK = 16384,  /* another member's rack, unwished */
+  /* Per dimension of which the whole capacity would be left over. */
+  SCORE_ONE = 1024,
+  /* For a worker with free accelerators if the task needs none. */
+  SCORE_ACCEL_WASTE = 8192,
+  /* Per other member on the same rack if the task is to be spread. */
+  SCORE_SAME_RACK = 16384,
+  /* For the worker to be avoided. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -81,7 +89,7 @@
 }
 
 static struct clb_res
-free_room (const struct worker *w)
+free_capacity (const struct worker *w)
 {
   struct clb_res room = w->inst.capacity;
 
@@ -89,7 +97,8 @@
   return room;
 }
 
-/* What would be left over, summed over the dimensions: less is tighter. */
+/* The part of the worker's capacity that would be left over, summed over the
+   dimensions.  The lower it is, the tighter the fit. */
 static int64_t
 leftover (const struct worker *w, const struct clb_res *room,
           const struct clb_res *need)
@@ -118,14 +127,16 @@
   return found;
 }
 
-/* Services go where most room is left, so that one loss takes few of them. */
+/* Whether the worker with most capacity left is preferred, rather than the
+   tightest fit.  Service requests are placed so, since the loss of one
+   executor then affects few of them. */
 static bool
-wants_level (const struct spec *spec)
+prefers_most_free (const struct spec *spec)
 {
   return spec->need.slots > 0 || spec->spread;
 }
 
-/* struct search - one choice of workers */
+/* struct search - state of one call of pool_pick() */
 struct search
 {
   struct pool *pool;
@@ -137,6 +148,7 @@
   int64_t looked_at;
 };
 
+/* Whether the worker is an executor if and only if the task needs slots. */
 static bool
 right_kind (const struct worker *w, const struct spec *spec)
 {
@@ -149,7 +161,7 @@
 {
   int64_t score = leftover (w, room, &s->spec->need);
 
-  if (wants_level (s->spec))
+  if (prefers_most_free (s->spec))
     score = -score;
   if (s->spec->spread)
     score += SCORE_SAME_RACK
@@ -159,6 +171,8 @@
   return score;
 }
 
+/* Chooses the best worker for one member, of @rack or of any if that is NULL.
+   Returns NULL if none has enough free capacity. */
 static struct worker *
 pick_one (struct search *s, const char *rack)
 {
@@ -173,7 +187,7 @@
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
       s->looked_at++;
-      struct clb_res room = free_room (w);
+      struct clb_res room = free_capacity (w);
       if (!clb_res_fits (&s->spec->need, &room))
         continue;
       int64_t score = score_of (s, w, &room);
@@ -194,6 +208,9 @@
   s->n_picked = 0;
 }
 
+/* Chooses a worker for each member, of @rack or of any if that is NULL, and
+   reserves capacity.  Returns false and reserves nothing if one member does
+   not fit. */
 static bool
 pick_all (struct search *s, const char *rack)
 {
@@ -211,39 +228,43 @@
   return true;
 }
 
+/* Chooses workers for all members on one rack; false if no rack can hold
+   them. */
 static bool
 pick_same_rack (struct search *s)
 {
   struct worker *w;
-  const char *last = NULL;
+  const char *last_rack = NULL;
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      /* Workers of a rack mostly follow each other by name. */
-      if (last && strcmp (last, w->inst.rack) == 0)
+      /* The ids of a rack's workers mostly follow each other, so most racks
+         are tried once only. */
+      if (last_rack && strcmp (last_rack, w->inst.rack) == 0)
         continue;
-      last = w->inst.rack;
-      if (pick_all (s, last))
+      last_rack = w->inst.rack;
+      if (pick_all (s, last_rack))
         return true;
     }
   return false;
 }
 
-/* Whether the workers could hold all members if nothing else ran. */
+/* Whether the listed workers could hold all members if nothing else ran. */
 static bool
 could_ever_fit (struct pool *pool, const struct spec *spec)
 {
   struct worker *w;
-  int64_t held = 0;
+  int64_t n_fit = 0;
 
   RB_FOREACH (w, worker_tree, &pool->workers)
     {
       struct clb_res room = w->inst.capacity;
       if (!w->listed || !right_kind (w, spec))
         continue;
-      for (; held < spec->members && clb_res_fits (&spec->need, &room); held++)
+      for (; n_fit < spec->members && clb_res_fits (&spec->need, &room);
+           n_fit++)
         clb_res_add (&room, &spec->need, -1);
-      if (held >= spec->members)
+      if (n_fit >= spec->members)
         return true;
     }
   return false;
@@ -267,8 +288,9 @@
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
+/* Adds @r to @sum, except for dimensions in which it is negative. */
 static void
-add_at_least_zero (struct clb_res *sum, const struct clb_res *r)
+add_positive (struct clb_res *sum, const struct clb_res *r)
 {
   for (int k = 0; k < RES_N; k++)
     if (clb_res_get (r, k) > 0)
@@ -285,9 +307,9 @@
     {
       if (!pool_usable (w, now_ms))
         continue;
-      struct clb_res room = free_room (w);
-      add_at_least_zero (&sum.room, &room);
-      add_at_least_zero (&sum.size, &w->inst.capacity);
+      struct clb_res room = free_capacity (w);
+      add_positive (&sum.room, &room);
+      add_positive (&sum.size, &w->inst.capacity);
       for (int k = 0; k < RES_N; k++)
         if (clb_res_get (&w->inst.capacity, k) > clb_res_get (&sum.largest, k))
           clb_res_set (&sum.largest, k, clb_res_get (&w->inst.capacity, k));
--- a/core/queue.c
+++ b/core/queue.c
@@ -1,4 +1,8 @@
-/* Which waiting work starts next: class by class, by dominant share. */
+/*
+ * The order in which waiting tasks are placed: class by class, and within a
+ * class by dominant resource fairness, that is from the team with the lowest
+ * weighted dominant share.
+ */
 #include "sched.h"
 
 #include <stdlib.h>
@@ -6,21 +10,28 @@
 
 enum
 {
-  BACKFILL_MAX = 16,      /* blocked tasks passed over per team and class */
-  BLOCKED_MAX = 16,       /* sizes remembered as not fitting in a round */
-  NEVER_FITS_MS = 120000, /* larger than every worker this long: ended */
-  SHARE_ONE = 1 << 20,    /* a whole fleet, in share arithmetic */
+  /* Tasks at the head of a team's queue that are tried in each class.  One of
+     them may start before blocked ones ahead of it. */
+  BACKFILL_MAX = 16,
+  /* Sizes that a round remembers as not fitting. */
+  BLOCKED_MAX = 16,
+  /* A task that is larger than every worker for this long is ended. */
+  NEVER_FITS_MS = 120000,
+  /* Fixed-point value of a share of 1: the domain's whole capacity. */
+  SHARE_ONE = 1 << 20,
 };
 
-/* struct round - what one round of placement has found not to fit */
+/* struct round - sizes that did not fit in the current placement round */
 struct round
 {
   struct clb_res blocked[BLOCKED_MAX];
   int n_blocked;
 };
 
+/* Whether a size did not fit in this round that is within @spec's need in
+   every dimension. */
 static bool
-round_blocks (const struct round *r, const struct spec *spec)
+round_too_large (const struct round *r, const struct spec *spec)
 {
   for (int i = 0; i < r->n_blocked; i++)
     if (clb_res_fits (&r->blocked[i], &spec->need))
@@ -28,28 +39,31 @@
   return false;
 }
 
+/* Remembers the size of a task that does not fit.  Gangs are left out. */
 static void
-round_block (struct round *r, const struct spec *spec)
+round_add_blocked (struct round *r, const struct spec *spec)
 {
   if (r->n_blocked < BLOCKED_MAX && spec->members == 1)
     r->blocked[r->n_blocked++] = spec->need;
 }
 
+/* Replies to the acquire call of a service request that has got a slot. */
 static void
-answer_acquired (struct sched *s, struct task *t)
+reply_acquired (struct sched *s, struct task *t)
 {
-  struct waiter *a = TAILQ_FIRST (&t->waiters);
+  struct waiter *waiter = TAILQ_FIRST (&t->waiters);
 
-  if (!a)
+  if (!waiter)
     return;
-  TAILQ_REMOVE (&t->waiters, a, link);
-  service_reply (s, t, a->entry, a->call_seq, a->stamp);
-  free (a);
+  TAILQ_REMOVE (&t->waiters, waiter, link);
+  service_reply (s, t, waiter->entry, waiter->call_seq, waiter->stamp);
+  free (waiter);
 }
 
 const int64_t wait_bucket_ms[WAIT_BUCKETS]
     = { 10, 100, 500, 1000, 3600, 10000, 60000, 600000, INT64_MAX };
 
+/* Counts the time from accept to placement. */
 static void
 count_wait (struct sched *s, const struct task *t)
 {
@@ -62,6 +76,7 @@
   s->stats.wait_sum_ms[t->class] += (uint64_t)ms;
 }
 
+/* Places a task on the picked workers, journals the intent. */
 static void
 task_start (struct sched *s, struct task *t, struct worker **picked,
             int reason, int64_t looked_at)
@@ -79,13 +94,14 @@
     {
       t->expires_ms = task_slot_expiry_ms (s, t);
       t->intent_durable = true;
-      answer_acquired (s, t);
+      reply_acquired (s, t);
       return;
     }
   struct effect *e = journal_effect (s, EFFECT_INTENT, t->id);
   e->attempt = t->attempt;
 }
 
+/* Records why a task is not placed if the reason has changed. */
 static void
 note_blocked (struct sched *s, struct task *t, int reason, int64_t looked_at)
 {
@@ -95,10 +111,10 @@
   task_event (s, t, reason, "", looked_at);
 }
 
-/* A task that no worker could hold is told so, after a while in which larger
-   ones might have come. */
+/* Ends a task that no worker could hold for NEVER_FITS_MS.  A larger worker
+   might have been listed in that time. */
 static void
-note_never_fits (struct sched *s, struct task *t)
+end_if_never_fits (struct sched *s, struct task *t)
 {
   if (t->no_fit_since_ms == 0)
     t->no_fit_since_ms = s->now_ms;
@@ -107,6 +123,7 @@
     task_ended (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
 }
 
+/* Places the task if it can start now; returns whether it was. */
 static bool
 try_place (struct sched *s, struct round *r, struct task *t)
 {
@@ -122,7 +139,7 @@
       note_blocked (s, t, WHY_TEAM_LIMIT, 0);
       return false;
     }
-  if (round_blocks (r, &t->spec))
+  if (round_too_large (r, &t->spec))
     return false;
   picked = calloc ((size_t)t->spec.members, sizeof *picked);
   if (!picked)
@@ -131,10 +148,10 @@
                           &looked_at);
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
-      round_block (r, &t->spec);
+      round_add_blocked (r, &t->spec);
       note_blocked (s, t, reason, looked_at);
       if (reason == WHY_NO_WORKER_FITS)
-        note_never_fits (s, t);
+        end_if_never_fits (s, t);
       else
         t->no_fit_since_ms = 0;
       if (reason == WHY_NO_ROOM && t->class == CLASS_URGENT)
@@ -146,45 +163,48 @@
   return reason != WHY_NO_ROOM && reason != WHY_NO_WORKER_FITS;
 }
 
-/* Places the first task of the queue that can start now. */
+/* Places the first of the BACKFILL_MAX tasks at the head of a team's queue
+   that can start now.  Returns false if none can. */
 static bool
-place_from (struct sched *s, struct round *r, struct team *team, int class)
+place_first (struct sched *s, struct round *r, struct team *team, int class)
 {
   struct task *t;
   struct task *next;
-  int passed = 0;
+  int tried = 0;
 
   for (t = TAILQ_FIRST (&team->queue[class]); t; t = next)
     {
       next = TAILQ_NEXT (t, queued);
       if (try_place (s, r, t))
         return true;
-      if (++passed >= BACKFILL_MAX)
+      if (++tried >= BACKFILL_MAX)
         return false;
     }
   return false;
 }
 
-/* A team's largest part of any resource, by its weight. */
+/* A team's dominant share, its largest share of any resource, divided by its
+   weight; SHARE_ONE is the whole of @total. */
 static int64_t
-team_share (const struct team *team, const struct clb_res *fleet)
+team_share (const struct team *team, const struct clb_res *total)
 {
   int64_t share = 0;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t all = clb_res_get (fleet, k);
-      if (all <= 0)
+      int64_t amount = clb_res_get (total, k);
+      if (amount <= 0)
         continue;
-      int64_t part = clb_res_get (&team->used, k) * SHARE_ONE / all;
+      int64_t part = clb_res_get (&team->used, k) * SHARE_ONE / amount;
       if (part > share)
         share = part;
     }
   return share / team->weight;
 }
 
+/* Capacity of all listed workers and executors of the domain. */
 static struct clb_res
-fleet_size (struct sched *s)
+total_capacity (struct sched *s)
 {
   struct worker *w;
   struct clb_res sum = { 0 };
@@ -195,25 +215,27 @@
   return sum;
 }
 
+/* Places tasks of one class, each time from the team with the lowest share
+   that has a task which can start. */
 static void
-place_class (struct sched *s, struct round *r, const struct clb_res *fleet,
+place_class (struct sched *s, struct round *r, const struct clb_res *total,
              int class)
 {
   struct team *team;
-  struct team *open[CONF_TEAMS_MAX];
-  int n = 0;
+  struct team *teams[CONF_TEAMS_MAX];
+  int n_teams = 0;
 
   RB_FOREACH (team, team_tree, &s->teams)
-    if (!TAILQ_EMPTY (&team->queue[class]) && n < CONF_TEAMS_MAX)
-      open[n++] = team;
-  while (n > 0)
+    if (!TAILQ_EMPTY (&team->queue[class]) && n_teams < CONF_TEAMS_MAX)
+      teams[n_teams++] = team;
+  while (n_teams > 0)
     {
       int best = 0;
-      for (int i = 1; i < n; i++)
-        if (team_share (open[i], fleet) < team_share (open[best], fleet))
+      for (int i = 1; i < n_teams; i++)
+        if (team_share (teams[i], total) < team_share (teams[best], total))
           best = i;
-      if (!place_from (s, r, open[best], class))
-        open[best] = open[--n];
+      if (!place_first (s, r, teams[best], class))
+        teams[best] = teams[--n_teams];
     }
 }
 
@@ -221,9 +243,9 @@
 place_round (struct sched *s)
 {
   struct round r = { .n_blocked = 0 };
-  struct clb_res fleet = fleet_size (s);
+  struct clb_res total = total_capacity (s);
 
   s->dirty = false;
   for (int class = 0; class < CLASS_N; class ++)
-    place_class (s, &r, &fleet, class);
+    place_class (s, &r, &total, class);
 }
--- a/core/recon.c
+++ b/core/recon.c
@@ -1,4 +1,10 @@
-/* Brings what the workers run and what the journal says into agreement. */
+/*
+ * Reconciliation of the tasks with what the workers run.  Each worker is sent
+ * one sync at a time: it renews the leases of the worker's tasks and carries
+ * starts, stops and acknowledgements.  The worker's report in the answer moves
+ * the members on.  The members of a worker without reports end as lost once
+ * their leases have certainly run out.
+ */
 #include "sched.h"
 
 #include <stdlib.h>
@@ -6,14 +12,21 @@
 
 enum
 {
-  CLOCK_MARGIN_MS = 1000, /* clock rates and pauses between two machines */
-  END_SLACK_MS = 10,      /* after a run's declared end, then it is asked */
-  SYNC_GAP_MS = 50,       /* between two looks for ends at one worker */
-  FAIL_STREAK_MAX = 4,    /* failed starts in a row, then quarantine */
-  QUARANTINE_MS = 10000,  /* the first; each later one is twice as long */
+  /* Allowance for clock rates that differ and pauses on either machine. */
+  CLOCK_MARGIN_MS = 1000,
+  /* A worker is synced this long after a run's expected end. */
+  END_SLACK_MS = 10,
+  /* Shortest wait before a sync that is sent because of an expected end. */
+  SYNC_GAP_MS = 50,
+  /* Failures of a worker in a row that put it into quarantine. */
+  FAIL_STREAK_MAX = 4,
+  /* Length of a worker's first quarantine.  It doubles with each further one,
+     up to the maximum. */
+  QUARANTINE_MS = 10000,
   QUARANTINE_MAX_MS = 160000,
 };
 
+/* Adds @id to the list unless it is in it. */
 static void
 run_id_push (struct run_id **list, size_t *n, const char *id)
 {
@@ -34,8 +47,9 @@
 
 /* Sending. */
 
+/* The lease to be granted to all tasks of a worker in ms; 0 renews nothing. */
 static int64_t
-lease_for (const struct sched *s, const struct worker *w)
+lease_ms_for (const struct sched *s, const struct worker *w)
 {
   if (w->state == WORKER_EXPIRING || w->state == WORKER_LOST)
     return 0;
@@ -44,20 +58,23 @@
   return TASK_LEASE_MS;
 }
 
+/* Whether the start of a member may be sent now. */
 static bool
 may_send_start (const struct sched *s, const struct worker *w,
                 const struct member *m)
 {
-  /* The limit may have been lowered since it was placed. */
+  /* The team's limit may have been lowered since the task was placed. */
   if (m->task->team->frozen && task_unsent (m->task))
     return false;
-  /* Who is leaving is known only by the list, and a limit may be lower. */
+  /* The list of instances tells that a worker is leaving, the configuration
+     that a limit was lowered, so both must be current. */
   if (w->leaving || s->now_ms - s->list_ms >= LIST_FRESH_MS || !s->conf_fresh)
     return false;
   return m->state == MEMBER_INTENT && m->task->intent_durable && s->may_start
          && w->state == WORKER_LIVE;
 }
 
+/* Adds the start of a member to a sync. */
 static void
 sync_add_start (struct sync_req *req, struct member *m)
 {
@@ -77,9 +94,11 @@
   m->sent_seq = req->seq;
 }
 
-/* Asks when the run should be over, so that its room is not left empty. */
+/* Advances the worker's next sync to the expected end of a running member, so
+   that its capacity is soon in use again. */
 static void
-look_at_end (const struct sched *s, struct worker *w, const struct member *m)
+sync_at_expected_end (const struct sched *s, struct worker *w,
+                      const struct member *m)
 {
   int64_t at_ms = m->expected_end_ms + END_SLACK_MS;
 
@@ -91,6 +110,7 @@
     w->next_sync_ms = at_ms;
 }
 
+/* Sends a sync with the starts, stops and acknowledgements that are due. */
 static void
 sync_send (struct sched *s, struct worker *w)
 {
@@ -104,7 +124,7 @@
   clb_copy (req->holder, s->me, sizeof req->holder);
   req->epoch = s->epoch;
   req->seq = ++w->sync_seq;
-  req->lease_ms = lease_for (s, w);
+  req->lease_ms = lease_ms_for (s, w);
   TAILQ_FOREACH (m, &w->members, on_worker)
     {
       if (w->inst.kind == INST_EXECUTOR)
@@ -115,7 +135,8 @@
       else if (m->state == MEMBER_STOP && s->may_start)
         run_id_push (&req->stops, &req->n_stops, id);
     }
-  /* A run that a lapsed holder does not know may be its successor's. */
+  /* A run that this scheduler does not know may be its successor's if its own
+     lease has lapsed, so it is not stopped. */
   size_t n_strays = s->may_start ? w->n_orphans : 0;
   for (size_t i = 0; i < n_strays; i++)
     run_id_push (&req->stops, &req->n_stops, w->orphans[i].id);
@@ -129,12 +150,14 @@
   w->sync_sent_ms = s->now_ms;
   w->next_sync_ms = s->now_ms + SYNC_PERIOD_MS;
   TAILQ_FOREACH (m, &w->members, on_worker)
-    look_at_end (s, w, m);
+    sync_at_expected_end (s, w, m);
   s->stats.syncs++;
 }
 
 /* Reports. */
 
+/* Finds the member that has the run id @run; NULL if the run is not of the
+   task's current attempt or not on this worker. */
 static struct member *
 find_member (struct sched *s, const struct worker *w, const char *run)
 {
@@ -160,12 +183,14 @@
   return strcmp (m->worker_id, w->inst.id) == 0 ? m : NULL;
 }
 
+/* Counts a failure against a worker; puts it into quarantine after
+   FAIL_STREAK_MAX in a row. */
 static void
 worker_failed (struct sched *s, struct worker *w)
 {
   if (++w->fail_streak < FAIL_STREAK_MAX)
     return;
-  /* One failure after the quarantine is enough for the next. */
+  /* After the quarantine, one more failure starts the next. */
   w->fail_streak = FAIL_STREAK_MAX - 1;
   w->quarantine_ms = w->quarantine_ms ? 2 * w->quarantine_ms : QUARANTINE_MS;
   if (w->quarantine_ms > QUARANTINE_MAX_MS)
@@ -174,8 +199,10 @@
   sched_event (s, WHY_WORKER_QUARANTINED, "", "", w->inst.id, 0);
 }
 
+/* Takes back a failure that was counted against a worker and ends its
+   quarantine. */
 static void
-worker_cleared (struct sched *s, struct worker *w)
+worker_failure_undo (struct sched *s, struct worker *w)
 {
   if (w->fail_streak > 0)
     w->fail_streak--;
@@ -185,7 +212,9 @@
   sched_event (s, WHY_WORKER_BACK, "", "", w->inst.id, 0);
 }
 
-/* A task that fails on two workers is at fault, and they are not. */
+/* Counts a failed run against its worker.  If the task's previous failure was
+   on another worker, the task is at fault and not the workers: this failure is
+   not counted, and the first one is taken back. */
 static void
 run_failed (struct sched *s, struct worker *w, struct task *t)
 {
@@ -195,7 +224,7 @@
   if (!*t->failed_on || strcmp (t->failed_on, w->inst.id) == 0)
     worker_failed (s, w);
   else if (first && t->failures == 1)
-    worker_cleared (s, first);
+    worker_failure_undo (s, first);
   clb_copy (t->failed_on, w->inst.id, sizeof t->failed_on);
 }
 
@@ -211,6 +240,7 @@
     }
 }
 
+/* A report lists the member as running. */
 static void
 member_running (struct sched *s, struct member *m)
 {
@@ -222,7 +252,7 @@
   m->state = MEMBER_RUNNING;
   if (t->spec.duration_ms)
     m->expected_end_ms = s->now_ms + t->spec.duration_ms;
-  look_at_end (s, m->worker, m);
+  sync_at_expected_end (s, m->worker, m);
   if (t->state == TASK_STARTING)
     {
       t->state = TASK_RUNNING;
@@ -231,10 +261,11 @@
   sched_event (s, WHY_STARTED, t->id, t->team->name, m->worker_id, 0);
 }
 
+/* The enum member_end that an enum run_state stands for. */
 static int
-end_of_run (const struct member *m, int run)
+member_end_of (const struct member *m, int run_state)
 {
-  switch (run)
+  switch (run_state)
     {
     case RUN_OK:
       return MEMBER_END_OK;
@@ -245,11 +276,14 @@
     case RUN_REFUSED:
       return MEMBER_END_REFUSED;
     default:
-      /* It was seen to run and the worker has lost all trace of it. */
+      /* The worker knows nothing of the run.  It may have run if an earlier
+         report has listed it as running. */
       return m->was_running ? MEMBER_END_LOST : MEMBER_END_NOT_STARTED;
     }
 }
 
+/* Acknowledges an ended run once its end is durable, so that the worker
+   reports it until then. */
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
 {
@@ -258,6 +292,7 @@
   clb_copy (e->worker, w->inst.id, sizeof e->worker);
 }
 
+/* Handles one run of a worker's report. */
 static void
 run_report (struct sched *s, struct worker *w, const struct run *run)
 {
@@ -285,13 +320,14 @@
         }
       if (run->state == RUN_FAILED || run->state == RUN_REFUSED)
         run_failed (s, w, m->task);
-      member_ended (s, m, end_of_run (m, run->state));
+      member_ended (s, m, member_end_of (m, run->state));
       task_evaluate (s, m->task);
     }
   ack_when_durable (s, w, run->id);
 }
 
-/* Everything sent to the worker before it restarted is gone. */
+/* Handles a worker's restart: it has forgotten every run that was sent to it
+   before, so the members placed on an earlier boot end. */
 static void
 worker_boot (struct sched *s, struct worker *w, int64_t boot)
 {
@@ -314,9 +350,11 @@
     }
 }
 
-/* Slots taken by requests of an earlier holder or of a dead instance. */
+/* Reserves the slots that an executor reports as busy beyond those of known
+   requests.  They are used by requests that an earlier holder granted or whose
+   entry instance is gone. */
 static void
-count_phantoms (struct worker *w, int64_t busy)
+count_unknown_slots (struct worker *w, int64_t busy)
 {
   struct member *m;
   int64_t known = 0;
@@ -328,7 +366,9 @@
   w->used.slots += w->unknown_slots;
 }
 
-/* A start that the report does not list never arrived, or arrives late. */
+/* Has every sent member stopped that the worker's report does not list.  Its
+   start was lost or may still arrive late; the answer to the stop rules out
+   that it starts. */
 static void
 check_unlisted (struct worker *w, int64_t seq)
 {
@@ -344,8 +384,9 @@
     }
 }
 
+/* Notes that a worker has answered a sync. */
 static void
-worker_live (struct sched *s, struct worker *w)
+worker_answered (struct sched *s, struct worker *w)
 {
   w->answered = true;
   w->last_contact_ms = s->now_ms;
@@ -369,11 +410,11 @@
       s->stats.sync_failures++;
       return;
     }
-  worker_live (s, w);
+  worker_answered (s, w);
   w->leaving |= rep->leaving;
   if (w->inst.kind == INST_EXECUTOR)
     {
-      count_phantoms (w, rep->busy);
+      count_unknown_slots (w, rep->busy);
       return;
     }
   if (w->boot != rep->boot)
@@ -383,27 +424,30 @@
   check_unlisted (w, seq);
 }
 
-/* Silence. */
+/* Workers that do not answer. */
 
+/* When the leases of an expiring worker's tasks have certainly run out. */
 static int64_t
-gone_after_ms (const struct worker *w, const struct sched *s)
+leases_end_ms (const struct worker *w, const struct sched *s)
 {
   int64_t wait = TASK_LEASE_MS + SYNC_TIMEOUT_MS + CLOCK_MARGIN_MS;
 
-  /* An earlier holder may have renewed leases for a while after its own. */
+  /* An earlier holder may have renewed leases for LAPSED_RENEW_MS after its
+     own had lapsed. */
   if (!w->answered)
     return s->started_ms + LAPSED_RENEW_MS + wait;
   return w->expiring_since_ms + wait;
 }
 
+/* Ends all members of a worker whose leases have run out. */
 static void
-worker_gone (struct sched *s, struct worker *w)
+worker_lost (struct sched *s, struct worker *w)
 {
   struct member *m;
 
   w->state = WORKER_LOST;
   sched_event (s, WHY_WORKER_LOST, "", "", w->inst.id, 0);
-  /* Its slots are given back by the entry instances that use them. */
+  /* An executor's slots are released by the entry instances that use them. */
   if (w->inst.kind == INST_EXECUTOR)
     return;
   while ((m = TAILQ_FIRST (&w->members)))
@@ -415,25 +459,27 @@
     }
 }
 
+/* Updates the state of a worker by the time since its last report. */
 static void
-check_silence (struct sched *s, struct worker *w)
+check_contact (struct sched *s, struct worker *w)
 {
-  int64_t silent = s->now_ms - w->last_contact_ms;
+  int64_t since_contact_ms = s->now_ms - w->last_contact_ms;
 
-  if (w->state == WORKER_LIVE && silent >= WORKER_UNREACHABLE_MS)
+  if (w->state == WORKER_LIVE && since_contact_ms >= WORKER_UNREACHABLE_MS)
     w->state = WORKER_UNREACHABLE;
-  if (w->state <= WORKER_UNREACHABLE && silent >= WORKER_EXPIRING_MS)
+  if (w->state <= WORKER_UNREACHABLE && since_contact_ms >= WORKER_EXPIRING_MS)
     {
       w->state = WORKER_EXPIRING;
       w->expiring_since_ms = s->now_ms;
     }
-  if (w->state == WORKER_EXPIRING && s->now_ms >= gone_after_ms (w, s))
-    worker_gone (s, w);
+  if (w->state == WORKER_EXPIRING && s->now_ms >= leases_end_ms (w, s))
+    worker_lost (s, w);
 }
 
-/* A leaving worker is given nothing that it has not got already. */
+/* Takes back a task that is placed on a leaving worker and was not yet sent to
+   it. */
 static void
-leave_alone (struct sched *s, struct worker *w)
+withdraw_unsent (struct sched *s, struct worker *w)
 {
   struct member *m;
 
@@ -443,7 +489,8 @@
         struct task *t = m->task;
         task_stop_members (s, t);
         task_evaluate (s, t);
-        return; /* the list has changed; the rest at the next tick */
+        /* The list of members has changed: others follow at later ticks. */
+        return;
       }
 }
 
@@ -455,9 +502,9 @@
 
   RB_FOREACH_SAFE (w, worker_tree, &s->pool.workers, next)
     {
-      check_silence (s, w);
+      check_contact (s, w);
       if (w->leaving && w->inst.kind == INST_WORKER)
-        leave_alone (s, w);
+        withdraw_unsent (s, w);
       if (w->state == WORKER_LOST && !w->listed && !w->sync_outstanding
           && TAILQ_EMPTY (&w->members))
         {
--- a/core/sched.c
+++ b/core/sched.c
@@ -1,3 +1,6 @@
+/*
+ * The scheduler object: creation, configuration, decision events and timers.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -6,8 +9,11 @@
 
 enum
 {
-  EXPIRE_PERIOD_MS = 50, /* between looks at the deadlines */
-  ENDED_KEPT = 6000,     /* ended tasks that can still be asked about */
+  /* Time between two checks of the tasks' time limits. */
+  EXPIRE_PERIOD_MS = 50,
+  /* With more tasks than this in memory, the oldest ended ones are forgotten
+     and no longer found by status calls. */
+  TASKS_RETAINED = 6000,
 };
 
 static int
@@ -195,29 +201,32 @@
 
 /* Timers. */
 
+/* Replies to the calls that have waited for the task as long as they may.
+   Calls for a service slot are answered when the request itself expires. */
 static void
-expire_askers (struct sched *s, struct task *t)
+expire_waiters (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
   struct waiter *next;
 
-  for (a = TAILQ_FIRST (&t->waiters); a; a = next)
+  for (waiter = TAILQ_FIRST (&t->waiters); waiter; waiter = next)
     {
-      next = TAILQ_NEXT (a, link);
-      if (a->expires_ms > s->now_ms || t->lane == LANE_SERVICE)
+      next = TAILQ_NEXT (waiter, link);
+      if (waiter->expires_ms > s->now_ms || t->lane == LANE_SERVICE)
         continue;
-      TAILQ_REMOVE (&t->waiters, a, link);
-      task_reply_durable (s, t, a->entry, a->call_seq);
-      free (a);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      task_reply_durable (s, t, waiter->entry, waiter->call_seq);
+      free (waiter);
     }
 }
 
-/* A pending task whose time is over, or a slot that nobody gave back. */
+/* Gives up a pending task whose time limit has passed, or releases the slot
+   of a service request that was not released in time. */
 static void
 expire_task (struct sched *s, struct task *t)
 {
   if (!t->accept_durable)
-    return; /* told when its accept is known */
+    return; /* expires at a later check, once its accept is durable */
   t->expires_ms = 0;
   if (t->in_queue)
     task_ended (s, t, TASK_CANCELLED, WHY_DEADLINE);
@@ -225,6 +234,7 @@
     service_release (s, t, TASK_UNKNOWN);
 }
 
+/* Checks the time limits of all tasks, every EXPIRE_PERIOD_MS. */
 static void
 expire_tasks (struct sched *s)
 {
@@ -237,7 +247,7 @@
   RB_FOREACH_SAFE (t, task_tree, &s->tasks, next)
     {
       if (!TAILQ_EMPTY (&t->waiters))
-        expire_askers (s, t);
+        expire_waiters (s, t);
       if (t->not_before_ms && t->not_before_ms <= s->now_ms)
         {
           t->not_before_ms = 0;
@@ -249,12 +259,14 @@
     }
 }
 
+/* Forgets the oldest ended task while more than TASKS_RETAINED tasks are in
+   memory, one in each call. */
 static void
 forget_ended (struct sched *s)
 {
   struct task *t = TAILQ_FIRST (&s->ended);
 
-  if (s->n_tasks <= ENDED_KEPT || !t || journal_full (s))
+  if (s->n_tasks <= TASKS_RETAINED || !t || journal_full (s))
     return;
   TAILQ_REMOVE (&s->ended, t, ended);
   t->in_ended = false;
@@ -267,8 +279,8 @@
                  int64_t asked_ms)
 {
   struct worker *w;
-  char seen[CLB_DOMAINS_MAX][CLB_NAME_MAX];
-  int n_seen = 0;
+  char domains[CLB_DOMAINS_MAX][CLB_NAME_MAX];
+  int n_domains = 0;
 
   RB_FOREACH (w, worker_tree, &s->pool.workers)
     w->listed = false;
@@ -276,10 +288,10 @@
     {
       const struct inst *in = &list->items[i];
       int d = 0;
-      while (d < n_seen && strcmp (seen[d], in->domain) != 0)
+      while (d < n_domains && strcmp (domains[d], in->domain) != 0)
         d++;
-      if (d == n_seen && n_seen < CLB_DOMAINS_MAX)
-        clb_copy (seen[n_seen++], in->domain, CLB_NAME_MAX);
+      if (d == n_domains && n_domains < CLB_DOMAINS_MAX)
+        clb_copy (domains[n_domains++], in->domain, CLB_NAME_MAX);
       if (in->kind == INST_ENTRY || strcmp (in->domain, s->domain) != 0)
         continue;
       w = pool_add (&s->pool, in);
@@ -290,7 +302,7 @@
         w->last_contact_ms = s->now_ms;
     }
   s->list_ms = asked_ms;
-  s->n_domains = n_seen > 0 ? n_seen : 1;
+  s->n_domains = n_domains > 0 ? n_domains : 1;
   s->dirty = true;
 }
 
--- a/core/task.c
+++ b/core/task.c
@@ -1,4 +1,7 @@
-/* One task's life: placed, cleared member by member, retried or ended. */
+/*
+ * The life cycle of a task: queued, placed on workers, ended member by member,
+ * then retried or ended for good.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -7,7 +10,9 @@
 
 enum
 {
-  BACKOFF_BASE_MS = 500, /* before the second attempt */
+  /* Wait before the attempt that follows the first failure.  It doubles with
+     each further failure, up to the maximum. */
+  BACKOFF_BASE_MS = 500,
   BACKOFF_MAX_MS = 60000,
 };
 
@@ -37,7 +42,7 @@
 void
 task_free (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
   task_dequeue (t);
   task_unplace (s, t);
@@ -45,10 +50,10 @@
     TAILQ_REMOVE (&s->ended, t, ended);
   if (RB_FIND (request_tree, &s->requests, t) == t)
     RB_REMOVE (request_tree, &s->requests, t);
-  while ((a = TAILQ_FIRST (&t->waiters)))
+  while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->waiters, a, link);
-      free (a);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      free (waiter);
     }
   RB_REMOVE (task_tree, &s->tasks, t);
   s->n_tasks--;
@@ -76,19 +81,19 @@
 }
 
 struct reply
-task_reply (const struct task *t, int64_t no)
+task_reply (const struct task *t, int64_t call_seq)
 {
-  struct reply r = { .call_seq = no, .state = t->state, .reason = t->reason };
+  struct reply r
+      = { .call_seq = call_seq, .state = t->state, .reason = t->reason };
 
   clb_copy (r.id, t->id, sizeof r.id);
   return r;
 }
 
-/* What may be told at once: an end that is not recorded is not yet told. */
 struct reply
-task_reply_now (const struct task *t, int64_t no)
+task_reply_now (const struct task *t, int64_t call_seq)
 {
-  struct reply r = task_reply (t, no);
+  struct reply r = task_reply (t, call_seq);
 
   if (t->recorded && task_state_final (t->state) && !t->end_durable)
     {
@@ -98,22 +103,20 @@
   return r;
 }
 
-/* When a slot that nobody gives back is free again. */
 int64_t
 task_slot_expiry_ms (const struct sched *s, const struct task *t)
 {
   return s->now_ms + t->spec.duration_ms + SERVICE_GRACE_MS;
 }
 
-/* Answers once the open group is durable. */
 void
 task_reply_durable (struct sched *s, const struct task *t, const char *entry,
-                    int64_t no)
+                    int64_t call_seq)
 {
   struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
 
   clb_copy (e->entry, entry, sizeof e->entry);
-  e->reply = task_reply (t, no);
+  e->reply = task_reply (t, call_seq);
 }
 
 struct rec
@@ -238,12 +241,12 @@
 void
 task_answer_waiters (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
-  while ((a = TAILQ_FIRST (&t->waiters)))
+  while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->waiters, a, link);
-      struct reply r = task_reply (t, a->call_seq);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      struct reply r = task_reply (t, waiter->call_seq);
       if (t->lane == LANE_SERVICE)
         {
           r.err = t->reason == WHY_DEADLINE ? CLB_ETIMEOUT : CLB_ECANCELLED;
@@ -252,12 +255,12 @@
       if (t->recorded)
         {
           struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
-          clb_copy (e->entry, a->entry, sizeof e->entry);
+          clb_copy (e->entry, waiter->entry, sizeof e->entry);
           e->reply = r;
         }
       else
-        sched_reply (s, a->entry, &r);
-      free (a);
+        sched_reply (s, waiter->entry, &r);
+      free (waiter);
     }
 }
 
@@ -281,6 +284,7 @@
   t->in_ended = true;
 }
 
+/* Wait before the next attempt, in ms. */
 static int64_t
 backoff_ms (const struct task *t)
 {
@@ -291,6 +295,8 @@
   return t->failures == 0 ? 0 : ms;
 }
 
+/* Puts a placed task back into its queue for another attempt.  @reason is an
+   enum clb_reason. */
 static void
 task_retry (struct sched *s, struct task *t, int reason)
 {
@@ -323,11 +329,11 @@
       task_retry (s, t, WHY_TEAM_LIMIT);
 }
 
-/* struct tally - how a placed task's members ended */
+/* struct tally - number of a placed task's members by how they ended */
 struct tally
 {
-  int64_t of[MEMBER_END_LOST + 1];
-  int64_t open; /* not yet clear */
+  int64_t of[MEMBER_END_LOST + 1]; /* by enum member_end */
+  int64_t open;                    /* not ended yet */
 };
 
 static struct tally
@@ -343,6 +349,7 @@
   return n;
 }
 
+/* The enum clb_reason of a failed attempt. */
 static int
 failure_reason (const struct tally *n)
 {
@@ -355,7 +362,8 @@
   return n->of[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED : WHY_START_UNSEEN;
 }
 
-/* A service request is never tried again here: its entry instance asks. */
+/* Ends a service request.  The scheduler never retries one: its entry
+   instance makes a new request if another attempt is wanted. */
 static void
 settle_service (struct sched *s, struct task *t, const struct tally *n)
 {
@@ -367,7 +375,8 @@
     task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
 }
 
-/* Every member is clear and at least one did not end well. */
+/* Ends or retries a task whose members have all ended, at least one of them
+   other than well. */
 static void
 settle_failed (struct sched *s, struct task *t, const struct tally *n)
 {
@@ -410,7 +419,8 @@
       task_ended (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
-  /* A gang runs whole or not at all. */
+  /* A gang runs whole or not at all: if a member has ended other than well,
+     the others are stopped. */
   if (n.of[MEMBER_END_OK] + n.open < t->n_members)
     task_stop_members (s, t);
   n = tally_members (t);
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -1,39 +1,46 @@
-/* Room for urgent work on a full fleet: the cheapest running work is stopped
-   and runs again later.  Work that may not run twice is never stopped. */
+/*
+ * Preemption: when no worker has free capacity for an urgent task, the running
+ * tasks that are cheapest to repeat are stopped and run again later.  A task
+ * that may not run twice is never stopped.
+ */
 #include "sched.h"
 
 enum
 {
-  MAKE_ROOM_MS = 3000, /* between two tries for the same task */
-  GIVE_WAY_MAX = 3,    /* times that one task is stopped */
-  VICTIMS_MAX = 16,    /* on one worker, for one task */
+  /* Shortest time between two preemptions in favour of the same task. */
+  PREEMPT_INTERVAL_MS = 3000,
+  /* Most times that one task is preempted. */
+  PREEMPTIONS_MAX = 3,
+  /* Most tasks that are preempted at once. */
+  VICTIMS_MAX = 16,
 };
 
-/* struct plan - what would be stopped on one worker, and what it costs */
+/* struct plan - tasks that would be preempted on one worker, and the cost */
 struct plan
 {
   struct task *victims[VICTIMS_MAX];
-  int n;
-  int64_t cost;
+  int n;        /* number of victims */
+  int64_t cost; /* sum of preempt_cost() */
 };
 
+/* Whether the task may be preempted. */
 static bool
-may_give_way (const struct task *t)
+preemptible (const struct task *t)
 {
   return t->idempotent && t->class > CLASS_URGENT && t->n_members == 1
          && t->lane == LANE_TASK && t->state == TASK_RUNNING && !t->cancelled
-         && t->n_preemptions < GIVE_WAY_MAX;
+         && t->n_preemptions < PREEMPTIONS_MAX;
 }
 
-/* Work that would be done again, in core milliseconds. */
+/* Work of the task that would have to be repeated, in core milliseconds. */
 static int64_t
-cost_of (const struct sched *s, const struct task *t)
+preempt_cost (const struct sched *s, const struct task *t)
 {
   return (s->now_ms - t->placed_ms) * t->spec.need.cores;
 }
 
 static bool
-chosen (const struct plan *p, const struct task *t)
+in_plan (const struct plan *p, const struct task *t)
 {
   for (int i = 0; i < p->n; i++)
     if (p->victims[i] == t)
@@ -41,6 +48,8 @@
   return false;
 }
 
+/* The task on the worker that costs least and is not yet in the plan, or
+   NULL. */
 static struct task *
 cheapest (const struct sched *s, const struct worker *w, const struct plan *p)
 {
@@ -50,15 +59,16 @@
   TAILQ_FOREACH (m, &w->members, on_worker)
     {
       struct task *t = m->task;
-      if (!may_give_way (t) || chosen (p, t))
+      if (!preemptible (t) || in_plan (p, t))
         continue;
-      if (!best || cost_of (s, t) < cost_of (s, best))
+      if (!best || preempt_cost (s, t) < preempt_cost (s, best))
         best = t;
     }
   return best;
 }
 
-/* False when even stopping all that may be stopped leaves too little. */
+/* Makes a plan that frees @need on the worker.  Returns false if that is not
+   possible. */
 static bool
 plan_worker (const struct sched *s, const struct worker *w,
              const struct clb_res *need, struct plan *p)
@@ -73,15 +83,16 @@
       if (!t)
         return false;
       p->victims[p->n++] = t;
-      p->cost += cost_of (s, t);
+      p->cost += preempt_cost (s, t);
       clb_res_add (&room, &t->spec.need, 1);
     }
   return true;
 }
 
-/* Whether room is already being made there: no second plan on top of it. */
+/* Whether a task on the worker is being preempted already.  No second plan is
+   made for a worker until that is done. */
 static bool
-being_cleared (const struct worker *w)
+preempt_in_progress (const struct worker *w)
 {
   struct member *m;
 
@@ -91,16 +102,17 @@
   return false;
 }
 
+/* Preempts the plan's victims in favour of @t. */
 static void
-carry_out (struct sched *s, struct task *t, const struct plan *p)
+preempt_victims (struct sched *s, struct task *t, const struct plan *p)
 {
   for (int i = 0; i < p->n; i++)
     {
-      struct task *v = p->victims[i];
-      v->being_preempted = true;
-      v->n_preemptions++;
-      v->state = TASK_STOPPING;
-      task_stop_members (s, v);
+      struct task *victim = p->victims[i];
+      victim->being_preempted = true;
+      victim->n_preemptions++;
+      victim->state = TASK_STOPPING;
+      task_stop_members (s, victim);
     }
   sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n);
 }
@@ -114,12 +126,13 @@
   bool found = false;
 
   if (t->spec.members != 1 || t->lane != LANE_TASK
-      || (t->last_preempt_ms && s->now_ms - t->last_preempt_ms < MAKE_ROOM_MS))
+      || (t->last_preempt_ms
+          && s->now_ms - t->last_preempt_ms < PREEMPT_INTERVAL_MS))
     return;
   RB_FOREACH (w, worker_tree, &s->pool.workers)
     {
       if (!pool_usable (w, s->now_ms) || w->inst.kind != INST_WORKER
-          || being_cleared (w) || !plan_worker (s, w, &t->spec.need, &p))
+          || preempt_in_progress (w) || !plan_worker (s, w, &t->spec.need, &p))
         continue;
       if (!found || p.cost < best.cost)
         best = p;
@@ -128,5 +141,5 @@
   if (!found)
     return;
   t->last_preempt_ms = s->now_ms;
-  carry_out (s, t, &best);
+  preempt_victims (s, t, &best);
 }
