--- a/core/escrow.c
+++ b/core/escrow.c
@@ -143,8 +143,9 @@
   return a < b ? a : b;
 }
 
-/* The raised part: as much of the team's demand as the limit and the others'
-   parts allow, and no less than is granted. */
+/* The raised part: the team's demand, or the even part if that is larger and
+   no other domain wants more, as far as the limit and the others' parts allow;
+   no less than is granted. */
 static struct clb_res
 raised_part (const struct sched *s, const struct team *team)
 {
@@ -201,11 +202,11 @@
   team->next_op_ms = s->now_ms + wait_ms;
 }
 
-/* Writes this domain's part to the team's grant row.  @want says whether it
-   wants a larger one. */
+/* Writes this domain's part to the team's grant row.  @wants_more says
+   whether it wants a larger one. */
 static void
 write_part (struct sched *s, struct team *team, const struct clb_res *part,
-            bool want)
+            bool wants_more)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
@@ -213,8 +214,8 @@
   char key[ROW_KEY_SIZE];
 
   g->amount = *part;
-  g->wants_more = want;
-  team->want_written = want;
+  g->wants_more = wants_more;
+  team->want_written = wants_more;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
--- a/core/place.c
+++ b/core/place.c
@@ -145,7 +145,7 @@
   int64_t now_ms;
   struct worker **picked;
   int64_t n_picked;
-  int64_t looked_at;
+  int64_t n_candidates;
 };
 
 /* Whether the worker is an executor if and only if the task needs slots. */
@@ -186,7 +186,7 @@
         continue;
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
-      s->looked_at++;
+      s->n_candidates++;
       struct clb_res room = free_capacity (w);
       if (!clb_res_fits (&s->spec->need, &room))
         continue;
@@ -272,7 +272,7 @@
 
 int
 pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
-           int64_t now_ms, struct worker **picked, int64_t *looked_at)
+           int64_t now_ms, struct worker **picked, int64_t *n_candidates)
 {
   struct search s = { .pool = pool,
                       .spec = spec,
@@ -282,7 +282,7 @@
   bool found = spec->same_rack && spec->members > 1 && pick_same_rack (&s);
 
   found = found || pick_all (&s, NULL);
-  *looked_at = s.looked_at;
+  *n_candidates = s.n_candidates;
   if (found)
     return spec->spread ? WHY_SPREAD : WHY_BEST_FIT;
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
--- a/core/place.h
+++ b/core/place.h
@@ -30,7 +30,7 @@
 struct worker
 {
   RB_ENTRY (worker) by_id;
-  struct inst inst;    /* as last listed; inst.room is its whole capacity */
+  struct inst inst;    /* as last listed */
   int state;           /* enum worker_state */
   bool listed;         /* in the platform's latest list of instances */
   bool leaving;        /* so marked in the list or by its own report */
@@ -50,11 +50,11 @@
   int64_t sync_seq;      /* number of the latest sync */
   struct run_id *acks;   /* ended runs that it may forget; owned */
   size_t n_acks;
-  /* Runs that it reported and that no task here wants: to be stopped;
+  /* Runs that it reported and that belong to no task here: to be stopped;
      owned. */
   struct run_id *orphans;
   size_t n_orphans;
-  int fail_streak;             /* failures not outweighed by successes */
+  int fail_streak;             /* failures since its latest success */
   int64_t quarantine_until_ms; /* gets no tasks before this time */
   int64_t quarantine_ms;       /* length of the latest quarantine; 0: none */
 };
@@ -91,7 +91,7 @@
  * @avoid: id of a worker that is taken only if no other will do, or empty
  * @now_ms: current time
  * @picked: space for spec->members pointers
- * @looked_at: set to the number of candidates considered
+ * @n_candidates: set to the number of candidates considered
  *
  * All members are placed or none.  Executors take only needs with slots,
  * workers only those without.
@@ -101,7 +101,7 @@
  * the listed workers could not hold the members even if nothing else ran.
  */
 int pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
-               int64_t now_ms, struct worker **picked, int64_t *looked_at);
+               int64_t now_ms, struct worker **picked, int64_t *n_candidates);
 
 /** struct pool_sum - what a domain's usable workers and executors offer */
 struct pool_sum
--- a/core/queue.c
+++ b/core/queue.c
@@ -79,7 +79,7 @@
 /* Places a task on the picked workers, journals the intent. */
 static void
 task_start (struct sched *s, struct task *t, struct worker **picked,
-            int reason, int64_t looked_at)
+            int reason, int64_t n_candidates)
 {
   task_dequeue (t);
   task_place (s, t, picked);
@@ -88,7 +88,7 @@
   if (t->attempt == 0)
     count_wait (s, t);
   for (int64_t i = 0; i < t->n_members; i++)
-    task_event (s, t, reason, t->members[i].worker_id, looked_at);
+    task_event (s, t, reason, t->members[i].worker_id, n_candidates);
   task_journal (s, t, REC_INTENT);
   if (t->lane == LANE_SERVICE)
     {
@@ -103,12 +103,13 @@
 
 /* Records why a task is not placed if the reason has changed. */
 static void
-note_blocked (struct sched *s, struct task *t, int reason, int64_t looked_at)
+note_blocked (struct sched *s, struct task *t, int reason,
+              int64_t n_candidates)
 {
   if (t->reason == reason)
     return;
   t->reason = reason;
-  task_event (s, t, reason, "", looked_at);
+  task_event (s, t, reason, "", n_candidates);
 }
 
 /* Ends a task that no worker could hold for NEVER_FITS_MS.  A larger worker
@@ -128,7 +129,7 @@
 try_place (struct sched *s, struct round *r, struct task *t)
 {
   struct worker **picked;
-  int64_t looked_at;
+  int64_t n_candidates;
 
   if (t->not_before_ms > s->now_ms || !t->accept_durable)
     return false;
@@ -145,11 +146,11 @@
   if (!picked)
     abort ();
   int reason = pool_pick (&s->pool, &t->spec, t->failed_on, s->now_ms, picked,
-                          &looked_at);
+                          &n_candidates);
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
       round_add_blocked (r, &t->spec);
-      note_blocked (s, t, reason, looked_at);
+      note_blocked (s, t, reason, n_candidates);
       if (reason == WHY_NO_WORKER_FITS)
         end_if_never_fits (s, t);
       else
@@ -158,7 +159,7 @@
         urgent_preempt (s, t);
     }
   else
-    task_start (s, t, picked, reason, looked_at);
+    task_start (s, t, picked, reason, n_candidates);
   free (picked);
   return reason != WHY_NO_ROOM && reason != WHY_NO_WORKER_FITS;
 }
--- a/core/recon.c
+++ b/core/recon.c
@@ -137,8 +137,8 @@
     }
   /* A run that this scheduler does not know may be its successor's if its own
      lease has lapsed, so it is not stopped. */
-  size_t n_strays = s->may_start ? w->n_orphans : 0;
-  for (size_t i = 0; i < n_strays; i++)
+  size_t n_orphans = s->may_start ? w->n_orphans : 0;
+  for (size_t i = 0; i < n_orphans; i++)
     run_id_push (&req->stops, &req->n_stops, w->orphans[i].id);
   w->n_orphans = 0;
   req->acks = w->acks;
@@ -326,8 +326,8 @@
   ack_when_durable (s, w, run->id);
 }
 
-/* Handles a worker's restart: it has forgotten every run that was sent to it
-   before, so the members placed on an earlier boot end. */
+/* Notes a worker's first boot or its restart.  A worker that restarts forgets
+   every run that was sent to it, so the members placed on another boot end. */
 static void
 worker_boot (struct sched *s, struct worker *w, int64_t boot)
 {
@@ -426,7 +426,8 @@
 
 /* Workers that do not answer. */
 
-/* When the leases of an expiring worker's tasks have certainly run out. */
+/* When the leases of all tasks of an expiring worker have certainly run out.
+ */
 static int64_t
 leases_end_ms (const struct worker *w, const struct sched *s)
 {
--- a/core/sched.c
+++ b/core/sched.c
@@ -148,7 +148,7 @@
 
 void
 sched_event (struct sched *s, int reason, const char *id, const char *team,
-             const char *where, int64_t looked_at)
+             const char *where, int64_t detail)
 {
   struct event *e = &s->events[s->event_seq % EVENTS_MAX];
 
@@ -156,7 +156,7 @@
   e->seq = ++s->event_seq;
   e->time_ms = s->now_ms;
   e->reason = reason;
-  e->detail = looked_at;
+  e->detail = detail;
   clb_copy (e->id, id, sizeof e->id);
   clb_copy (e->team, team, sizeof e->team);
   clb_copy (e->where, where, sizeof e->where);
--- a/core/sched.h
+++ b/core/sched.h
@@ -3,7 +3,9 @@
  *
  * One entry instance at a time, the holder of the domain's lease, runs it.
  * It accepts tasks and service requests, places them on workers and service
- * executors, and follows them until they end.
+ * executors, and follows them until they end.  Records of what it does are
+ * kept in the domain's journal in the table, the platform's transactional
+ * table service; a record is durable once it is there.
  *
  *   sched.c    scheduler object, timers, decision events
  *   task.c     life cycle of a task and its members
@@ -139,11 +141,11 @@
   bool end_durable; /* the end is in the table */
   /* The end was decided; it may not be durable yet. */
   bool end_decided;
-  bool intent_durable;        /* the latest intent is in the table */
-  int state;                  /* enum task_state */
-  int reason;                 /* enum clb_reason of the latest decision */
-  int64_t attempt;            /* number of the current or next run, from 0 */
-  int64_t failures;           /* runs that the worker reported as failed */
+  bool intent_durable; /* the latest intent is in the table */
+  int state;           /* enum task_state */
+  int reason;          /* enum clb_reason of the latest decision */
+  int64_t attempt;     /* number of the current or next attempt, from 0 */
+  int64_t failures;    /* runs that the worker reported as failed */
   char failed_on[CLB_ID_MAX]; /* worker of the latest failure, or empty */
   int64_t accepted_ms;
   int64_t placed_ms;       /* time of the latest placement */
@@ -169,7 +171,8 @@
   RB_ENTRY (team) by_name;
   char name[CLB_NAME_MAX];
   int64_t weight;
-  /* Upper limit on the whole fleet; 0 for a team not in the manifest. */
+  /* Upper limit for all domains together; 0 for a team that is not in the
+     manifest. */
   struct clb_res limit;
   struct clb_res used;    /* by members placed in this domain */
   struct clb_res granted; /* this domain's part of the limit */
@@ -301,9 +304,9 @@
   bool may_start;
   bool store_up;   /* the table answered the holder's latest operation */
   bool conf_fresh; /* the configuration is known to be current */
-  int64_t
-      lapsed_since_ms; /* when may_start became false; 0 while it is true */
-  bool stopping;       /* being handed over: nothing new is placed */
+  /* When may_start became false; 0 while it is true. */
+  int64_t lapsed_since_ms;
+  bool stopping; /* being handed over: nothing new is placed */
   /* Free capacity or a queue changed since the last placement round. */
   bool dirty;
   int64_t next_id;         /* number in the latest task id of this epoch */
@@ -418,10 +421,11 @@
  * @id: task that it is about, or empty
  * @team: name of the task's team, or empty
  * @where: worker, executor or instance that it is about, or empty
- * @looked_at: number of candidates considered
+ * @detail: number of candidates considered, of tasks preempted for
+ *          %WHY_MAKES_ROOM
  */
 void sched_event (struct sched *s, int reason, const char *id,
-                  const char *team, const char *where, int64_t looked_at);
+                  const char *team, const char *where, int64_t detail);
 /** sched_why() - A task's decisions as JSON text that the caller frees. */
 char *sched_why (struct sched *s, const char *id);
 
@@ -503,7 +507,7 @@
 void task_journal (struct sched *s, const struct task *t, int kind);
 /** task_event() - Record a decision about a task, as sched_event(). */
 void task_event (struct sched *s, const struct task *t, int reason,
-                 const char *where, int64_t looked_at);
+                 const char *where, int64_t detail);
 /**
  * task_reply() - Make a reply with the task's current state.
  * @call_seq: number of the call
--- a/core/task.c
+++ b/core/task.c
@@ -18,9 +18,9 @@
 
 void
 task_event (struct sched *s, const struct task *t, int reason,
-            const char *where, int64_t looked_at)
+            const char *where, int64_t detail)
 {
-  sched_event (s, reason, t->id, t->team->name, where, looked_at);
+  sched_event (s, reason, t->id, t->team->name, where, detail);
 }
 
 struct task *
@@ -365,7 +365,7 @@
 /* Ends a service request.  The scheduler never retries one: its entry
    instance makes a new request if another attempt is wanted. */
 static void
-settle_service (struct sched *s, struct task *t, const struct tally *n)
+end_service (struct sched *s, struct task *t, const struct tally *n)
 {
   if (n->of[MEMBER_END_FAILED])
     task_ended (s, t, TASK_FAILED, WHY_ENDED_FAILED);
@@ -378,7 +378,7 @@
 /* Ends or retries a task whose members have all ended, at least one of them
    other than well. */
 static void
-settle_failed (struct sched *s, struct task *t, const struct tally *n)
+end_or_retry (struct sched *s, struct task *t, const struct tally *n)
 {
   bool ran = n->of[MEMBER_END_OK] || n->of[MEMBER_END_FAILED]
              || n->of[MEMBER_END_STOPPED] || n->of[MEMBER_END_LOST];
@@ -392,7 +392,7 @@
       reason = WHY_PREEMPTED;
     }
   if (t->lane == LANE_SERVICE)
-    settle_service (s, t, n);
+    end_service (s, t, n);
   else if (t->cancelled && (!n->of[MEMBER_END_LOST] || t->idempotent))
     task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else if (!ran)
@@ -425,5 +425,5 @@
     task_stop_members (s, t);
   n = tally_members (t);
   if (n.open == 0)
-    settle_failed (s, t, &n);
+    end_or_retry (s, t, &n);
 }
