--- a/core/escrow.c
+++ b/core/escrow.c
@@ -375,8 +375,7 @@
   s->want_read_ms = s->now_ms;
 }
 
-/* Has the grant rows read of all teams that another domain's want row names.
- */
+/* Lets the grant rows of all teams in another domain's want row be read. */
 static void
 want_row (struct sched *s, const struct row *row)
 {
@@ -415,6 +414,7 @@
   return true;
 }
 
+/* Reads the want rows and writes this domain's, every WANT_PERIOD_MS. */
 static void
 want_tick (struct sched *s)
 {
@@ -539,8 +539,8 @@
     lower_over_limit (s, team);
   else if (team->rewrite_due)
     {
-      /* The row's version keeps domains that have an older configuration from
-         raising their part by its limit. */
+      /* The configuration version in the row keeps domains that have an older
+         configuration from raising their parts by its limit. */
       write_part (s, team, &team->granted, team->wants_more);
       team->rewrite_due = false;
     }
@@ -549,6 +549,8 @@
     raise_part (s, team);
 }
 
+/* Makes the next decision about a team, or reads its grant row first if the
+   copy is not current or was written by a newer configuration. */
 static void
 team_tick (struct sched *s, struct team *team)
 {
--- a/core/sched.c
+++ b/core/sched.c
@@ -276,7 +276,7 @@
 
 void
 sched_instances (struct sched *s, const struct inst_list *list,
-                 int64_t asked_ms)
+                 int64_t requested_ms)
 {
   struct worker *w;
   char domains[CLB_DOMAINS_MAX][CLB_NAME_MAX];
@@ -301,7 +301,7 @@
       if (w->last_contact_ms == 0)
         w->last_contact_ms = s->now_ms;
     }
-  s->list_ms = asked_ms;
+  s->list_ms = requested_ms;
   s->n_domains = n_domains > 0 ? n_domains : 1;
   s->dirty = true;
 }
--- a/core/sched.h
+++ b/core/sched.h
@@ -372,10 +372,10 @@
 void sched_conf (struct sched *s, const struct conf *conf);
 /**
  * sched_instances() - Apply the platform's list of instances.
- * @asked_ms: when the list was requested
+ * @requested_ms: when the list was requested
  */
 void sched_instances (struct sched *s, const struct inst_list *list,
-                      int64_t asked_ms);
+                      int64_t requested_ms);
 /**
  * sched_call() - Handle a call; the reply may be sent much later.
  * @entry: id of the entry instance that calls
