--- a/core/calls.c
+++ b/core/calls.c
@@ -150,7 +150,7 @@
   if (replied_at_once (s, entry, c, find_request (s, c)))
     return;
   snprintf (id, sizeof id, "%s.%lld.%lld", s->domain, (long long)s->epoch,
-            (long long)++s->next_id);
+            (long long)++s->last_id);
   t = accept_recorded (s, id, c);
   if (c->spec.deadline_ms > 0)
     t->expires_ms = s->now_ms + c->spec.deadline_ms;
@@ -173,7 +173,7 @@
     abort ();
   clb_copy (waiter->entry, entry, sizeof waiter->entry);
   waiter->call_seq = c->seq;
-  waiter->stamp = c->sent_ms;
+  waiter->call_sent_ms = c->sent_ms;
   waiter->expires_ms
       = s->now_ms + (c->wait_ms < WAITER_MAX_MS ? c->wait_ms : WAITER_MAX_MS);
   TAILQ_INSERT_TAIL (&t->waiters, waiter, link);
@@ -212,7 +212,7 @@
   else if (TAILQ_EMPTY (&t->waiters))
     add_waiter (s, t, entry, c);
   else
-    TAILQ_FIRST (&t->waiters)->stamp = c->sent_ms;
+    TAILQ_FIRST (&t->waiters)->call_sent_ms = c->sent_ms;
 }
 
 /* Handles an entry instance's call for a slot for a service request.  The
@@ -256,11 +256,11 @@
     end = MEMBER_END_LOST;
   if (t->n_members == 0)
     {
-      task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+      task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
       return;
     }
   for (int64_t i = 0; i < t->n_members; i++)
-    member_ended (s, &t->members[i], end);
+    member_finish (s, &t->members[i], end);
   task_evaluate (s, t);
 }
 
@@ -297,7 +297,7 @@
   t->cancelled = true;
   task_journal (s, t, REC_CANCEL);
   if (t->n_members == 0)
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else
     {
       t->state = TASK_STOPPING;
--- a/core/entry.c
+++ b/core/entry.c
@@ -275,10 +275,10 @@
     sum = (struct pool_sum){ p->hello.free_capacity, p->hello.total_capacity,
                              p->hello.largest_worker };
   clb_res_add (&need, &spec->need, spec->members);
-  if (!clb_res_fits (&spec->need, &sum.largest)
-      || !clb_res_fits (&need, &sum.size))
+  if (!clb_res_fits (&spec->need, &sum.largest_worker)
+      || !clb_res_fits (&need, &sum.total_capacity))
     return FIT_NEVER;
-  return clb_res_fits (&need, &sum.room) ? FIT_NOW : FIT_LATER;
+  return clb_res_fits (&need, &sum.free_capacity) ? FIT_NOW : FIT_LATER;
 }
 
 /* The domain that suits best, this one before others; NULL without any. */
--- a/core/journal.c
+++ b/core/journal.c
@@ -86,7 +86,7 @@
 
   snprintf (j->epoch_key, sizeof j->epoch_key, "epoch/%s", s->domain);
   j->epoch_ver = epoch_ver;
-  j->seq = 1;
+  j->commit_seq = 1;
   group_init (&j->open);
   group_init (&j->commit);
 }
@@ -104,10 +104,10 @@
 {
   struct group *g = &s->journal.open;
 
-  if (g->row.n_recs == g->cap)
+  if (g->row.n_recs == g->recs_cap)
     {
-      g->cap = g->cap ? 2 * g->cap : 16;
-      g->row.recs = realloc (g->row.recs, g->cap * sizeof *g->row.recs);
+      g->recs_cap = g->recs_cap ? 2 * g->recs_cap : 16;
+      g->row.recs = realloc (g->row.recs, g->recs_cap * sizeof *g->row.recs);
       if (!g->row.recs)
         abort ();
     }
@@ -252,16 +252,16 @@
 {
   struct journal *j = &s->journal;
   char key[ROW_KEY_SIZE];
-  struct store_op *op = journal_store_op (s, STORE_TXN, &j->token);
+  struct store_op *op = journal_store_op (s, STORE_TXN, &j->commit_token);
   clb_auto char *text = codec_text (&journal_row_desc, &j->commit.row);
 
-  journal_row_key (s, j->seq, key);
+  journal_row_key (s, j->commit_seq, key);
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_cond (op, key, 0);
   store_put (op, key, text);
   group_request_rows (s, op, &j->commit);
-  j->sent_ms = s->now_ms;
-  j->retry_ms = 0;
+  j->commit_sent_ms = s->now_ms;
+  j->commit_retry_at_ms = 0;
 }
 
 static void snap_make (struct sched *s);
@@ -289,7 +289,7 @@
     }
   snprintf (j->commit.row.nonce, sizeof j->commit.row.nonce, "%.40s-%lld-%lld",
             s->me, (long long)s->boot, (long long)++j->nonce);
-  j->committing = true;
+  j->commit_in_progress = true;
   s->stats.groups++;
   snap_make (s);
   commit_send (s);
@@ -305,8 +305,8 @@
   TAILQ_INIT (&done.effects);
   TAILQ_CONCAT (&done.effects, &j->commit.effects, link);
   group_init (&j->commit);
-  j->committing = false;
-  j->seq++;
+  j->commit_in_progress = false;
+  j->commit_seq++;
   effects_run (s, &done.effects);
   group_clear (&done);
 }
@@ -419,7 +419,7 @@
   char key[ROW_KEY_SIZE];
   bool dropped = false;
 
-  journal_row_key (s, j->seq, key);
+  journal_row_key (s, j->commit_seq, key);
   /* An earlier attempt of the same write has succeeded and its answer was
      lost. */
   for (size_t i = 0; i < rep->n_rows; i++)
@@ -439,7 +439,7 @@
     {
       effects_run (s, &j->commit.effects);
       group_clear (&j->commit);
-      j->committing = false;
+      j->commit_in_progress = false;
       return;
     }
   commit_send (s);
@@ -450,7 +450,7 @@
 {
   struct journal *j = &s->journal;
 
-  j->token = 0;
+  j->commit_token = 0;
   switch (rep->err)
     {
     case 0:
@@ -461,7 +461,7 @@
       break;
     default:
       s->stats.group_retries++;
-      j->retry_ms = s->now_ms + JOURNAL_RETRY_MS;
+      j->commit_retry_at_ms = s->now_ms + JOURNAL_RETRY_MS;
       break;
     }
 }
@@ -510,8 +510,8 @@
   size_t cap = 0;
   struct task *t;
 
-  if (j->snap_step != SNAP_NONE || j->seq - j->snap_seq < s->snap_every
-      || s->now_ms < j->snap_retry_ms)
+  if (j->snap_step != SNAP_NONE || j->commit_seq - j->snap_seq < s->snap_every
+      || s->now_ms < j->snap_retry_at_ms)
     return;
   RB_FOREACH (t, task_tree, &s->tasks)
     if (t->recorded)
@@ -519,7 +519,7 @@
   free (j->snap_text);
   j->snap_text = codec_text (&journal_row_desc, &row);
   codec_free (&journal_row_desc, &row);
-  j->snap_last_seq = j->seq;
+  j->snap_last_seq = j->commit_seq;
   j->snap_step = SNAP_MADE;
 }
 
@@ -538,7 +538,7 @@
   struct journal *j = &s->journal;
   char name[CLB_ID_MAX];
 
-  if (j->committing && j->seq <= j->snap_last_seq)
+  if (j->commit_in_progress && j->commit_seq <= j->snap_last_seq)
     return;
   struct store_op *op = journal_store_op (s, STORE_OBJ_PUT, &j->snap_token);
   snap_name (s, name);
@@ -589,7 +589,7 @@
   if (rep->err)
     {
       j->snap_step = SNAP_NONE;
-      j->snap_retry_ms = s->now_ms + SNAP_RETRY_MS;
+      j->snap_retry_at_ms = s->now_ms + SNAP_RETRY_MS;
       return;
     }
   if (j->snap_step == SNAP_ROW)
@@ -614,7 +614,7 @@
 
   if (token == s->load_token)
     load_reply (s, rep);
-  else if (token == j->token)
+  else if (token == j->commit_token)
     commit_reply (s, rep);
   else if (token == j->snap_token)
     snap_reply (s, rep);
@@ -640,13 +640,14 @@
   struct journal *j = &s->journal;
 
   if (s->phase == SCHED_LOADING && !s->load_token
-      && s->now_ms >= s->load_retry_ms)
+      && s->now_ms >= s->load_retry_at_ms)
     load_read (s);
   if (s->phase != SCHED_READY)
     return;
-  if (j->committing && j->retry_ms && s->now_ms >= j->retry_ms)
+  if (j->commit_in_progress && j->commit_retry_at_ms
+      && s->now_ms >= j->commit_retry_at_ms)
     commit_send (s);
-  if (!j->committing && group_due (s))
+  if (!j->commit_in_progress && group_due (s))
     commit_begin (s);
   if (j->snap_step == SNAP_MADE)
     snap_put_object (s);
--- a/core/load.c
+++ b/core/load.c
@@ -53,7 +53,7 @@
       break;
     }
   op->key = strdup (key);
-  s->load_retry_ms = 0;
+  s->load_retry_at_ms = 0;
 }
 
 /* Replay: these functions apply one record each. */
@@ -216,7 +216,7 @@
   s->load_step = LOAD_SNAP_OBJ;
   s->load_after = strdup (snap.object);
   s->journal.snap_seq = snap.seq;
-  s->journal.seq = snap.seq + 1;
+  s->journal.commit_seq = snap.seq + 1;
   s->journal.first_seq = snap.first_seq;
 }
 
@@ -258,7 +258,7 @@
         continue;
       if (replay_text (s, row->value))
         s->stats.damaged_rows++;
-      s->journal.seq = strtoll (num + 1, NULL, 10) + 1;
+      s->journal.commit_seq = strtoll (num + 1, NULL, 10) + 1;
     }
   if (!load_more (s, rep))
     s->load_step = LOAD_GRANTS;
@@ -283,7 +283,7 @@
   s->load_token = 0;
   if (rep->err && rep->err != CLB_ENOTFOUND)
     {
-      s->load_retry_ms = s->now_ms + JOURNAL_RETRY_MS;
+      s->load_retry_at_ms = s->now_ms + JOURNAL_RETRY_MS;
       return;
     }
   switch (s->load_step)
--- a/core/node.c
+++ b/core/node.c
@@ -132,9 +132,9 @@
   h->sent_ms = n->now_ms;
   h->echo_ms = p->hello_sent_ms;
   h->echo_boot = p->boot;
-  h->free_capacity = n->capacity.room;
-  h->total_capacity = n->capacity.size;
-  h->largest_worker = n->capacity.largest;
+  h->free_capacity = n->capacity.free_capacity;
+  h->total_capacity = n->capacity.total_capacity;
+  h->largest_worker = n->capacity.largest_worker;
   node_send (n, p->id, &m);
   n->stats.hellos++;
 }
--- a/core/place.c
+++ b/core/place.c
@@ -308,11 +308,13 @@
       if (!pool_usable (w, now_ms))
         continue;
       struct clb_res room = free_capacity (w);
-      add_positive (&sum.room, &room);
-      add_positive (&sum.size, &w->inst.capacity);
+      add_positive (&sum.free_capacity, &room);
+      add_positive (&sum.total_capacity, &w->inst.capacity);
       for (int k = 0; k < RES_N; k++)
-        if (clb_res_get (&w->inst.capacity, k) > clb_res_get (&sum.largest, k))
-          clb_res_set (&sum.largest, k, clb_res_get (&w->inst.capacity, k));
+        if (clb_res_get (&w->inst.capacity, k)
+            > clb_res_get (&sum.largest_worker, k))
+          clb_res_set (&sum.largest_worker, k,
+                       clb_res_get (&w->inst.capacity, k));
     }
   return sum;
 }
--- a/core/place.h
+++ b/core/place.h
@@ -106,9 +106,9 @@
 /** struct pool_sum - what a domain's usable workers and executors offer */
 struct pool_sum
 {
-  struct clb_res room;    /* free capacity */
-  struct clb_res size;    /* whole capacity */
-  struct clb_res largest; /* most in each dimension of any one worker */
+  struct clb_res free_capacity;  /* free capacity */
+  struct clb_res total_capacity; /* whole capacity */
+  struct clb_res largest_worker; /* most in each dimension of any one worker */
 };
 /** pool_summary() - Sum up the workers that are usable at @now_ms. */
 struct pool_sum pool_summary (struct pool *pool, int64_t now_ms);
--- a/core/queue.c
+++ b/core/queue.c
@@ -56,7 +56,7 @@
   if (!waiter)
     return;
   TAILQ_REMOVE (&t->waiters, waiter, link);
-  service_reply (s, t, waiter->entry, waiter->call_seq, waiter->stamp);
+  service_reply (s, t, waiter->entry, waiter->call_seq, waiter->call_sent_ms);
   free (waiter);
 }
 
@@ -121,7 +121,7 @@
     t->no_fit_since_ms = s->now_ms;
   else if (s->now_ms - t->no_fit_since_ms >= NEVER_FITS_MS
            && s->now_ms - s->started_ms >= NEVER_FITS_MS)
-    task_ended (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
+    task_finish (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
 }
 
 /* Places the task if it can start now; returns whether it was. */
--- a/core/recon.c
+++ b/core/recon.c
@@ -320,7 +320,7 @@
         }
       if (run->state == RUN_FAILED || run->state == RUN_REFUSED)
         run_failed (s, w, m->task);
-      member_ended (s, m, member_end_of (m, run->state));
+      member_finish (s, m, member_end_of (m, run->state));
       task_evaluate (s, m->task);
     }
   ack_when_durable (s, w, run->id);
@@ -342,9 +342,9 @@
       next = TAILQ_NEXT (m, on_worker);
       if (m->boot == boot)
         continue;
-      member_ended (s, m,
-                    m->state == MEMBER_INTENT ? MEMBER_END_NOT_STARTED
-                                              : MEMBER_END_LOST);
+      member_finish (s, m,
+                     m->state == MEMBER_INTENT ? MEMBER_END_NOT_STARTED
+                                               : MEMBER_END_LOST);
       task_evaluate (s, m->task);
       next = TAILQ_FIRST (&w->members);
     }
@@ -455,7 +455,7 @@
     {
       int end = m->state == MEMBER_INTENT ? MEMBER_END_NOT_STARTED
                                           : MEMBER_END_LOST;
-      member_ended (s, m, end);
+      member_finish (s, m, end);
       task_evaluate (s, m->task);
     }
 }
--- a/core/sched.c
+++ b/core/sched.c
@@ -229,7 +229,7 @@
     return; /* expires at a later check, once its accept is durable */
   t->expires_ms = 0;
   if (t->in_queue)
-    task_ended (s, t, TASK_CANCELLED, WHY_DEADLINE);
+    task_finish (s, t, TASK_CANCELLED, WHY_DEADLINE);
   else if (t->lane == LANE_SERVICE)
     service_release (s, t, TASK_UNKNOWN);
 }
@@ -325,7 +325,7 @@
 bool
 sched_idle (const struct sched *s)
 {
-  return !s->journal.committing && s->journal.open.row.n_recs == 0;
+  return !s->journal.commit_in_progress && s->journal.open.row.n_recs == 0;
 }
 
 void
--- a/core/sched.h
+++ b/core/sched.h
@@ -110,7 +110,7 @@
   char entry[CLB_ID_MAX]; /* entry instance that called; empty: no reply */
   int64_t call_seq;       /* number of the call, echoed in the reply */
   /* Clock of the entry instance when it last sent the call; echoed. */
-  int64_t stamp;
+  int64_t call_sent_ms;
   /* The reply is given by then at the latest; not used for a service slot. */
   int64_t expires_ms;
 };
@@ -230,7 +230,7 @@
 struct group
 {
   struct journal_row row;
-  size_t cap; /* records that row.recs has space for */
+  size_t recs_cap; /* records that row.recs has space for */
   struct effect_list effects;
 };
 
@@ -240,22 +240,23 @@
   /* Every write has the condition that this row has this version. */
   char epoch_key[CLB_ID_MAX];
   int64_t epoch_ver;
-  int64_t seq;           /* number of the next row, or of that being written */
-  struct group open;     /* group that collects new records */
-  struct group commit;   /* group that is being written */
-  bool committing;       /* the write of that group is not complete */
-  uint64_t token;        /* of that write, 0 when none is outstanding */
-  int64_t sent_ms;       /* when that write was sent */
-  int64_t retry_ms;      /* when a failed write is repeated; 0: none failed */
-  int64_t opened_ms;     /* time of the open group's first record */
-  int64_t first_seq;     /* number of the oldest row kept in the table */
-  int64_t snap_seq;      /* last row covered by the latest snapshot */
-  int snap_step;         /* enum snap_step, in journal.c */
-  uint64_t snap_token;   /* of the outstanding snapshot write, or 0 */
+  int64_t commit_seq;  /* number of the next row, or of that being written */
+  struct group open;   /* group that collects new records */
+  struct group commit; /* group that is being written */
+  bool commit_in_progress; /* the write of that group is not complete */
+  uint64_t commit_token;   /* of that write, 0 when none is outstanding */
+  int64_t commit_sent_ms;  /* when that write was sent */
+  int64_t
+      commit_retry_at_ms; /* when a failed write is repeated; 0: none failed */
+  int64_t opened_ms;      /* time of the open group's first record */
+  int64_t first_seq;      /* number of the oldest row kept in the table */
+  int64_t snap_seq;       /* last row covered by the latest snapshot */
+  int snap_step;          /* enum snap_step, in journal.c */
+  uint64_t snap_token;    /* of the outstanding snapshot write, or 0 */
   char *snap_text;       /* snapshot that is not yet written, or NULL; owned */
   int64_t snap_last_seq; /* last row covered by the snapshot in progress */
-  int64_t snap_retry_ms; /* no new snapshot before this time */
-  int64_t nonce;         /* number of the latest group's nonce */
+  int64_t snap_retry_at_ms; /* no new snapshot before this time */
+  int64_t nonce;            /* number of the latest group's nonce */
 };
 
 enum sched_phase
@@ -309,7 +310,7 @@
   bool stopping; /* being handed over: nothing new is placed */
   /* Free capacity or a queue changed since the last placement round. */
   bool dirty;
-  int64_t next_id;         /* number in the latest task id of this epoch */
+  int64_t last_id;         /* number in the latest task id of this epoch */
   int64_t next_expire_ms;  /* next check of the tasks' time limits */
   int64_t snap_every;      /* journal rows between two snapshots */
   int n_domains;           /* failure domains that share the teams' limits */
@@ -325,9 +326,9 @@
   size_t n_tasks;         /* in tasks */
   struct journal journal;
   struct sched_stats stats;
-  uint64_t load_token;   /* of the outstanding read at loading, or 0 */
-  int load_step;         /* enum load_step, in load.c */
-  int64_t load_retry_ms; /* no read at loading before this time */
+  uint64_t load_token;      /* of the outstanding read at loading, or 0 */
+  int load_step;            /* enum load_step, in load.c */
+  int64_t load_retry_at_ms; /* no read at loading before this time */
   /* Where loading goes on: the snapshot's object or the last key listed;
      NULL for the start of a list.  Owned. */
   char *load_after;
@@ -467,13 +468,13 @@
 /** task_stop_members() - Have every member that has not ended stopped. */
 void task_stop_members (struct sched *s, struct task *t);
 /**
- * task_ended() - End a task, answer its waiters.
+ * task_finish() - End a task, answer its waiters.
  * @state: final enum task_state
  * @reason: enum clb_reason
  *
  * A task that is not recorded is freed.
  */
-void task_ended (struct sched *s, struct task *t, int state, int reason);
+void task_finish (struct sched *s, struct task *t, int state, int reason);
 /**
  * task_answer_waiters() - Send the task's current state to its waiters.
  *
@@ -481,10 +482,10 @@
  */
 void task_answer_waiters (struct sched *s, struct task *t);
 /**
- * member_ended() - Note that a member does not run; release its capacity.
+ * member_finish() - Note that a member does not run; release its capacity.
  * @end: enum member_end
  */
-void member_ended (struct sched *s, struct member *m, int end);
+void member_finish (struct sched *s, struct member *m, int end);
 /** member_run_id() - The member's run id: task, attempt and index. */
 void member_run_id (const struct member *m, char out[CLB_ID_MAX]);
 /** task_unsent() - Whether the task is placed and no start was sent. */
--- a/core/task.c
+++ b/core/task.c
@@ -197,7 +197,7 @@
 }
 
 void
-member_ended (struct sched *s, struct member *m, int end)
+member_finish (struct sched *s, struct member *m, int end)
 {
   if (m->state == MEMBER_ENDED)
     return;
@@ -217,7 +217,7 @@
 task_unplace (struct sched *s, struct task *t)
 {
   for (int64_t i = 0; i < t->n_members; i++)
-    member_ended (s, &t->members[i], MEMBER_END_NOT_STARTED);
+    member_finish (s, &t->members[i], MEMBER_END_NOT_STARTED);
   free (t->members);
   t->members = NULL;
   t->n_members = 0;
@@ -230,7 +230,7 @@
     {
       struct member *m = &t->members[i];
       if (m->state == MEMBER_INTENT)
-        member_ended (s, m, MEMBER_END_NOT_STARTED);
+        member_finish (s, m, MEMBER_END_NOT_STARTED);
       else if (m->state != MEMBER_ENDED)
         m->state = MEMBER_STOP;
       if (m->worker)
@@ -265,7 +265,7 @@
 }
 
 void
-task_ended (struct sched *s, struct task *t, int state, int reason)
+task_finish (struct sched *s, struct task *t, int state, int reason)
 {
   t->state = state;
   t->reason = reason;
@@ -368,11 +368,11 @@
 end_service (struct sched *s, struct task *t, const struct tally *n)
 {
   if (n->of[MEMBER_END_FAILED])
-    task_ended (s, t, TASK_FAILED, WHY_ENDED_FAILED);
+    task_finish (s, t, TASK_FAILED, WHY_ENDED_FAILED);
   else if (n->of[MEMBER_END_LOST])
-    task_ended (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
+    task_finish (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
   else
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
 }
 
 /* Ends or retries a task whose members have all ended, at least one of them
@@ -394,15 +394,15 @@
   if (t->lane == LANE_SERVICE)
     end_service (s, t, n);
   else if (t->cancelled && (!n->of[MEMBER_END_LOST] || t->idempotent))
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else if (!ran)
     task_retry (s, t, reason);
   else if (!t->idempotent && n->of[MEMBER_END_FAILED] == 0)
-    task_ended (s, t, TASK_UNKNOWN, reason);
+    task_finish (s, t, TASK_UNKNOWN, reason);
   else if (!t->idempotent)
-    task_ended (s, t, TASK_FAILED, reason);
+    task_finish (s, t, TASK_FAILED, reason);
   else if (t->failures >= TASK_FAILURES_MAX)
-    task_ended (s, t, TASK_FAILED, WHY_TOO_MANY_FAILURES);
+    task_finish (s, t, TASK_FAILED, WHY_TOO_MANY_FAILURES);
   else
     task_retry (s, t, reason);
 }
@@ -416,7 +416,7 @@
     return;
   if (n.of[MEMBER_END_OK] == t->n_members)
     {
-      task_ended (s, t, TASK_DONE, WHY_ENDED_OK);
+      task_finish (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
   /* A gang runs whole or not at all: if a member has ended other than well,
--- a/core/view.c
+++ b/core/view.c
@@ -121,7 +121,7 @@
   add_int (obj, "epoch", n->sched->epoch);
   add_bool (obj, "ready", n->sched->phase == SCHED_READY);
   add_bool (obj, "may_start", n->sched->may_start);
-  add_int (obj, "journal_row", n->sched->journal.seq);
+  add_int (obj, "journal_row", n->sched->journal.commit_seq);
   json_object_set_new (obj, "tasks", tasks);
   json_object_set_new (obj, "teams", view_teams (n));
   json_object_set_new (obj, "workers", view_workers (n));
