--- a/core/calls.c
+++ b/core/calls.c
@@ -10,11 +10,12 @@
 
 enum
 {
-  /* Longest time that a status call waits for a task's end. */
-  WAITER_MAX_MS = 600000,
+  /* Maximum time that a status call waits for a task's end. */
+  STATUS_WAIT_MAX_MS = 600000,
 };
 
-/* Refuses a call.  @err is an enum clb_err, @reason an enum clb_reason. */
+/* Replies to a call with an error.  @err is an enum clb_err, @reason an enum
+   clb_reason. */
 static void
 reply_err (struct sched *s, const char *entry, int64_t call_seq, int err,
            int reason)
@@ -29,7 +30,7 @@
   sched_reply (s, entry, &r);
 }
 
-/* Whether the call describes the same work as the task. */
+/* Returns whether the call describes the same work as the task. */
 static bool
 same_request (const struct task *t, const struct call *c)
 {
@@ -42,7 +43,8 @@
   return same;
 }
 
-/* Finds the recorded task with the call's team and request id, or NULL. */
+/* Finds the recorded task with the call's team and request id.  Returns NULL
+   if there is none. */
 static struct task *
 find_request (struct sched *s, const struct call *c)
 {
@@ -52,6 +54,8 @@
   return RB_FIND (request_tree, &s->requests, &key);
 }
 
+/* Creates a task with id @id from the call's description.  It is neither
+   queued nor journaled. */
 static struct task *
 task_from_call (struct sched *s, const char *id, const struct call *c)
 {
@@ -64,10 +68,11 @@
   return t;
 }
 
-/* Replies to a call whose request id belongs to the task already. */
+/* Replies to a call for new work whose request id already belongs to task
+   @t. */
 static void
-reply_known (struct sched *s, const char *entry, const struct call *c,
-             struct task *t)
+reply_duplicate (struct sched *s, const char *entry, const struct call *c,
+                 struct task *t)
 {
   if (!same_request (t, c))
     {
@@ -90,14 +95,15 @@
     }
 }
 
-/* Whether new work must be refused: an enum clb_err, or 0 if not. */
+/* Returns the enum clb_err with which a call for new work must be refused; 0
+   if it may be accepted. */
 static int
-call_refused (struct sched *s, const struct call *c)
+refusal_err (struct sched *s, const struct call *c)
 {
   struct team *team = sched_team (s, c->team);
 
-  /* Work that is recorded in the journal could not be accepted before the
-     table service answers again. */
+  /* Recorded work cannot be accepted until the table service answers again,
+     since its accept must be written to the journal. */
   if (!s->store_up && (c->verb == CALL_SUBMIT || !c->idempotent))
     return CLB_EUNAVAIL;
   if (journal_full (s) || s->n_tasks >= TASKS_MAX)
@@ -107,7 +113,7 @@
   return 0;
 }
 
-/* Creates a task and journals its accept. */
+/* Creates a recorded task with id @id for the call and journals its accept. */
 static struct task *
 accept_recorded (struct sched *s, const char *id, const struct call *c)
 {
@@ -122,32 +128,35 @@
   return t;
 }
 
-/* Replies to a call for new work if its request is known (@known is not NULL)
-   or has to be refused.  Returns whether it did. */
+/* Replies to a call for new work if its request is known or must be refused.
+   @known is the task accepted for the request; NULL: none.  Returns whether a
+   reply was sent, in which case no task must be created. */
 static bool
-replied_at_once (struct sched *s, const char *entry, const struct call *c,
-                 struct task *known)
+reply_if_known_or_refused (struct sched *s, const char *entry,
+                           const struct call *c, struct task *known)
 {
   int err;
 
   if (known)
     {
-      reply_known (s, entry, c, known);
+      reply_duplicate (s, entry, c, known);
       return true;
     }
-  err = call_refused (s, c);
+  err = refusal_err (s, c);
   if (err)
     reply_err (s, entry, c->seq, err, WHY_NO_ROOM);
   return err != 0;
 }
 
+/* Handles a call that submits a task.  The reply is sent once the accept is
+   durable. */
 static void
-call_submit (struct sched *s, const char *entry, const struct call *c)
+handle_submit (struct sched *s, const char *entry, const struct call *c)
 {
   char id[CLB_ID_MAX];
   struct task *t;
 
-  if (replied_at_once (s, entry, c, find_request (s, c)))
+  if (reply_if_known_or_refused (s, entry, c, find_request (s, c)))
     return;
   snprintf (id, sizeof id, "%s.%lld.%lld", s->domain, (long long)s->epoch,
             (long long)++s->last_id);
@@ -157,14 +166,15 @@
   task_reply_durable (s, t, entry, c->seq);
 }
 
-/* Lets the call wait for the task's end or for its slot. */
+/* Adds the call to those that wait for the task's end or, for a service
+   request, for its slot. */
 static void
 add_waiter (struct sched *s, struct task *t, const char *entry,
             const struct call *c)
 {
   struct waiter *waiter;
 
-  /* The same call may be sent again. */
+  /* An entry instance may send the same call again. */
   TAILQ_FOREACH (waiter, &t->waiters, link)
     if (waiter->call_seq == c->seq && strcmp (waiter->entry, entry) == 0)
       return;
@@ -175,7 +185,8 @@
   waiter->call_seq = c->seq;
   waiter->call_sent_ms = c->sent_ms;
   waiter->expires_ms
-      = s->now_ms + (c->wait_ms < WAITER_MAX_MS ? c->wait_ms : WAITER_MAX_MS);
+      = s->now_ms
+        + (c->wait_ms < STATUS_WAIT_MAX_MS ? c->wait_ms : STATUS_WAIT_MAX_MS);
   TAILQ_INSERT_TAIL (&t->waiters, waiter, link);
 }
 
@@ -199,11 +210,12 @@
   e->reply = r;
 }
 
-/* Handles an acquire call that is known already: it is sent again after a
-   change of holder or when the reply was lost. */
+/* Handles an acquire call whose task @t exists already.  An entry instance
+   sends such a call again after a change of holder or when the reply was
+   lost. */
 static void
-acquire_again (struct sched *s, const char *entry, const struct call *c,
-               struct task *t)
+handle_repeated_acquire (struct sched *s, const char *entry,
+                         const struct call *c, struct task *t)
 {
   if (task_state_final (t->state))
     reply_err (s, entry, c->seq, CLB_EDONE, t->reason);
@@ -215,21 +227,21 @@
     TAILQ_FIRST (&t->waiters)->call_sent_ms = c->sent_ms;
 }
 
-/* Handles an entry instance's call for a slot for a service request.  The
-   reply is sent once a slot is free. */
+/* Handles a call that acquires a slot for a service request.  The reply is
+   sent once a slot is free. */
 static void
-call_acquire (struct sched *s, const char *entry, const struct call *c)
+handle_acquire (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
 
   if (t)
     {
-      acquire_again (s, entry, c, t);
+      handle_repeated_acquire (s, entry, c, t);
       return;
     }
   if (!c->idempotent)
     t = find_request (s, c);
-  if (replied_at_once (s, entry, c, t))
+  if (reply_if_known_or_refused (s, entry, c, t))
     return;
   if (!c->idempotent)
     t = accept_recorded (s, c->id, c);
@@ -264,9 +276,10 @@
   task_evaluate (s, t);
 }
 
-/* Handles an entry instance's report of how a service request has ended. */
+/* Handles a call that releases the slot of a service request and reports how
+   the request has ended. */
 static void
-call_release (struct sched *s, const char *entry, const struct call *c)
+handle_release (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
   struct effect *e;
@@ -280,9 +293,11 @@
   e->reply.call_seq = c->seq;
 }
 
+/* Handles a call that cancels task @t.  The reply is sent once the open group
+   is durable. */
 static void
-call_cancel (struct sched *s, const char *entry, const struct call *c,
-             struct task *t)
+handle_cancel (struct sched *s, const char *entry, const struct call *c,
+               struct task *t)
 {
   if (task_state_final (t->state) || t->cancelled)
     {
@@ -307,9 +322,10 @@
   task_reply_durable (s, t, entry, c->seq);
 }
 
+/* Handles a call for the recorded decisions about task @t. */
 static void
-call_why (struct sched *s, const char *entry, const struct call *c,
-          const struct task *t)
+handle_why (struct sched *s, const char *entry, const struct call *c,
+            const struct task *t)
 {
   struct reply r = task_reply_now (t, c->seq);
 
@@ -317,11 +333,12 @@
   sched_reply (s, entry, &r);
 }
 
-/* Whether the call may see the task.  A call without a key, marked open_only,
-   sees tasks of open queues; a call of an operator names no team and sees
-   every task; any other call sees the tasks of its team. */
+/* Returns whether the call may see the task.  A call that was made without a
+   key is marked open_only and may see the tasks of open queues.  An operator's
+   call names no team and may see every task.  Any other call may see the tasks
+   of its team. */
 static bool
-call_may_see (const struct sched *s, const struct call *c,
+may_see_task (const struct sched *s, const struct call *c,
               const struct task *t)
 {
   const struct conf_queue *q = conf_queue (s->conf, t->spec.queue);
@@ -331,18 +348,18 @@
   return !*c->team || strcmp (t->team->name, c->team) == 0;
 }
 
-/* Handles a call about an existing task: status, cancel or why. */
+/* Handles a call about an existing task, that is status, cancel or why. */
 static void
-call_for_task (struct sched *s, const char *entry, const struct call *c)
+handle_task_call (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
 
-  if (!t || !call_may_see (s, c, t))
+  if (!t || !may_see_task (s, c, t))
     reply_err (s, entry, c->seq, CLB_ENOTFOUND, WHY_NONE);
   else if (c->verb == CALL_CANCEL)
-    call_cancel (s, entry, c, t);
+    handle_cancel (s, entry, c, t);
   else if (c->verb == CALL_WHY)
-    call_why (s, entry, c, t);
+    handle_why (s, entry, c, t);
   else if (c->wait_ms > 0 && !task_state_final (t->state))
     add_waiter (s, t, entry, c);
   else if (c->wait_ms > 0 && !t->end_durable)
@@ -369,16 +386,16 @@
   switch (c->verb)
     {
     case CALL_SUBMIT:
-      call_submit (s, entry, c);
+      handle_submit (s, entry, c);
       break;
     case CALL_ACQUIRE:
-      call_acquire (s, entry, c);
+      handle_acquire (s, entry, c);
       break;
     case CALL_RELEASE:
-      call_release (s, entry, c);
+      handle_release (s, entry, c);
       break;
     default:
-      call_for_task (s, entry, c);
+      handle_task_call (s, entry, c);
       break;
     }
 }
@@ -390,17 +407,17 @@
 {
   for (size_t i = 0; i < held->n_items; i++)
     {
-      const struct held_slot *h = &held->items[i];
-      struct worker *w = pool_worker (&s->pool, h->executor);
-      if (sched_task (s, h->id) || !w)
+      const struct held_slot *slot = &held->items[i];
+      struct worker *w = pool_worker (&s->pool, slot->executor);
+      if (sched_task (s, slot->id) || !w)
         continue;
-      struct task *t = task_new (s, h->id, h->team);
+      struct task *t = task_new (s, slot->id, slot->team);
       t->lane = LANE_SERVICE;
       t->idempotent = true;
       t->accept_durable = true;
       t->spec.members = 1;
       t->spec.need.slots = 1;
-      t->spec.duration_ms = h->run_ms;
+      t->spec.duration_ms = slot->run_ms;
       clb_res_add (&w->used, &t->spec.need, 1);
       task_place (s, t, &w);
       t->state = TASK_RUNNING;
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -17,31 +17,37 @@
 
 enum
 {
-  /* Time between two reads of a grant row while the parts exceed the limit,
-     this domain's part is too small or the row's configuration is newer, and
-     wait after a failed operation. */
-  READ_PERIOD_MS = 1000,
-  /* Time between two decisions about this domain's part. */
-  ADJUST_PERIOD_MS = 500,
-  /* An unused part is kept for this long. */
-  IDLE_MS = 3000,
-  /* Time between two reads of the domains' want rows. */
+  /* Time between two reads of a grant row while the domains' parts exceed the
+     limit, this domain's part is too small or the row was written under a
+     newer configuration; also the delay after a failed operation on the
+     row. */
+  GRANT_READ_PERIOD_MS = 1000,
+  /* Time between two decisions about this domain's part of one team's
+     limit. */
+  GRANT_ADJUST_PERIOD_MS = 500,
+  /* A part that the team does not use in this domain is kept for this long. */
+  TEAM_IDLE_MS = 3000,
+  /* Time between two reads of all domains' want rows. */
   WANT_PERIOD_MS = 1000,
-  /* A read of the want rows without an answer is given up after this. */
+  /* A read of the want rows that is not answered within this time is given
+     up. */
   WANT_TIMEOUT_MS = 3000,
-  /* Waiting tasks that are counted to find a team's demand. */
+  /* Maximum number of a team's waiting tasks that are counted as its
+     demand. */
   DEMAND_TASKS_MAX = 256,
 };
 
+/* Writes the key of the team's grant row to @out. */
 static void
 grant_key (const struct team *team, char out[ROW_KEY_SIZE])
 {
   snprintf (out, ROW_KEY_SIZE, "grant/%s", team->name);
 }
 
-/* Finds a domain's part in a grant row; adds an empty one if it has none. */
+/* Finds a domain's part in a grant row.  If the row has none, an empty part is
+   added.  The row owns the part. */
 static struct grant *
-row_grant (struct grant_row *row, const char *domain)
+find_or_add_grant (struct grant_row *row, const char *domain)
 {
   for (size_t i = 0; i < row->n_grants; i++)
     if (strcmp (row->grants[i].domain, domain) == 0)
@@ -50,38 +56,38 @@
       = realloc (row->grants, (row->n_grants + 1) * sizeof *row->grants);
   if (!row->grants)
     abort ();
-  struct grant *g = &row->grants[row->n_grants++];
-  memset (g, 0, sizeof *g);
-  clb_copy (g->domain, domain, sizeof g->domain);
-  return g;
+  struct grant *grant = &row->grants[row->n_grants++];
+  memset (grant, 0, sizeof *grant);
+  clb_copy (grant->domain, domain, sizeof grant->domain);
+  return grant;
 }
 
-/* Sum of the other domains' parts; sets *@others_want to whether one of them
-   wants a larger part. */
+/* Returns the sum of the other domains' parts.  *@others_want is set to true
+   if one of these domains wants a larger part, else to false. */
 static struct clb_res
-others_granted (const struct sched *s, const struct team *team,
-                bool *others_want)
+sum_other_parts (const struct sched *s, const struct team *team,
+                 bool *others_want)
 {
   struct clb_res sum = { 0 };
 
   *others_want = false;
   for (size_t i = 0; i < team->row.n_grants; i++)
     {
-      const struct grant *g = &team->row.grants[i];
-      if (strcmp (g->domain, s->domain) == 0)
+      const struct grant *grant = &team->row.grants[i];
+      if (strcmp (grant->domain, s->domain) == 0)
         continue;
-      clb_res_add (&sum, &g->amount, 1);
-      *others_want |= g->wants_more;
+      clb_res_add (&sum, &grant->amount, 1);
+      *others_want |= grant->wants_more;
     }
   return sum;
 }
 
-/* Whether all domains' parts add up to more than the team's limit. */
+/* Returns whether all domains' parts add up to more than the team's limit. */
 static bool
 over_limit (const struct sched *s, const struct team *team)
 {
   bool others_want;
-  struct clb_res sum = others_granted (s, team, &others_want);
+  struct clb_res sum = sum_other_parts (s, team, &others_want);
 
   clb_res_add (&sum, &team->granted, 1);
   return !clb_res_fits (&sum, &team->limit);
@@ -101,8 +107,8 @@
   return false;
 }
 
-/* What the team would use in this domain if its waiting tasks started, up to
-   DEMAND_TASKS_MAX of them. */
+/* Returns the capacity that the team would use in this domain if its waiting
+   tasks started.  At most DEMAND_TASKS_MAX of them are counted. */
 static struct clb_res
 team_demand (const struct team *team)
 {
@@ -120,7 +126,8 @@
   return sum;
 }
 
-/* An even part of the limit. */
+/* Returns the part of the team's limit that each domain has if it is split
+   evenly. */
 static struct clb_res
 even_part (const struct sched *s, const struct team *team)
 {
@@ -143,20 +150,22 @@
   return a < b ? a : b;
 }
 
-/* The raised part: the team's demand, or the even part if that is larger and
-   no other domain wants more, as far as the limit and the others' parts allow;
-   no less than is granted. */
+/* Returns the part to which this domain's part can be raised.  It is the
+   team's demand, bounded by the even part if another domain wants more; if
+   none does, the even part where that is larger than the demand.  The limit
+   and the other domains' parts bound it, but it is never less than what is
+   granted. */
 static struct clb_res
 raised_part (const struct sched *s, const struct team *team)
 {
   bool others_want;
-  struct clb_res others = others_granted (s, team, &others_want);
+  struct clb_res others = sum_other_parts (s, team, &others_want);
   struct clb_res even = even_part (s, team);
   struct clb_res part;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t have = clb_res_get (&team->granted, k);
+      int64_t granted = clb_res_get (&team->granted, k);
       int64_t target = clb_res_get (&team->demand, k);
       /* A domain exceeds its even part only while no other domain wants
          more. */
@@ -165,13 +174,14 @@
       else
         target = max64 (target, clb_res_get (&even, k));
       int64_t left = clb_res_get (&team->limit, k) - clb_res_get (&others, k);
-      clb_res_set (&part, k, max64 (have, min64 (target, left)));
+      clb_res_set (&part, k, max64 (granted, min64 (target, left)));
     }
   return part;
 }
 
-/* The part after unused capacity is given up: down to the even part, or to
-   zero if @to_used, but never below what is in use. */
+/* Returns the part that is left after unused capacity is given up.  If
+   @to_used is true, all that is not in use is given up, else only what is also
+   above the even part. */
 static struct clb_res
 lowered_part (const struct sched *s, const struct team *team, bool to_used)
 {
@@ -187,10 +197,10 @@
   return part;
 }
 
-/* Reads the team's grant row.  The next decision about the team is made when
-   the answer is there and @wait_ms have passed. */
+/* Sends a read of the team's grant row.  The next decision about the team is
+   made once the answer has arrived and @wait_ms have passed. */
 static void
-read_row (struct sched *s, struct team *team, int64_t wait_ms)
+read_grant_row (struct sched *s, struct team *team, int64_t wait_ms)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   char key[ROW_KEY_SIZE];
@@ -202,19 +212,19 @@
   team->next_op_ms = s->now_ms + wait_ms;
 }
 
-/* Writes this domain's part to the team's grant row.  @wants_more says
-   whether it wants a larger one. */
+/* Sends a write of the team's grant row with this domain's part set to @part.
+   @wants_more is true if the domain wants a larger part. */
 static void
-write_part (struct sched *s, struct team *team, const struct clb_res *part,
-            bool wants_more)
+write_grant_row (struct sched *s, struct team *team,
+                 const struct clb_res *part, bool wants_more)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
-  struct grant *g = row_grant (&team->row, s->domain);
+  struct grant *own = find_or_add_grant (&team->row, s->domain);
   char key[ROW_KEY_SIZE];
 
-  g->amount = *part;
-  g->wants_more = wants_more;
+  own->amount = *part;
+  own->wants_more = wants_more;
   team->want_written = wants_more;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
@@ -225,19 +235,20 @@
   store_cond (op, key, team->row_ver);
   store_put (op, key, text);
   team->op_granted = *part;
-  /* What is being given up must not be used from now on, since the write may
-     take effect whatever its answer is. */
+  /* The capacity that is given up must not be used from now on, since the
+     write may take effect whatever its answer is. */
   for (int k = 0; k < RES_N; k++)
     clb_res_set (
         &team->granted, k,
         min64 (clb_res_get (&team->granted, k), clb_res_get (part, k)));
-  team->next_op_ms = s->now_ms + ADJUST_PERIOD_MS;
+  team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
 }
 
-/* Replaces the team's copy of its grant row; NULL if the row is absent.  What
-   may be used here does not change: only this domain's own writes raise it. */
+/* Replaces the team's copy of its grant row.  @row is the row as read; NULL:
+   the table has no such row.  The part that may be used in this domain does
+   not change, since only the domain's own writes raise it. */
 static void
-set_row (struct sched *s, struct team *team, const struct row *row)
+set_grant_row (struct sched *s, struct team *team, const struct row *row)
 {
   struct codec_err ce;
 
@@ -261,10 +272,10 @@
   if (!name)
     return;
   struct team *team = sched_team (s, name + 1);
-  set_row (s, team, row);
-  /* The epoch is new, so no earlier write of this domain is in progress and
-     its part may be taken from the row. */
-  team->granted = row_grant (&team->row, s->domain)->amount;
+  set_grant_row (s, team, row);
+  /* The epoch is new, so no earlier write of this domain is in progress, and
+     the domain's part may be taken from the row. */
+  team->granted = find_or_add_grant (&team->row, s->domain)->amount;
 }
 
 void
@@ -274,11 +285,11 @@
 
   RB_FOREACH (team, team_tree, &s->teams)
     {
-      bool rose = team->limit.cores >= team->last_limit.cores
-                  && team->limit.mem_mb >= team->last_limit.mem_mb
-                  && team->limit.accels >= team->last_limit.accels
-                  && team->limit.slots >= team->last_limit.slots;
-      if (!rose || over_limit (s, team))
+      bool not_lowered = team->limit.cores >= team->last_limit.cores
+                         && team->limit.mem_mb >= team->last_limit.mem_mb
+                         && team->limit.accels >= team->last_limit.accels
+                         && team->limit.slots >= team->last_limit.slots;
+      if (!not_lowered || over_limit (s, team))
         {
           team->frozen = true;
           team->row_known = false;
@@ -301,9 +312,10 @@
   return NULL;
 }
 
-/* A write of the grant row has succeeded. */
+/* Handles the answer that a write of the team's grant row has succeeded. */
 static void
-write_done (struct sched *s, struct team *team, const struct store_rep *rep)
+handle_grant_written (struct sched *s, struct team *team,
+                      const struct store_rep *rep)
 {
   bool raised = !clb_res_fits (&team->op_granted, &team->granted);
   char key[ROW_KEY_SIZE];
@@ -319,9 +331,10 @@
 }
 
 /* Want rows.  Each domain has one, in which it names the teams that want a
-   larger part there.  The other domains then read these teams' grant rows. */
+   larger part in that domain.  The other domains then read these teams' grant
+   rows. */
 
-/* This domain's want row as JSON text that the caller frees. */
+/* Returns this domain's want row as JSON text, which the caller frees. */
 static char *
 want_text (struct sched *s)
 {
@@ -340,7 +353,7 @@
   return text;
 }
 
-/* Writes this domain's want row if it has changed. */
+/* Sends a write of this domain's want row if the row has changed. */
 static void
 want_write (struct sched *s)
 {
@@ -363,7 +376,7 @@
   s->want_written = text;
 }
 
-/* Reads the want rows of all domains. */
+/* Sends a read of the want rows of all domains. */
 static void
 want_read (struct sched *s)
 {
@@ -375,24 +388,25 @@
   s->want_read_ms = s->now_ms;
 }
 
-/* Lets the grant rows of all teams in another domain's want row be read. */
+/* Marks the grant rows of all teams that are named in another domain's want
+   row to be read again. */
 static void
-want_row (struct sched *s, const struct row *row)
+apply_want_row (struct sched *s, const struct row *row)
 {
   const char *domain = strrchr (row->key, '/');
-  struct want_row wr;
+  struct want_row wants;
   struct codec_err ce;
 
   if (!domain || strcmp (domain + 1, s->domain) == 0 || !row->value
       || codec_parse (&want_row_desc, row->value, strlen (row->value),
-                      CODEC_LENIENT, &wr, &ce))
+                      CODEC_LENIENT, &wants, &ce))
     return;
-  for (size_t i = 0; i < wr.n_teams; i++)
-    sched_team (s, wr.teams[i].team)->row_known = false;
-  codec_free (&want_row_desc, &wr);
+  for (size_t i = 0; i < wants.n_teams; i++)
+    sched_team (s, wants.teams[i].team)->row_known = false;
+  codec_free (&want_row_desc, &wants);
 }
 
-/* As escrow_store(), for want rows. */
+/* Does as escrow_store() for operations on want rows. */
 static bool
 want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
@@ -410,11 +424,12 @@
     return false;
   s->want_read_token = 0;
   for (size_t i = 0; rep->err == 0 && i < rep->n_rows; i++)
-    want_row (s, &rep->rows[i]);
+    apply_want_row (s, &rep->rows[i]);
   return true;
 }
 
-/* Reads the want rows and writes this domain's, every WANT_PERIOD_MS. */
+/* Sends a read of all want rows and, if necessary, a write of this domain's
+   want row, every WANT_PERIOD_MS. */
 static void
 want_tick (struct sched *s)
 {
@@ -432,22 +447,22 @@
 escrow_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
   struct team *team = token ? team_by_token (s, token) : NULL;
-  bool write;
+  bool is_write;
   char key[ROW_KEY_SIZE];
 
   if (!team)
     return token && want_store (s, token, rep);
-  write = team->op_kind == STORE_TXN;
+  is_write = team->op_kind == STORE_TXN;
   team->op_token = 0;
   grant_key (team, key);
-  if (rep->err == 0 && write)
-    write_done (s, team, rep);
+  if (rep->err == 0 && is_write)
+    handle_grant_written (s, team, rep);
   else if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-    set_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
+    set_grant_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
   else
     {
       team->row_known = false;
-      team->next_op_ms = s->now_ms + READ_PERIOD_MS;
+      team->next_op_ms = s->now_ms + GRANT_READ_PERIOD_MS;
     }
   for (size_t i = 0; rep->err == CLB_ECONFLICT && i < rep->n_rows; i++)
     {
@@ -455,21 +470,22 @@
         s->phase = SCHED_SUPERSEDED;
       if (strcmp (rep->rows[i].key, key) != 0)
         continue;
-      set_row (s, team, &rep->rows[i]);
+      set_grant_row (s, team, &rep->rows[i]);
       team->next_op_ms = s->now_ms;
     }
   return true;
 }
 
+/* Returns whether the two amounts are equal in every dimension. */
 static bool
 res_equal (const struct clb_res *a, const struct clb_res *b)
 {
   return clb_res_fits (a, b) && clb_res_fits (b, a);
 }
 
-/* Lowers the part of a team whose parts exceed its limit: to the even part or,
-   if that is no change, to what is in use.  If nothing can be given up, the
-   row is read again later. */
+/* Lowers this domain's part for a team whose parts exceed its limit.  The part
+   is lowered to the even part or, if that changes nothing, to what is in use.
+   If nothing can be given up, the grant row is read again later. */
 static void
 lower_over_limit (struct sched *s, struct team *team)
 {
@@ -482,66 +498,69 @@
     part = lowered_part (s, team, true);
   if (res_equal (&part, &team->granted))
     {
-      read_row (s, team, READ_PERIOD_MS);
+      read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
-  write_part (s, team, &part, false);
+  write_grant_row (s, team, &part, false);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
 }
 
-/* Raises the part if the team's demand needs it; reads the row again later if
-   that is not possible. */
+/* Raises this domain's part if the team's demand needs it.  If the part cannot
+   be raised and tasks wait for it, the grant row is read again later. */
 static void
 raise_part (struct sched *s, struct team *team)
 {
   struct clb_res part = raised_part (s, team);
-  struct grant *own = row_grant (&team->row, s->domain);
+  struct grant *own = find_or_add_grant (&team->row, s->domain);
   bool wants_more = team->wants_more && !clb_res_fits (&team->demand, &part);
 
   if (!res_equal (&part, &team->granted) || own->wants_more != wants_more)
-    write_part (s, team, &part, wants_more);
+    write_grant_row (s, team, &part, wants_more);
   else if (team->wants_more)
-    read_row (s, team, READ_PERIOD_MS);
+    read_grant_row (s, team, GRANT_READ_PERIOD_MS);
 }
 
-/* Gives up unused capacity above the even part if the team is @idle here or
-   other domains want more, and all that is unused if both hold.  Returns false
-   if there is nothing to give up. */
+/* Gives up unused capacity of this domain's part.  What is above the even part
+   is given up if the team is idle in this domain (@idle) or another domain
+   wants more; all that is unused is given up if both hold.  Returns false if
+   nothing is given up. */
 static bool
 give_up_unused (struct sched *s, struct team *team, bool idle)
 {
   bool others_want;
   struct clb_res part;
 
-  others_granted (s, team, &others_want);
+  sum_other_parts (s, team, &others_want);
   if (!idle && !others_want)
     return false;
   part = lowered_part (s, team, others_want && idle);
   if (res_equal (&part, &team->granted))
     return false;
-  write_part (s, team, &part, team->wants_more);
+  write_grant_row (s, team, &part, team->wants_more);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
 
-/* Decides about this domain's part of a team's limit; the copy of the grant
-   row is current. */
+/* Decides whether this domain's part of a team's limit is raised, lowered or
+   left, and sends the write.  The team's copy of the grant row must be
+   current. */
 static void
 team_adjust (struct sched *s, struct team *team)
 {
-  bool idle = s->now_ms - team->idle_since_ms >= IDLE_MS && !team->wants_more;
+  bool idle
+      = s->now_ms - team->idle_since_ms >= TEAM_IDLE_MS && !team->wants_more;
   bool others_want;
 
-  others_granted (s, team, &others_want);
+  sum_other_parts (s, team, &others_want);
   team->demand = team_demand (team);
   team->frozen = over_limit (s, team);
   if (team->frozen)
     lower_over_limit (s, team);
   else if (team->rewrite_due)
     {
-      /* The configuration version in the row keeps domains that have an older
-         configuration from raising their parts by its limit. */
-      write_part (s, team, &team->granted, team->wants_more);
+      /* The configuration version in the grant row keeps domains that have an
+         older configuration from raising their parts under its limit. */
+      write_grant_row (s, team, &team->granted, team->wants_more);
       team->rewrite_due = false;
     }
   else if (!give_up_unused (s, team, idle)
@@ -549,8 +568,9 @@
     raise_part (s, team);
 }
 
-/* Makes the next decision about a team, or reads its grant row first if the
-   copy is not current or was written by a newer configuration. */
+/* Makes the next decision about a team if it is due.  The team's grant row is
+   read first if the copy is not current or was written under a newer
+   configuration. */
 static void
 team_tick (struct sched *s, struct team *team)
 {
@@ -558,17 +578,17 @@
     return;
   if (team->row_known && team->row.conf_version > s->conf->version)
     {
-      read_row (s, team, READ_PERIOD_MS);
+      read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
   if (!team->row_known)
     {
-      read_row (s, team, 0);
+      read_grant_row (s, team, 0);
       return;
     }
   team_adjust (s, team);
   if (!team->op_token)
-    team->next_op_ms = s->now_ms + ADJUST_PERIOD_MS;
+    team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
   team->wants_more = false;
   s->dirty |= team->waiting > 0;
 }
--- a/core/journal.c
+++ b/core/journal.c
@@ -3,9 +3,9 @@
  *
  * Records are collected in the open group.  One group at a time is written, as
  * one row of the table; every write has the condition that the epoch row is
- * unchanged, so a scheduler that was superseded cannot write.  What has to
- * wait for the write, such as replies and starts, is kept as the group's
- * effects.
+ * unchanged, so a scheduler that was superseded cannot write.  Actions that
+ * must wait until the group is durable, such as replies and starts, are kept
+ * as the group's effects.
  */
 #include "sched.h"
 
@@ -15,26 +15,29 @@
 
 enum
 {
-  /* Longest time that a group stays open for more records while no other one
-     is being written. */
+  /* Maximum time that a group with records stays open for more while no other
+     group is being written. */
   GROUP_WAIT_MS = 5,
-  /* A group with this many records is committed without that wait. */
+  /* A group with this many records is committed without waiting for more. */
   GROUP_RECORDS_MAX = 512,
-  /* With this many records in the open group, new work is refused. */
+  /* New work is refused while the open group has this many records. */
   OPEN_RECORDS_MAX = 8192,
-  /* Wait after a failed snapshot before the next one is made. */
+  /* Delay after a failed snapshot before the next one is made. */
   SNAP_RETRY_MS = 5000,
-  /* Journal rows deleted in one write. */
-  SNAP_DELETE_ROWS = 200,
+  /* Maximum number of journal rows deleted in one write. */
+  SNAP_DELETE_ROWS_MAX = 200,
 };
 
 /** enum snap_step - progress of the current snapshot */
 enum snap_step
 {
-  SNAP_NONE,   /* no snapshot in progress */
-  SNAP_MADE,   /* its text is made, the last row that it covers not durable */
-  SNAP_OBJECT, /* the object with its text is being written */
-  SNAP_ROW,    /* the snapshot row is being set to it, older rows deleted */
+  SNAP_NONE, /* no snapshot in progress */
+  /* Its text is made; the last row that it covers may not be durable. */
+  SNAP_MADE,
+  SNAP_OBJECT, /* the object that holds its text is being written */
+  /* The snapshot row is being set to it, and the journal rows that it covers
+     are being deleted. */
+  SNAP_ROW,
 };
 
 void
@@ -50,14 +53,15 @@
   snprintf (out, ROW_KEY_SIZE, "snap/%s", s->domain);
 }
 
-/* Key of a request's row, which names the task that was accepted for the
-   request in any of the domains. */
+/* Writes the key of a request's row to @out.  The row has the id of the task
+   that was accepted for the request, in whichever domain. */
 static void
 request_key (const char *team, const char *request_id, char out[ROW_KEY_SIZE])
 {
   snprintf (out, ROW_KEY_SIZE, "req/%s/%s", team, request_id);
 }
 
+/* Makes @g an empty group.  What @g owns is not freed. */
 static void
 group_init (struct group *g)
 {
@@ -65,6 +69,7 @@
   TAILQ_INIT (&g->effects);
 }
 
+/* Frees what the group owns and makes it an empty group. */
 static void
 group_clear (struct group *g)
 {
@@ -136,10 +141,11 @@
   return s->journal.open.row.n_recs >= OPEN_RECORDS_MAX;
 }
 
-/* Effects: what was waiting for a group to be durable. */
+/* Effects: actions deferred until a group is durable. */
 
+/* Queues a task whose accept has become durable. */
 static void
-effect_accept (struct sched *s, struct task *t)
+run_accept_effect (struct sched *s, struct task *t)
 {
   if (t->accept_durable || task_state_final (t->state))
     return;
@@ -148,8 +154,9 @@
   task_enqueue (s, t);
 }
 
+/* Lets the starts of a task be sent whose intent has become durable. */
 static void
-effect_intent (struct task *t)
+run_intent_effect (struct task *t)
 {
   t->intent_durable = true;
   for (int64_t i = 0; i < t->n_members; i++)
@@ -157,8 +164,10 @@
       t->members[i].worker->sync_due = true;
 }
 
+/* Runs one effect.  An effect whose task or worker no longer exists does
+   nothing. */
 static void
-effect_run (struct sched *s, const struct effect *e)
+run_effect (struct sched *s, const struct effect *e)
 {
   struct task *t = e->kind == EFFECT_ACK ? NULL : sched_task (s, e->id);
   struct worker *w;
@@ -170,11 +179,11 @@
       break;
     case EFFECT_ACCEPT:
       if (t)
-        effect_accept (s, t);
+        run_accept_effect (s, t);
       break;
     case EFFECT_INTENT:
       if (t && t->attempt == e->attempt)
-        effect_intent (t);
+        run_intent_effect (t);
       break;
     case EFFECT_END:
       if (t)
@@ -192,16 +201,16 @@
     }
 }
 
-/* Runs and frees all effects of the list. */
+/* Runs all effects of the list, in order, and frees them. */
 static void
-effects_run (struct sched *s, struct effect_list *list)
+run_effects (struct sched *s, struct effect_list *list)
 {
   struct effect *e;
 
   while ((e = TAILQ_FIRST (list)))
     {
       TAILQ_REMOVE (list, e, link);
-      effect_run (s, e);
+      run_effect (s, e);
       free (e);
     }
 }
@@ -218,12 +227,11 @@
   return &o->u.store.op;
 }
 
-/* Adds to @op what a group does to request rows: an accept creates one and has
-   the condition that it is absent, so that a request is accepted once in all
-   domains; a forgotten task's row is deleted. */
+/* Adds a group's changes of request rows to @op.  An accept creates a row on
+   the condition that it is absent, so that a request is accepted only once in
+   all domains.  The row of a forgotten task is deleted. */
 static void
-group_request_rows (struct sched *s, struct store_op *op,
-                    const struct group *g)
+add_request_rows (struct sched *s, struct store_op *op, const struct group *g)
 {
   char key[ROW_KEY_SIZE];
 
@@ -245,8 +253,7 @@
     }
 }
 
-/* Sends the write of the group that is being committed, for the first time or
-   again. */
+/* Sends the write of the commit group, for the first time or again. */
 static void
 commit_send (struct sched *s)
 {
@@ -259,15 +266,15 @@
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_cond (op, key, 0);
   store_put (op, key, text);
-  group_request_rows (s, op, &j->commit);
+  add_request_rows (s, op, &j->commit);
   j->commit_sent_ms = s->now_ms;
   j->commit_retry_at_ms = 0;
 }
 
-static void snap_make (struct sched *s);
+static void snap_make_if_due (struct sched *s);
 
-/* Begins to commit the open group.  A group without records has nothing to be
-   written, so its effects follow at once. */
+/* Begins to commit the open group.  If the group has no records, nothing is
+   written and its effects are run at once. */
 static void
 commit_begin (struct sched *s)
 {
@@ -275,15 +282,15 @@
 
   if (TAILQ_EMPTY (&j->open.effects) && j->open.row.n_recs == 0)
     return;
-  struct group spare = j->commit;
+  struct group empty_group = j->commit;
   j->commit = j->open;
   TAILQ_INIT (&j->commit.effects);
   TAILQ_CONCAT (&j->commit.effects, &j->open.effects, link);
-  j->open = spare;
+  j->open = empty_group;
   group_init (&j->open);
   if (j->commit.row.n_recs == 0)
     {
-      effects_run (s, &j->commit.effects);
+      run_effects (s, &j->commit.effects);
       group_clear (&j->commit);
       return;
     }
@@ -291,13 +298,13 @@
             s->me, (long long)s->boot, (long long)++j->nonce);
   j->commit_in_progress = true;
   s->stats.groups++;
-  snap_make (s);
+  snap_make_if_due (s);
   commit_send (s);
 }
 
-/* The group that was being committed is durable. */
+/* Runs the effects of the commit group, which has become durable. */
 static void
-commit_done (struct sched *s)
+commit_finish (struct sched *s)
 {
   struct journal *j = &s->journal;
   struct group done = j->commit;
@@ -307,13 +314,13 @@
   group_init (&j->commit);
   j->commit_in_progress = false;
   j->commit_seq++;
-  effects_run (s, &done.effects);
+  run_effects (s, &done.effects);
   group_clear (&done);
 }
 
-/* Removes the effects of task @id from the list and answers its calls.
-   @first_id is the id of the task that was accepted first for the request,
-   @err the reply's enum clb_err. */
+/* Removes the effects of task @id from the list.  Its replies are sent at
+   once: they name @first_id, the task that was accepted first for the request,
+   and have the enum clb_err @err. */
 static void
 refuse_effects (struct sched *s, struct effect_list *list, const char *id,
                 const char *first_id, int err)
@@ -338,17 +345,17 @@
     }
 }
 
-/* Frees task @id, whose request was accepted before, perhaps in another
-   domain, as task @first_id. */
+/* Frees task @id and answers its calls, because its request was accepted
+   before as task @first_id, perhaps in another domain. */
 static void
-accept_refused (struct sched *s, const char *id, const char *first_id)
+refuse_accept (struct sched *s, const char *id, const char *first_id)
 {
   struct journal *j = &s->journal;
   struct task *t = sched_task (s, id);
   int err = t && t->lane == LANE_SERVICE ? CLB_EDONE : 0;
   struct waiter *waiter;
 
-  /* Repeated calls for the request may wait in the open group too. */
+  /* Replies to repeated calls for the request may be in the open group too. */
   refuse_effects (s, &j->commit.effects, id, first_id, err);
   refuse_effects (s, &j->open.effects, id, first_id, err);
   if (!t)
@@ -363,14 +370,15 @@
     }
   s->stats.reasons[WHY_DUPLICATE]++;
   task_free (s, t);
-  /* The snapshot made for this group contains the refused task. */
+  /* A snapshot that was made when the group's commit began contains the
+     refused task, so it is dropped. */
   if (j->snap_step == SNAP_MADE)
     j->snap_step = SNAP_NONE;
 }
 
-/* If @row is the request row of an accept in the group that is being
-   committed, refuses the accept and removes its record.  Returns whether it
-   was. */
+/* Refuses the accept in the commit group whose request row is @row, and
+   removes the accept's record.  Returns false if the group has no such
+   accept. */
 static bool
 drop_refused_accept (struct sched *s, const struct row *row)
 {
@@ -385,7 +393,7 @@
       request_key (r->team, r->spec.request_id, key);
       if (strcmp (key, row->key) != 0)
         continue;
-      accept_refused (s, r->id, row->value ? row->value : "");
+      refuse_accept (s, r->id, row->value ? row->value : "");
       codec_free (&rec_desc, r);
       memmove (r, r + 1, (g->row.n_recs - i - 1) * sizeof *r);
       g->row.n_recs--;
@@ -394,24 +402,25 @@
   return false;
 }
 
-/* Whether the journal row was written by this scheduler for the group that is
-   being committed. */
+/* Returns whether the journal row was written by this scheduler for the commit
+   group. */
 static bool
 is_own_row (const struct sched *s, const struct row *row)
 {
-  struct journal_row jr;
+  struct journal_row journal_row;
   struct codec_err ce;
 
   if (!row->value
       || codec_parse (&journal_row_desc, row->value, strlen (row->value),
-                      CODEC_LENIENT, &jr, &ce))
+                      CODEC_LENIENT, &journal_row, &ce))
     return false;
-  bool own = strcmp (jr.nonce, s->journal.commit.row.nonce) == 0;
-  codec_free (&journal_row_desc, &jr);
+  bool own = strcmp (journal_row.nonce, s->journal.commit.row.nonce) == 0;
+  codec_free (&journal_row_desc, &journal_row);
   return own;
 }
 
-/* Handles a group's write that had no effect because a condition failed. */
+/* Handles the answer that the write of the commit group had no effect because
+   a condition failed. */
 static void
 commit_conflict (struct sched *s, const struct store_rep *rep)
 {
@@ -420,12 +429,12 @@
   bool dropped = false;
 
   journal_row_key (s, j->commit_seq, key);
-  /* An earlier attempt of the same write has succeeded and its answer was
-     lost. */
+  /* If the journal row is this scheduler's own, an earlier attempt of the same
+     write has succeeded and its answer was lost. */
   for (size_t i = 0; i < rep->n_rows; i++)
     if (strcmp (rep->rows[i].key, key) == 0 && is_own_row (s, &rep->rows[i]))
       {
-        commit_done (s);
+        commit_finish (s);
         return;
       }
   for (size_t i = 0; i < rep->n_rows; i++)
@@ -437,7 +446,7 @@
     }
   if (j->commit.row.n_recs == 0)
     {
-      effects_run (s, &j->commit.effects);
+      run_effects (s, &j->commit.effects);
       group_clear (&j->commit);
       j->commit_in_progress = false;
       return;
@@ -445,6 +454,7 @@
   commit_send (s);
 }
 
+/* Handles the answer to the write of the commit group. */
 static void
 commit_reply (struct sched *s, const struct store_rep *rep)
 {
@@ -454,7 +464,7 @@
   switch (rep->err)
     {
     case 0:
-      commit_done (s);
+      commit_finish (s);
       break;
     case CLB_ECONFLICT:
       commit_conflict (s, rep);
@@ -468,46 +478,50 @@
 
 /* Snapshots. */
 
-/* Appends a record of kind @kind to the snapshot; *@cap is the space. */
+/* Appends a record of the task to the snapshot @row.  @kind is its enum
+   rec_kind.  *@recs_cap is the number of records that row->recs has space for;
+   it is updated when row->recs grows. */
 static void
-snap_add (struct journal_row *row, size_t *cap, const struct task *t, int kind)
+snap_add (struct journal_row *row, size_t *recs_cap, const struct task *t,
+          int kind)
 {
-  if (row->n_recs == *cap)
+  if (row->n_recs == *recs_cap)
     {
-      *cap = *cap ? 2 * *cap : 256;
-      row->recs = realloc (row->recs, *cap * sizeof *row->recs);
+      *recs_cap = *recs_cap ? 2 * *recs_cap : 256;
+      row->recs = realloc (row->recs, *recs_cap * sizeof *row->recs);
       if (!row->recs)
         abort ();
     }
   row->recs[row->n_recs++] = task_rec (t, kind);
 }
 
-/* Appends the records that restore the task's state. */
+/* Appends the records that restore the task's state to the snapshot @row.
+   @recs_cap is as for snap_add(). */
 static void
-snap_task (struct journal_row *row, size_t *cap, const struct task *t)
+snap_task (struct journal_row *row, size_t *recs_cap, const struct task *t)
 {
-  snap_add (row, cap, t, REC_ACCEPT);
+  snap_add (row, recs_cap, t, REC_ACCEPT);
   if (task_state_final (t->state))
     {
-      snap_add (row, cap, t, REC_END);
+      snap_add (row, recs_cap, t, REC_END);
       return;
     }
   if (t->attempt > 0 || t->failures > 0)
-    snap_add (row, cap, t, REC_RETRY);
+    snap_add (row, recs_cap, t, REC_RETRY);
   if (t->n_members > 0)
-    snap_add (row, cap, t, REC_INTENT);
+    snap_add (row, recs_cap, t, REC_INTENT);
   if (t->cancelled)
-    snap_add (row, cap, t, REC_CANCEL);
+    snap_add (row, recs_cap, t, REC_CANCEL);
 }
 
-/* Makes a snapshot if one is due.  It contains the effect of the group that is
-   being committed, so it is written only once that is durable. */
+/* Makes the text of a snapshot if one is due.  The snapshot covers the commit
+   group, so it is written only once that group is durable. */
 static void
-snap_make (struct sched *s)
+snap_make_if_due (struct sched *s)
 {
   struct journal *j = &s->journal;
   struct journal_row row = { .n_recs = 0 };
-  size_t cap = 0;
+  size_t recs_cap = 0;
   struct task *t;
 
   if (j->snap_step != SNAP_NONE || j->commit_seq - j->snap_seq < s->snap_every
@@ -515,7 +529,7 @@
     return;
   RB_FOREACH (t, task_tree, &s->tasks)
     if (t->recorded)
-      snap_task (&row, &cap, t);
+      snap_task (&row, &recs_cap, t);
   free (j->snap_text);
   j->snap_text = codec_text (&journal_row_desc, &row);
   codec_free (&journal_row_desc, &row);
@@ -523,7 +537,7 @@
   j->snap_step = SNAP_MADE;
 }
 
-/* Name of the object for the snapshot in progress. */
+/* Writes the name of the object for the snapshot in progress to @out. */
 static void
 snap_name (const struct sched *s, char out[CLB_ID_MAX])
 {
@@ -531,7 +545,8 @@
             (long long)s->epoch, (long long)s->journal.snap_last_seq);
 }
 
-/* Writes the snapshot's object once the last row that it covers is durable. */
+/* Sends the write of the snapshot's object if the last journal row that the
+   snapshot covers is durable. */
 static void
 snap_put_object (struct sched *s)
 {
@@ -548,8 +563,9 @@
   j->snap_step = SNAP_OBJECT;
 }
 
-/* Sets the snapshot row to the new object and deletes the oldest journal rows
-   that it covers, up to SNAP_DELETE_ROWS of them. */
+/* Sends the write that sets the snapshot row to the new object and deletes the
+   oldest journal rows that the snapshot covers, at most SNAP_DELETE_ROWS_MAX
+   of them. */
 static void
 snap_put_row (struct sched *s)
 {
@@ -559,22 +575,24 @@
   char key[ROW_KEY_SIZE];
 
   snap_name (s, row.object);
-  row.first_seq = j->first_seq + SNAP_DELETE_ROWS;
+  row.first_seq = j->first_seq + SNAP_DELETE_ROWS_MAX;
   if (row.first_seq > j->snap_last_seq)
     row.first_seq = j->snap_last_seq + 1;
   clb_auto char *text = codec_text (&snap_row_desc, &row);
   journal_snap_key (s, key);
   store_cond (op, j->epoch_key, j->epoch_ver);
   store_put (op, key, text);
-  for (int n = 0; n < SNAP_DELETE_ROWS && j->first_seq + n <= j->snap_last_seq;
-       n++)
+  for (int k = 0;
+       k < SNAP_DELETE_ROWS_MAX && j->first_seq + k <= j->snap_last_seq; k++)
     {
-      journal_row_key (s, j->first_seq + n, key);
+      journal_row_key (s, j->first_seq + k, key);
       store_put (op, key, NULL);
     }
   j->snap_step = SNAP_ROW;
 }
 
+/* Handles the answer to a write for the snapshot in progress.  Further writes
+   follow until all journal rows that the snapshot covers are deleted. */
 static void
 snap_reply (struct sched *s, const struct store_rep *rep)
 {
@@ -595,10 +613,11 @@
   if (j->snap_step == SNAP_ROW)
     {
       j->snap_seq = j->snap_last_seq;
-      j->first_seq += SNAP_DELETE_ROWS;
+      j->first_seq += SNAP_DELETE_ROWS_MAX;
       if (j->first_seq > j->snap_last_seq)
         {
-          /* This includes rows that an earlier holder had not deleted. */
+          /* The rows deleted include those that an earlier holder had not
+             deleted. */
           j->first_seq = j->snap_last_seq + 1;
           j->snap_step = SNAP_NONE;
           return;
@@ -623,10 +642,11 @@
   return true;
 }
 
-/* Whether the open group is committed without waiting for more records.  One
-   without records, which may have effects, is. */
+/* Returns whether the open group is to be committed now, without waiting for
+   more records.  This is true of a group without records, which may have
+   effects. */
 static bool
-group_due (const struct sched *s)
+group_is_due (const struct sched *s)
 {
   const struct journal *j = &s->journal;
 
@@ -647,7 +667,7 @@
   if (j->commit_in_progress && j->commit_retry_at_ms
       && s->now_ms >= j->commit_retry_at_ms)
     commit_send (s);
-  if (!j->commit_in_progress && group_due (s))
+  if (!j->commit_in_progress && group_is_due (s))
     commit_begin (s);
   if (j->snap_step == SNAP_MADE)
     snap_put_object (s);
--- a/core/load.c
+++ b/core/load.c
@@ -8,14 +8,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** enum load_step - what is read next */
+/** enum load_step - what is read next while loading */
 enum load_step
 {
-  LOAD_SNAP_ROW, /* row that names the latest snapshot */
-  LOAD_SNAP_OBJ, /* object with that snapshot */
-  LOAD_ROWS,     /* journal rows after the snapshot */
-  LOAD_GRANTS,   /* grant rows of all teams */
-  LOAD_DONE,
+  LOAD_SNAP_ROW, /* the snapshot row, which names the latest snapshot */
+  LOAD_SNAP_OBJ, /* the object that holds the snapshot */
+  LOAD_ROWS,     /* the journal rows after the snapshot */
+  LOAD_GRANTS,   /* the grant rows of all teams */
+  LOAD_DONE,     /* nothing: loading is complete */
 };
 
 static const struct fld snap_fields[] = {
@@ -58,6 +58,7 @@
 
 /* Replay: these functions apply one record each. */
 
+/* Creates the task of an accept record and queues it. */
 static void
 replay_accept (struct sched *s, const struct rec *r)
 {
@@ -81,9 +82,10 @@
   task_enqueue (s, t);
 }
 
-/* Finds the worker of a place, or creates it if it has not been listed yet. */
+/* Finds the worker of a recorded place.  A worker that has not been listed yet
+   is created.  @lane is the enum queue_lane of the placed task. */
 static struct worker *
-replay_worker (struct sched *s, const struct place *p, int lane)
+find_or_add_worker (struct sched *s, const struct place *p, int lane)
 {
   struct worker *w = pool_worker (&s->pool, p->worker);
   struct inst in
@@ -98,7 +100,8 @@
   return w;
 }
 
-/* Places the task as recorded.  Its starts may have been sent. */
+/* Places the task on the recorded workers.  Its members are marked as sent,
+   since the earlier holder may have sent their starts. */
 static void
 replay_intent (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -113,7 +116,7 @@
     abort ();
   for (size_t i = 0; i < r->n_places; i++)
     {
-      picked[i] = replay_worker (s, &r->places[i], t->lane);
+      picked[i] = find_or_add_worker (s, &r->places[i], t->lane);
       clb_res_add (&picked[i]->used, &t->spec.need, 1);
     }
   task_place (s, t, picked);
@@ -127,6 +130,7 @@
   free (picked);
 }
 
+/* Ends the task with the recorded state. */
 static void
 replay_end (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -181,8 +185,8 @@
     }
 }
 
-/* Applies the records of a journal row or snapshot.  Returns 0, or an enum
-   clb_err if the text cannot be parsed. */
+/* Applies all records of a journal row's or a snapshot's text.  Returns 0, or
+   an enum clb_err if the text cannot be parsed. */
 static int
 replay_text (struct sched *s, const char *text)
 {
@@ -200,8 +204,10 @@
   return 0;
 }
 
+/* Handles the answer to the read of the snapshot row.  If the row is absent or
+   cannot be parsed, the journal is read from its first row. */
 static void
-load_snap_row (struct sched *s, const struct store_rep *rep)
+handle_snap_row (struct sched *s, const struct store_rep *rep)
 {
   struct snap_row snap;
   struct codec_err ce;
@@ -220,8 +226,9 @@
   s->journal.first_seq = snap.first_seq;
 }
 
+/* Handles the answer to the read of the snapshot's object. */
 static void
-load_snap_obj (struct sched *s, const struct store_rep *rep)
+handle_snap_obj (struct sched *s, const struct store_rep *rep)
 {
   char key[ROW_KEY_SIZE];
 
@@ -234,10 +241,10 @@
   s->load_step = LOAD_ROWS;
 }
 
-/* Sets load_after to the last key listed if the list goes on, else to NULL.
-   Returns whether it goes on. */
+/* Sets sched::load_after to the last key in the answer if the list has more
+   rows, else to NULL. Returns whether the list has more rows. */
 static bool
-load_more (struct sched *s, const struct store_rep *rep)
+set_list_position (struct sched *s, const struct store_rep *rep)
 {
   free (s->load_after);
   s->load_after = NULL;
@@ -247,29 +254,32 @@
   return true;
 }
 
+/* Handles the answer to a read of journal rows. */
 static void
-load_rows (struct sched *s, const struct store_rep *rep)
+handle_journal_rows (struct sched *s, const struct store_rep *rep)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     {
       const struct row *row = &rep->rows[i];
-      const char *num = strrchr (row->key, '/');
-      if (!row->value || !num)
+      const char *seq_text = strrchr (row->key, '/');
+      if (!row->value || !seq_text)
         continue;
       if (replay_text (s, row->value))
         s->stats.damaged_rows++;
-      s->journal.commit_seq = strtoll (num + 1, NULL, 10) + 1;
+      s->journal.commit_seq = strtoll (seq_text + 1, NULL, 10) + 1;
     }
-  if (!load_more (s, rep))
+  if (!set_list_position (s, rep))
     s->load_step = LOAD_GRANTS;
 }
 
+/* Handles the answer to a read of grant rows.  After the last of them the
+   scheduler is ready. */
 static void
-load_grants (struct sched *s, const struct store_rep *rep)
+handle_grant_rows (struct sched *s, const struct store_rep *rep)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     escrow_row (s, &rep->rows[i]);
-  if (load_more (s, rep))
+  if (set_list_position (s, rep))
     return;
   s->load_step = LOAD_DONE;
   s->phase = SCHED_READY;
@@ -289,16 +299,16 @@
   switch (s->load_step)
     {
     case LOAD_SNAP_ROW:
-      load_snap_row (s, rep);
+      handle_snap_row (s, rep);
       break;
     case LOAD_SNAP_OBJ:
-      load_snap_obj (s, rep);
+      handle_snap_obj (s, rep);
       break;
     case LOAD_ROWS:
-      load_rows (s, rep);
+      handle_journal_rows (s, rep);
       break;
     default:
-      load_grants (s, rep);
+      handle_grant_rows (s, rep);
       break;
     }
 }
--- a/core/place.c
+++ b/core/place.c
@@ -9,13 +9,14 @@
 
 enum
 {
-  /* Per dimension of which the whole capacity would be left over. */
-  SCORE_ONE = 1024,
-  /* For a worker with free accelerators if the task needs none. */
+  /* For each dimension whose whole capacity would be left over; a part of it
+     for a part of the capacity. */
+  SCORE_PER_DIMENSION = 1024,
+  /* For a worker that has free accelerators if the task needs none. */
   SCORE_ACCEL_WASTE = 8192,
-  /* Per other member on the same rack if the task is to be spread. */
+  /* For each other member on the worker's rack if the task is to be spread. */
   SCORE_SAME_RACK = 16384,
-  /* For the worker to be avoided. */
+  /* For the worker that is to be avoided. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -88,6 +89,7 @@
          && now_ms >= w->quarantine_until_ms;
 }
 
+/* Returns the worker's capacity that is not reserved. */
 static struct clb_res
 free_capacity (const struct worker *w)
 {
@@ -97,11 +99,12 @@
   return room;
 }
 
-/* The part of the worker's capacity that would be left over, summed over the
-   dimensions.  The lower it is, the tighter the fit. */
+/* Returns a score for the part of the worker's capacity that the member would
+   leave free, summed over the dimensions.  The lower the score, the tighter
+   the fit.  @room is the worker's free capacity. */
 static int64_t
-leftover (const struct worker *w, const struct clb_res *room,
-          const struct clb_res *need)
+leftover_score (const struct worker *w, const struct clb_res *room,
+                const struct clb_res *need)
 {
   int64_t score = 0;
 
@@ -109,14 +112,15 @@
     {
       int64_t size = clb_res_get (&w->inst.capacity, k);
       if (size > 0)
-        score += (clb_res_get (room, k) - clb_res_get (need, k)) * SCORE_ONE
-                 / size;
+        score += (clb_res_get (room, k) - clb_res_get (need, k))
+                 * SCORE_PER_DIMENSION / size;
     }
   if (room->accels > 0 && need->accels == 0)
     score += SCORE_ACCEL_WASTE;
   return score;
 }
 
+/* Returns how many of the @n workers picked are on the rack. */
 static int
 members_on_rack (const char *rack, struct worker *const *picked, int64_t n)
 {
@@ -127,16 +131,16 @@
   return found;
 }
 
-/* Whether the worker with most capacity left is preferred, rather than the
-   tightest fit.  Service requests are placed so, since the loss of one
-   executor then affects few of them. */
+/* Returns true if the worker with the most free capacity is to be preferred,
+   false if the tightest fit is.  Service requests go to the executor with the
+   most free capacity, so that the loss of one executor affects few of them. */
 static bool
 prefers_most_free (const struct spec *spec)
 {
   return spec->need.slots > 0 || spec->spread;
 }
 
-/* struct search - state of one call of pool_pick() */
+/* struct search - arguments and state of one call of pool_pick() */
 struct search
 {
   struct pool *pool;
@@ -148,18 +152,21 @@
   int64_t n_candidates;
 };
 
-/* Whether the worker is an executor if and only if the task needs slots. */
+/* Returns whether the worker is of the kind that the task needs: an executor
+   if the task needs slots, else a worker. */
 static bool
-right_kind (const struct worker *w, const struct spec *spec)
+kind_matches (const struct worker *w, const struct spec *spec)
 {
   return (w->inst.kind == INST_EXECUTOR) == (spec->need.slots > 0);
 }
 
+/* Returns the score of a worker that has free capacity @room for the next
+   member.  The worker with the lowest score is chosen. */
 static int64_t
-score_of (const struct search *s, const struct worker *w,
-          const struct clb_res *room)
+worker_score (const struct search *s, const struct worker *w,
+              const struct clb_res *room)
 {
-  int64_t score = leftover (w, room, &s->spec->need);
+  int64_t score = leftover_score (w, room, &s->spec->need);
 
   if (prefers_most_free (s->spec))
     score = -score;
@@ -171,10 +178,11 @@
   return score;
 }
 
-/* Chooses the best worker for one member, of @rack or of any if that is NULL.
-   Returns NULL if none has enough free capacity. */
+/* Chooses the worker with the lowest score for one member.  @rack is the rack
+   that it must be on; NULL: any rack.  Returns NULL if no worker has enough
+   free capacity. */
 static struct worker *
-pick_one (struct search *s, const char *rack)
+pick_worker (struct search *s, const char *rack)
 {
   struct worker *w;
   struct worker *best = NULL;
@@ -182,7 +190,7 @@
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      if (!pool_usable (w, s->now_ms) || !right_kind (w, s->spec))
+      if (!pool_usable (w, s->now_ms) || !kind_matches (w, s->spec))
         continue;
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
@@ -190,7 +198,7 @@
       struct clb_res room = free_capacity (w);
       if (!clb_res_fits (&s->spec->need, &room))
         continue;
-      int64_t score = score_of (s, w, &room);
+      int64_t score = worker_score (s, w, &room);
       if (!best || score < best_score)
         {
           best = w;
@@ -200,26 +208,28 @@
   return best;
 }
 
+/* Releases the capacity reserved on all workers picked so far and forgets
+   them. */
 static void
-unreserve (struct search *s)
+unreserve_picked (struct search *s)
 {
   for (int64_t i = 0; i < s->n_picked; i++)
     clb_res_add (&s->picked[i]->used, &s->spec->need, -1);
   s->n_picked = 0;
 }
 
-/* Chooses a worker for each member, of @rack or of any if that is NULL, and
-   reserves capacity.  Returns false and reserves nothing if one member does
-   not fit. */
+/* Chooses a worker for each member and reserves its capacity.  @rack is the
+   rack that the workers must be on; NULL: any rack.  Returns false, with
+   nothing reserved, if a member does not fit. */
 static bool
-pick_all (struct search *s, const char *rack)
+pick_all_members (struct search *s, const char *rack)
 {
   while (s->n_picked < s->spec->members)
     {
-      struct worker *w = pick_one (s, rack);
+      struct worker *w = pick_worker (s, rack);
       if (!w)
         {
-          unreserve (s);
+          unreserve_picked (s);
           return false;
         }
       s->picked[s->n_picked++] = w;
@@ -228,8 +238,9 @@
   return true;
 }
 
-/* Chooses workers for all members on one rack; false if no rack can hold
-   them. */
+/* Chooses workers for all members on the first rack that can hold them, and
+   reserves their capacity.  Returns false, with nothing reserved, if no rack
+   can. */
 static bool
 pick_same_rack (struct search *s)
 {
@@ -238,18 +249,19 @@
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      /* The ids of a rack's workers mostly follow each other, so most racks
-         are tried once only. */
+      /* Workers are in the order of their ids.  The ids of one rack's workers
+         mostly follow each other, so most racks are tried only once. */
       if (last_rack && strcmp (last_rack, w->inst.rack) == 0)
         continue;
       last_rack = w->inst.rack;
-      if (pick_all (s, last_rack))
+      if (pick_all_members (s, last_rack))
         return true;
     }
   return false;
 }
 
-/* Whether the listed workers could hold all members if nothing else ran. */
+/* Returns whether the listed workers could hold all members if nothing else
+   ran on them. */
 static bool
 could_ever_fit (struct pool *pool, const struct spec *spec)
 {
@@ -259,7 +271,7 @@
   RB_FOREACH (w, worker_tree, &pool->workers)
     {
       struct clb_res room = w->inst.capacity;
-      if (!w->listed || !right_kind (w, spec))
+      if (!w->listed || !kind_matches (w, spec))
         continue;
       for (; n_fit < spec->members && clb_res_fits (&spec->need, &room);
            n_fit++)
@@ -281,14 +293,14 @@
                       .picked = picked };
   bool found = spec->same_rack && spec->members > 1 && pick_same_rack (&s);
 
-  found = found || pick_all (&s, NULL);
+  found = found || pick_all_members (&s, NULL);
   *n_candidates = s.n_candidates;
   if (found)
     return spec->spread ? WHY_SPREAD : WHY_BEST_FIT;
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
-/* Adds @r to @sum, except for dimensions in which it is negative. */
+/* Adds @r to @sum, except in the dimensions in which @r is negative. */
 static void
 add_positive (struct clb_res *sum, const struct clb_res *r)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -10,53 +10,71 @@
 
 #include "msg.h"
 
-/* Ordered: recon.c compares the states. */
+/* The order matters, since recon.c compares the states. */
 enum worker_state
 {
-  /* No report in this epoch yet: gets no tasks. */
+  /* The worker has not answered a sync in this epoch yet.  It is given no
+     tasks. */
   WORKER_UNSEEN,
   WORKER_LIVE,
-  /* Reports are overdue: gets no tasks, its leases are still renewed. */
+  /* The worker's answers are overdue.  It is given no tasks, but the leases of
+     its tasks are still renewed. */
   WORKER_UNREACHABLE,
-  /* Its leases are no longer renewed and may not all have run out. */
+  /* The leases of the worker's tasks are no longer renewed.  Some may not have
+     run out yet. */
   WORKER_EXPIRING,
-  /* The leases of all its tasks have run out. */
+  /* The leases of all of the worker's tasks have run out. */
   WORKER_LOST,
 };
 
 struct member;
 
-/** struct worker - a worker or a service executor and what is placed on it */
+/**
+ * struct worker - a worker or a service executor
+ *
+ * The struct holds what is known of it and what is placed on it.
+ */
 struct worker
 {
   RB_ENTRY (worker) by_id;
-  struct inst inst;    /* as last listed */
-  int state;           /* enum worker_state */
-  bool listed;         /* in the platform's latest list of instances */
-  bool leaving;        /* so marked in the list or by its own report */
-  struct clb_res used; /* reserved for members, and for unknown_slots */
-  /* Slots of an executor that are in use for requests unknown here. */
+  /* Description in the platform's latest list that has it. */
+  struct inst inst;
+  int state; /* enum worker_state */
+  /* True if it is in the platform's latest list of instances. */
+  bool listed;
+  /* True if the list or its own report says that it is leaving. */
+  bool leaving;
+  /* Capacity reserved for members and for unknown_slots. */
+  struct clb_res used;
+  /* Number of an executor's slots that are in use for requests that the
+     scheduler does not know. */
   int64_t unknown_slots;
-  TAILQ_HEAD (, member) members; /* placed here and not ended */
-  int64_t boot;                  /* as last reported; 0: not yet */
+  /* Members that are placed on it and have not ended. */
+  TAILQ_HEAD (, member) members;
+  int64_t boot; /* boot that it last reported; 0: none yet */
   /* When it last answered a sync, or when it was first known. */
   int64_t last_contact_ms;
-  bool answered;             /* it has answered a sync in this epoch */
-  int64_t expiring_since_ms; /* when its state became WORKER_EXPIRING */
-  bool sync_due;             /* the next sync is to be sent without delay */
-  int64_t next_sync_ms;      /* when the next sync is sent at the latest */
+  bool answered; /* true once it has answered a sync in this epoch */
+  /* When its state last became WORKER_EXPIRING. */
+  int64_t expiring_since_ms;
+  bool sync_due; /* true if the next sync is to be sent without delay */
+  /* Time at which the next sync is sent at the latest. */
+  int64_t next_sync_ms;
   int64_t sync_sent_ms;
-  bool sync_outstanding; /* the latest sync is not answered yet */
+  bool sync_outstanding; /* true while the latest sync is not answered */
   int64_t sync_seq;      /* number of the latest sync */
-  struct run_id *acks;   /* ended runs that it may forget; owned */
+  /* Ended runs that the next sync lets it forget; owned. */
+  struct run_id *acks;
   size_t n_acks;
-  /* Runs that it reported and that belong to no task here: to be stopped;
-     owned. */
+  /* Runs that it reported and that belong to no known task.  The next sync
+     asks it to stop them.  Owned. */
   struct run_id *orphans;
   size_t n_orphans;
-  int fail_streak;             /* failures since its latest success */
-  int64_t quarantine_until_ms; /* gets no tasks before this time */
-  int64_t quarantine_ms;       /* length of the latest quarantine; 0: none */
+  int fail_streak; /* number of failures since its latest success */
+  /* It is given no tasks before this time; 0: never quarantined. */
+  int64_t quarantine_until_ms;
+  /* Length of the latest quarantine; 0: none since a success. */
+  int64_t quarantine_ms;
 };
 RB_HEAD (worker_tree, worker);
 RB_PROTOTYPE (worker_tree, worker, by_id, pool_worker_cmp)
@@ -72,10 +90,11 @@
 void pool_init (struct pool *pool);
 /** pool_clear() - Remove and free all workers. */
 void pool_clear (struct pool *pool);
-/** pool_worker() - Find a worker by its id; NULL if unknown. */
+/** pool_worker() - Find a worker by its id; returns NULL if unknown. */
 struct worker *pool_worker (struct pool *pool, const char *id);
 /**
- * pool_add() - Find or create the worker named by @inst and update its facts.
+ * pool_add() - Find or create a worker and set its description.
+ * @inst: description, which has the worker's id; copied
  *
  * Return: the worker, owned by the pool.
  */
@@ -83,18 +102,19 @@
 /** pool_remove() - Remove and free a worker that has no members. */
 void pool_remove (struct pool *pool, struct worker *w);
 
-/** pool_usable() - Whether @w may be given new work at @now_ms. */
+/** pool_usable() - Return whether @w may be given new work at @now_ms. */
 bool pool_usable (const struct worker *w, int64_t now_ms);
 
 /**
- * pool_pick() - Choose a worker for each of @spec's members, reserve capacity.
- * @avoid: id of a worker that is taken only if no other will do, or empty
+ * pool_pick() - Choose a worker for each member and reserve its capacity.
+ * @spec: the task
+ * @avoid: id of a worker that is chosen only if no other can be, or empty
  * @now_ms: current time
- * @picked: space for spec->members pointers
+ * @picked: array of spec->members pointers, set to the workers
  * @n_candidates: set to the number of candidates considered
  *
- * All members are placed or none.  Executors take only needs with slots,
- * workers only those without.
+ * Workers are chosen for all members or for none.  Executors are chosen only
+ * for tasks that need slots, workers only for the others.
  *
  * Return: %WHY_BEST_FIT or %WHY_SPREAD with the capacity reserved;
  * %WHY_NO_ROOM if there is not enough free capacity; %WHY_NO_WORKER_FITS if
@@ -103,14 +123,16 @@
 int pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
                int64_t now_ms, struct worker **picked, int64_t *n_candidates);
 
-/** struct pool_sum - what a domain's usable workers and executors offer */
+/** struct pool_sum - capacity of a domain's usable workers and executors */
 struct pool_sum
 {
-  struct clb_res free_capacity;  /* free capacity */
-  struct clb_res total_capacity; /* whole capacity */
-  struct clb_res largest_worker; /* most in each dimension of any one worker */
+  struct clb_res free_capacity; /* sum of the free capacity */
+  /* Sum of the whole capacity, free or used. */
+  struct clb_res total_capacity;
+  /* Largest capacity of any one worker, in each dimension by itself. */
+  struct clb_res largest_worker;
 };
-/** pool_summary() - Sum up the workers that are usable at @now_ms. */
+/** pool_summary() - Sum up the capacity of workers usable at @now_ms. */
 struct pool_sum pool_summary (struct pool *pool, int64_t now_ms);
 
 #endif
--- a/core/queue.c
+++ b/core/queue.c
@@ -10,28 +10,29 @@
 
 enum
 {
-  /* Tasks at the head of a team's queue that are tried in each class.  One of
-     them may start before blocked ones ahead of it. */
-  BACKFILL_MAX = 16,
-  /* Sizes that a round remembers as not fitting. */
-  BLOCKED_MAX = 16,
-  /* A task that is larger than every worker for this long is ended. */
+  /* Number of tasks at the head of each of a team's queues that are tried.  A
+     task among them may start before those ahead of it that cannot. */
+  BACKFILL_TASKS_MAX = 16,
+  /* Number of sizes that a placement round remembers as not fitting. */
+  BLOCKED_SIZES_MAX = 16,
+  /* A task that no worker is large enough for is ended after this time. */
   NEVER_FITS_MS = 120000,
-  /* Fixed-point value of a share of 1: the domain's whole capacity. */
+  /* Fixed-point value that stands for a share of 1, the domain's whole
+     capacity. */
   SHARE_ONE = 1 << 20,
 };
 
 /* struct round - sizes that did not fit in the current placement round */
 struct round
 {
-  struct clb_res blocked[BLOCKED_MAX];
+  struct clb_res blocked[BLOCKED_SIZES_MAX];
   int n_blocked;
 };
 
-/* Whether a size did not fit in this round that is within @spec's need in
-   every dimension. */
+/* Returns whether @spec cannot fit in this round: a size that did not fit is
+   no larger than its need in any dimension. */
 static bool
-round_too_large (const struct round *r, const struct spec *spec)
+round_is_blocked (const struct round *r, const struct spec *spec)
 {
   for (int i = 0; i < r->n_blocked; i++)
     if (clb_res_fits (&r->blocked[i], &spec->need))
@@ -39,11 +40,12 @@
   return false;
 }
 
-/* Remembers the size of a task that does not fit.  Gangs are left out. */
+/* Remembers the size of a task that did not fit in this round.  The size of a
+   gang is not remembered. */
 static void
 round_add_blocked (struct round *r, const struct spec *spec)
 {
-  if (r->n_blocked < BLOCKED_MAX && spec->members == 1)
+  if (r->n_blocked < BLOCKED_SIZES_MAX && spec->members == 1)
     r->blocked[r->n_blocked++] = spec->need;
 }
 
@@ -63,7 +65,8 @@
 const int64_t wait_bucket_ms[WAIT_BUCKETS]
     = { 10, 100, 500, 1000, 3600, 10000, 60000, 600000, INT64_MAX };
 
-/* Counts the time from accept to placement. */
+/* Counts the time from a task's accept to its placement in the wait
+   histogram. */
 static void
 count_wait (struct sched *s, const struct task *t)
 {
@@ -76,10 +79,11 @@
   s->stats.wait_sum_ms[t->class] += (uint64_t)ms;
 }
 
-/* Places a task on the picked workers, journals the intent. */
+/* Creates the task's members on the picked workers and journals the intent.
+   @reason is an enum clb_reason. */
 static void
-task_start (struct sched *s, struct task *t, struct worker **picked,
-            int reason, int64_t n_candidates)
+start_placed (struct sched *s, struct task *t, struct worker **picked,
+              int reason, int64_t n_candidates)
 {
   task_dequeue (t);
   task_place (s, t, picked);
@@ -101,10 +105,11 @@
   e->attempt = t->attempt;
 }
 
-/* Records why a task is not placed if the reason has changed. */
+/* Records why a task is not placed, unless the reason is the same as before.
+   @reason is an enum clb_reason. */
 static void
-note_blocked (struct sched *s, struct task *t, int reason,
-              int64_t n_candidates)
+set_wait_reason (struct sched *s, struct task *t, int reason,
+                 int64_t n_candidates)
 {
   if (t->reason == reason)
     return;
@@ -112,8 +117,9 @@
   task_event (s, t, reason, "", n_candidates);
 }
 
-/* Ends a task that no worker could hold for NEVER_FITS_MS.  A larger worker
-   might have been listed in that time. */
+/* Ends a task once no worker has been large enough for it for NEVER_FITS_MS.
+   It is not ended at once, since a larger worker might be listed in that
+   time. */
 static void
 end_if_never_fits (struct sched *s, struct task *t)
 {
@@ -124,7 +130,7 @@
     task_finish (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
 }
 
-/* Places the task if it can start now; returns whether it was. */
+/* Places the task if it can start now.  Returns whether it was placed. */
 static bool
 try_place (struct sched *s, struct round *r, struct task *t)
 {
@@ -137,10 +143,10 @@
     return false;
   if (!escrow_allows (s, t->team, &t->spec.need, t->spec.members))
     {
-      note_blocked (s, t, WHY_TEAM_LIMIT, 0);
+      set_wait_reason (s, t, WHY_TEAM_LIMIT, 0);
       return false;
     }
-  if (round_too_large (r, &t->spec))
+  if (round_is_blocked (r, &t->spec))
     return false;
   picked = calloc ((size_t)t->spec.members, sizeof *picked);
   if (!picked)
@@ -150,7 +156,7 @@
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
       round_add_blocked (r, &t->spec);
-      note_blocked (s, t, reason, n_candidates);
+      set_wait_reason (s, t, reason, n_candidates);
       if (reason == WHY_NO_WORKER_FITS)
         end_if_never_fits (s, t);
       else
@@ -159,15 +165,16 @@
         urgent_preempt (s, t);
     }
   else
-    task_start (s, t, picked, reason, n_candidates);
+    start_placed (s, t, picked, reason, n_candidates);
   free (picked);
   return reason != WHY_NO_ROOM && reason != WHY_NO_WORKER_FITS;
 }
 
-/* Places the first of the BACKFILL_MAX tasks at the head of a team's queue
-   that can start now.  Returns false if none can. */
+/* Places the first task that can start now among the BACKFILL_TASKS_MAX tasks
+   at the head of a team's queue.  Returns false if none can. */
 static bool
-place_first (struct sched *s, struct round *r, struct team *team, int class)
+place_first_startable (struct sched *s, struct round *r, struct team *team,
+                       int class)
 {
   struct task *t;
   struct task *next;
@@ -178,14 +185,14 @@
       next = TAILQ_NEXT (t, queued);
       if (try_place (s, r, t))
         return true;
-      if (++tried >= BACKFILL_MAX)
+      if (++tried >= BACKFILL_TASKS_MAX)
         return false;
     }
   return false;
 }
 
-/* A team's dominant share, its largest share of any resource, divided by its
-   weight; SHARE_ONE is the whole of @total. */
+/* Returns a team's dominant share, that is its largest share of any resource
+   in @total, divided by its weight.  SHARE_ONE stands for all of @total. */
 static int64_t
 team_share (const struct team *team, const struct clb_res *total)
 {
@@ -196,14 +203,15 @@
       int64_t amount = clb_res_get (total, k);
       if (amount <= 0)
         continue;
-      int64_t part = clb_res_get (&team->used, k) * SHARE_ONE / amount;
-      if (part > share)
-        share = part;
+      int64_t resource_share
+          = clb_res_get (&team->used, k) * SHARE_ONE / amount;
+      if (resource_share > share)
+        share = resource_share;
     }
   return share / team->weight;
 }
 
-/* Capacity of all listed workers and executors of the domain. */
+/* Returns the capacity of all listed workers and executors of the domain. */
 static struct clb_res
 total_capacity (struct sched *s)
 {
@@ -216,11 +224,12 @@
   return sum;
 }
 
-/* Places tasks of one class, each time from the team with the lowest share
-   that has a task which can start. */
+/* Places the waiting tasks of one class that can start.  Each is taken from
+   the team that has the lowest share among those with such a task.  @total is
+   the domain's whole capacity, @class an enum task_class. */
 static void
-place_class (struct sched *s, struct round *r, const struct clb_res *total,
-             int class)
+place_class_tasks (struct sched *s, struct round *r,
+                   const struct clb_res *total, int class)
 {
   struct team *team;
   struct team *teams[CONF_TEAMS_MAX];
@@ -235,7 +244,7 @@
       for (int i = 1; i < n_teams; i++)
         if (team_share (teams[i], total) < team_share (teams[best], total))
           best = i;
-      if (!place_first (s, r, teams[best], class))
+      if (!place_first_startable (s, r, teams[best], class))
         teams[best] = teams[--n_teams];
     }
 }
@@ -248,5 +257,5 @@
 
   s->dirty = false;
   for (int class = 0; class < CLASS_N; class ++)
-    place_class (s, &r, &total, class);
+    place_class_tasks (s, &r, &total, class);
 }
--- a/core/recon.c
+++ b/core/recon.c
@@ -1,9 +1,10 @@
 /*
  * Reconciliation of the tasks with what the workers run.  Each worker is sent
- * one sync at a time: it renews the leases of the worker's tasks and carries
- * starts, stops and acknowledgements.  The worker's report in the answer moves
- * the members on.  The members of a worker without reports end as lost once
- * their leases have certainly run out.
+ * one sync at a time, which renews the leases of the worker's tasks and
+ * carries starts, stops and acknowledgements.  The worker answers with a
+ * report of its runs, by which the states of its members are updated.  If a
+ * worker stops answering, its members end as lost once their leases have
+ * certainly run out.
  */
 #include "sched.h"
 
@@ -14,19 +15,22 @@
 {
   /* Allowance for clock rates that differ and pauses on either machine. */
   CLOCK_MARGIN_MS = 1000,
-  /* A worker is synced this long after a run's expected end. */
+  /* A worker is sent a sync this long after a run's expected end. */
   END_SLACK_MS = 10,
-  /* Shortest wait before a sync that is sent because of an expected end. */
-  SYNC_GAP_MS = 50,
-  /* Failures of a worker in a row that put it into quarantine. */
-  FAIL_STREAK_MAX = 4,
-  /* Length of a worker's first quarantine.  It doubles with each further one,
-     up to the maximum. */
-  QUARANTINE_MS = 10000,
+  /* Minimum delay before a sync that is sent because of a run's expected
+     end. */
+  END_SYNC_WAIT_MIN_MS = 50,
+  /* Number of failures in a row after which a worker is put into
+     quarantine. */
+  QUARANTINE_FAILURES = 4,
+  /* Length of a worker's first quarantine.  Each further one is twice as long
+     as the one before, up to QUARANTINE_MAX_MS. */
+  QUARANTINE_FIRST_MS = 10000,
   QUARANTINE_MAX_MS = 160000,
 };
 
-/* Adds @id to the list unless it is in it. */
+/* Appends run id @id to the array *@list of *@n ids, unless the array has it
+   already.  The array is reallocated; its owner frees it. */
 static void
 run_id_push (struct run_id **list, size_t *n, const char *id)
 {
@@ -47,9 +51,10 @@
 
 /* Sending. */
 
-/* The lease to be granted to all tasks of a worker in ms; 0 renews nothing. */
+/* Returns the length of the lease that a sync grants to all of a worker's
+   tasks, in ms; 0 if their leases are not renewed. */
 static int64_t
-lease_ms_for (const struct sched *s, const struct worker *w)
+task_lease_ms (const struct sched *s, const struct worker *w)
 {
   if (w->state == WORKER_EXPIRING || w->state == WORKER_LOST)
     return 0;
@@ -58,7 +63,7 @@
   return TASK_LEASE_MS;
 }
 
-/* Whether the start of a member may be sent now. */
+/* Returns whether the start of a member may be sent to its worker now. */
 static bool
 may_send_start (const struct sched *s, const struct worker *w,
                 const struct member *m)
@@ -66,7 +71,7 @@
   /* The team's limit may have been lowered since the task was placed. */
   if (m->task->team->frozen && task_unsent (m->task))
     return false;
-  /* The list of instances tells that a worker is leaving, the configuration
+  /* The list of instances shows that a worker is leaving, the configuration
      that a limit was lowered, so both must be current. */
   if (w->leaving || s->now_ms - s->list_ms >= LIST_FRESH_MS || !s->conf_fresh)
     return false;
@@ -74,7 +79,7 @@
          && w->state == WORKER_LIVE;
 }
 
-/* Adds the start of a member to a sync. */
+/* Adds the start of a member to a sync and marks it as sent. */
 static void
 sync_add_start (struct sync_req *req, struct member *m)
 {
@@ -94,8 +99,8 @@
   m->sent_seq = req->seq;
 }
 
-/* Advances the worker's next sync to the expected end of a running member, so
-   that its capacity is soon in use again. */
+/* Moves the worker's next sync forward to the expected end of a running
+   member, so that the capacity can be used again soon after the end. */
 static void
 sync_at_expected_end (const struct sched *s, struct worker *w,
                       const struct member *m)
@@ -104,13 +109,14 @@
 
   if (m->state != MEMBER_RUNNING || m->expected_end_ms <= s->now_ms)
     return;
-  if (at_ms < s->now_ms + SYNC_GAP_MS)
-    at_ms = s->now_ms + SYNC_GAP_MS;
+  if (at_ms < s->now_ms + END_SYNC_WAIT_MIN_MS)
+    at_ms = s->now_ms + END_SYNC_WAIT_MIN_MS;
   if (at_ms < w->next_sync_ms)
     w->next_sync_ms = at_ms;
 }
 
-/* Sends a sync with the starts, stops and acknowledgements that are due. */
+/* Sends the worker a sync with the starts, stops and acknowledgements that are
+   due. */
 static void
 sync_send (struct sched *s, struct worker *w)
 {
@@ -124,7 +130,7 @@
   clb_copy (req->holder, s->me, sizeof req->holder);
   req->epoch = s->epoch;
   req->seq = ++w->sync_seq;
-  req->lease_ms = lease_ms_for (s, w);
+  req->lease_ms = task_lease_ms (s, w);
   TAILQ_FOREACH (m, &w->members, on_worker)
     {
       if (w->inst.kind == INST_EXECUTOR)
@@ -135,8 +141,8 @@
       else if (m->state == MEMBER_STOP && s->may_start)
         run_id_push (&req->stops, &req->n_stops, id);
     }
-  /* A run that this scheduler does not know may be its successor's if its own
-     lease has lapsed, so it is not stopped. */
+  /* If this scheduler's own lease has lapsed, a run that it does not know may
+     have been started by its successor, so the run is not stopped. */
   size_t n_orphans = s->may_start ? w->n_orphans : 0;
   for (size_t i = 0; i < n_orphans; i++)
     run_id_push (&req->stops, &req->n_stops, w->orphans[i].id);
@@ -156,53 +162,55 @@
 
 /* Reports. */
 
-/* Finds the member that has the run id @run; NULL if the run is not of the
-   task's current attempt or not on this worker. */
+/* Finds the member with run id @run that is placed on the worker.  Returns
+   NULL if the task is unknown, the run belongs to another attempt, or the
+   member is placed on another worker. */
 static struct member *
-find_member (struct sched *s, const struct worker *w, const char *run)
+find_reported_member (struct sched *s, const struct worker *w, const char *run)
 {
   char id[CLB_ID_MAX];
-  char *attempt;
-  char *index;
+  char *attempt_text;
+  char *index_text;
 
   clb_copy (id, run, sizeof id);
-  index = strrchr (id, '/');
-  if (!index)
+  index_text = strrchr (id, '/');
+  if (!index_text)
     return NULL;
-  *index++ = '\0';
-  attempt = strrchr (id, '/');
-  if (!attempt)
+  *index_text++ = '\0';
+  attempt_text = strrchr (id, '/');
+  if (!attempt_text)
     return NULL;
-  *attempt++ = '\0';
+  *attempt_text++ = '\0';
   struct task *t = sched_task (s, id);
-  long i = strtol (index, NULL, 10);
-  if (!t || t->attempt != strtoll (attempt, NULL, 10) || i < 0
-      || i >= t->n_members)
+  long index = strtol (index_text, NULL, 10);
+  if (!t || t->attempt != strtoll (attempt_text, NULL, 10) || index < 0
+      || index >= t->n_members)
     return NULL;
-  struct member *m = &t->members[i];
+  struct member *m = &t->members[index];
   return strcmp (m->worker_id, w->inst.id) == 0 ? m : NULL;
 }
 
-/* Counts a failure against a worker; puts it into quarantine after
-   FAIL_STREAK_MAX in a row. */
+/* Counts a failure against a worker.  QUARANTINE_FAILURES in a row put the
+   worker into quarantine. */
 static void
-worker_failed (struct sched *s, struct worker *w)
+count_worker_failure (struct sched *s, struct worker *w)
 {
-  if (++w->fail_streak < FAIL_STREAK_MAX)
+  if (++w->fail_streak < QUARANTINE_FAILURES)
     return;
   /* After the quarantine, one more failure starts the next. */
-  w->fail_streak = FAIL_STREAK_MAX - 1;
-  w->quarantine_ms = w->quarantine_ms ? 2 * w->quarantine_ms : QUARANTINE_MS;
+  w->fail_streak = QUARANTINE_FAILURES - 1;
+  w->quarantine_ms
+      = w->quarantine_ms ? 2 * w->quarantine_ms : QUARANTINE_FIRST_MS;
   if (w->quarantine_ms > QUARANTINE_MAX_MS)
     w->quarantine_ms = QUARANTINE_MAX_MS;
   w->quarantine_until_ms = s->now_ms + w->quarantine_ms;
   sched_event (s, WHY_WORKER_QUARANTINED, "", "", w->inst.id, 0);
 }
 
-/* Takes back a failure that was counted against a worker and ends its
+/* Subtracts one failure that was counted against a worker and ends its
    quarantine. */
 static void
-worker_failure_undo (struct sched *s, struct worker *w)
+undo_worker_failure (struct sched *s, struct worker *w)
 {
   if (w->fail_streak > 0)
     w->fail_streak--;
@@ -212,27 +220,28 @@
   sched_event (s, WHY_WORKER_BACK, "", "", w->inst.id, 0);
 }
 
-/* Counts a failed run against its worker.  If the task's previous failure was
-   on another worker, the task is at fault and not the workers: this failure is
-   not counted, and the first one is taken back. */
+/* Counts a failed run of task @t against its worker @w.  If the task's
+   previous failure was on another worker, the task is at fault and not the
+   workers: this failure is not counted, and if the previous one was the task's
+   first, it is no longer counted either. */
 static void
-run_failed (struct sched *s, struct worker *w, struct task *t)
+count_run_failure (struct sched *s, struct worker *w, struct task *t)
 {
-  struct worker *first
+  struct worker *first_failed
       = *t->failed_on ? pool_worker (&s->pool, t->failed_on) : NULL;
 
   if (!*t->failed_on || strcmp (t->failed_on, w->inst.id) == 0)
-    worker_failed (s, w);
-  else if (first && t->failures == 1)
-    worker_failure_undo (s, first);
+    count_worker_failure (s, w);
+  else if (first_failed && t->failures == 1)
+    undo_worker_failure (s, first_failed);
   clb_copy (t->failed_on, w->inst.id, sizeof t->failed_on);
 }
 
 void
-recon_service_end (struct sched *s, struct worker *w, bool bad)
+recon_service_end (struct sched *s, struct worker *w, bool executor_failed)
 {
-  if (bad)
-    worker_failed (s, w);
+  if (executor_failed)
+    count_worker_failure (s, w);
   else
     {
       w->fail_streak = 0;
@@ -240,9 +249,10 @@
     }
 }
 
-/* A report lists the member as running. */
+/* Marks a member as running that a worker's report lists as running.  A member
+   that is being stopped stays in state MEMBER_STOP. */
 static void
-member_running (struct sched *s, struct member *m)
+set_member_running (struct sched *s, struct member *m)
 {
   struct task *t = m->task;
 
@@ -261,7 +271,7 @@
   sched_event (s, WHY_STARTED, t->id, t->team->name, m->worker_id, 0);
 }
 
-/* The enum member_end that an enum run_state stands for. */
+/* Returns the enum member_end for the enum run_state that ends the member. */
 static int
 member_end_of (const struct member *m, int run_state)
 {
@@ -276,14 +286,15 @@
     case RUN_REFUSED:
       return MEMBER_END_REFUSED;
     default:
-      /* The worker knows nothing of the run.  It may have run if an earlier
-         report has listed it as running. */
+      /* The worker does not know the run.  The member has run if an earlier
+         report listed it as running. */
       return m->was_running ? MEMBER_END_LOST : MEMBER_END_NOT_STARTED;
     }
 }
 
-/* Acknowledges an ended run once its end is durable, so that the worker
-   reports it until then. */
+/* Acknowledges an ended run to its worker once the open group, which has the
+   end's record, is durable.  Until a run is acknowledged, the worker goes on
+   reporting it. */
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
 {
@@ -292,18 +303,18 @@
   clb_copy (e->worker, w->inst.id, sizeof e->worker);
 }
 
-/* Handles one run of a worker's report. */
+/* Handles one of the runs that a worker's report lists. */
 static void
-run_report (struct sched *s, struct worker *w, const struct run *run)
+handle_reported_run (struct sched *s, struct worker *w, const struct run *run)
 {
-  struct member *m = find_member (s, w, run->id);
+  struct member *m = find_reported_member (s, w, run->id);
 
   if (m)
     m->reported_seq = w->sync_seq;
   if (run->state == RUN_RUNNING)
     {
       if (m && m->state != MEMBER_ENDED)
-        member_running (s, m);
+        set_member_running (s, m);
       else
         {
           run_id_push (&w->orphans, &w->n_orphans, run->id);
@@ -319,17 +330,18 @@
           w->quarantine_ms = 0;
         }
       if (run->state == RUN_FAILED || run->state == RUN_REFUSED)
-        run_failed (s, w, m->task);
+        count_run_failure (s, w, m->task);
       member_finish (s, m, member_end_of (m, run->state));
       task_evaluate (s, m->task);
     }
   ack_when_durable (s, w, run->id);
 }
 
-/* Notes a worker's first boot or its restart.  A worker that restarts forgets
-   every run that was sent to it, so the members placed on another boot end. */
+/* Sets the boot that a worker has reported, if it is the worker's first one or
+   the worker has restarted.  A worker that restarts forgets every run that was
+   sent to it, so the members placed during another boot end. */
 static void
-worker_boot (struct sched *s, struct worker *w, int64_t boot)
+set_worker_boot (struct sched *s, struct worker *w, int64_t boot)
 {
   struct member *m;
   struct member *next;
@@ -350,27 +362,28 @@
     }
 }
 
-/* Reserves the slots that an executor reports as busy beyond those of known
-   requests.  They are used by requests that an earlier holder granted or whose
-   entry instance is gone. */
+/* Reserves the slots that an executor reports as busy in excess of those of
+   known requests.  Those slots are used by requests that were granted by an
+   earlier holder, or whose entry instance has stopped. */
 static void
 count_unknown_slots (struct worker *w, int64_t busy)
 {
   struct member *m;
-  int64_t known = 0;
+  int64_t n_known = 0;
 
   TAILQ_FOREACH (m, &w->members, on_worker)
-    known++;
+    n_known++;
   w->used.slots -= w->unknown_slots;
-  w->unknown_slots = busy > known ? busy - known : 0;
+  w->unknown_slots = busy > n_known ? busy - n_known : 0;
   w->used.slots += w->unknown_slots;
 }
 
-/* Has every sent member stopped that the worker's report does not list.  Its
-   start was lost or may still arrive late; the answer to the stop rules out
-   that it starts. */
+/* Marks each member to be stopped that was sent to the worker by sync @seq or
+   earlier and is not listed in the worker's report.  The member's start was
+   lost or may still arrive late; the worker's answer to the stop rules out
+   that the member starts. */
 static void
-check_unlisted (struct worker *w, int64_t seq)
+stop_unlisted_members (struct worker *w, int64_t seq)
 {
   struct member *m;
 
@@ -384,9 +397,9 @@
     }
 }
 
-/* Notes that a worker has answered a sync. */
+/* Updates the worker's state because it has answered a sync. */
 static void
-worker_answered (struct sched *s, struct worker *w)
+set_worker_answered (struct sched *s, struct worker *w)
 {
   w->answered = true;
   w->last_contact_ms = s->now_ms;
@@ -410,7 +423,7 @@
       s->stats.sync_failures++;
       return;
     }
-  worker_answered (s, w);
+  set_worker_answered (s, w);
   w->leaving |= rep->leaving;
   if (w->inst.kind == INST_EXECUTOR)
     {
@@ -418,16 +431,16 @@
       return;
     }
   if (w->boot != rep->boot)
-    worker_boot (s, w, rep->boot);
+    set_worker_boot (s, w, rep->boot);
   for (size_t i = 0; i < rep->n_runs; i++)
-    run_report (s, w, &rep->runs[i]);
-  check_unlisted (w, seq);
+    handle_reported_run (s, w, &rep->runs[i]);
+  stop_unlisted_members (w, seq);
 }
 
 /* Workers that do not answer. */
 
-/* When the leases of all tasks of an expiring worker have certainly run out.
- */
+/* Returns the time at which the leases of all tasks of a worker in state
+   WORKER_EXPIRING have certainly run out. */
 static int64_t
 leases_end_ms (const struct worker *w, const struct sched *s)
 {
@@ -440,15 +453,17 @@
   return w->expiring_since_ms + wait;
 }
 
-/* Ends all members of a worker whose leases have run out. */
+/* Marks a worker as lost whose tasks' leases have all run out, and ends its
+   members. */
 static void
-worker_lost (struct sched *s, struct worker *w)
+set_worker_lost (struct sched *s, struct worker *w)
 {
   struct member *m;
 
   w->state = WORKER_LOST;
   sched_event (s, WHY_WORKER_LOST, "", "", w->inst.id, 0);
-  /* An executor's slots are released by the entry instances that use them. */
+  /* An executor's members do not end here: their slots are released by the
+     entry instances that use them. */
   if (w->inst.kind == INST_EXECUTOR)
     return;
   while ((m = TAILQ_FIRST (&w->members)))
@@ -460,9 +475,9 @@
     }
 }
 
-/* Updates the state of a worker by the time since its last report. */
+/* Updates the state of a worker by the time since its last answer. */
 static void
-check_contact (struct sched *s, struct worker *w)
+update_contact_state (struct sched *s, struct worker *w)
 {
   int64_t since_contact_ms = s->now_ms - w->last_contact_ms;
 
@@ -474,13 +489,14 @@
       w->expiring_since_ms = s->now_ms;
     }
   if (w->state == WORKER_EXPIRING && s->now_ms >= leases_end_ms (w, s))
-    worker_lost (s, w);
+    set_worker_lost (s, w);
 }
 
-/* Takes back a task that is placed on a leaving worker and was not yet sent to
-   it. */
+/* Ends the placement of a task that is placed on a leaving worker and was not
+   sent to it yet; the task is retried.  At most one task is handled in each
+   call. */
 static void
-withdraw_unsent (struct sched *s, struct worker *w)
+withdraw_unsent_task (struct sched *s, struct worker *w)
 {
   struct member *m;
 
@@ -490,7 +506,8 @@
         struct task *t = m->task;
         task_stop_members (s, t);
         task_evaluate (s, t);
-        /* The list of members has changed: others follow at later ticks. */
+        /* The worker's list of members has changed.  Its other tasks are
+           handled by later calls. */
         return;
       }
 }
@@ -503,9 +520,9 @@
 
   RB_FOREACH_SAFE (w, worker_tree, &s->pool.workers, next)
     {
-      check_contact (s, w);
+      update_contact_state (s, w);
       if (w->leaving && w->inst.kind == INST_WORKER)
-        withdraw_unsent (s, w);
+        withdraw_unsent_task (s, w);
       if (w->state == WORKER_LOST && !w->listed && !w->sync_outstanding
           && TAILQ_EMPTY (&w->members))
         {
--- a/core/sched.c
+++ b/core/sched.c
@@ -9,10 +9,10 @@
 
 enum
 {
-  /* Time between two checks of the tasks' time limits. */
-  EXPIRE_PERIOD_MS = 50,
-  /* With more tasks than this in memory, the oldest ended ones are forgotten
-     and no longer found by status calls. */
+  /* Time between two checks of all tasks' time limits. */
+  EXPIRE_CHECK_PERIOD_MS = 50,
+  /* If more tasks than this are in memory, the oldest ended tasks are
+     forgotten, and status calls no longer find them. */
   TASKS_RETAINED = 6000,
 };
 
@@ -170,9 +170,9 @@
   json_auto_t *list = json_array ();
   int64_t first = s->event_seq > EVENTS_MAX ? s->event_seq - EVENTS_MAX : 0;
 
-  for (int64_t n = first; n < s->event_seq; n++)
+  for (int64_t k = first; k < s->event_seq; k++)
     {
-      const struct event *e = &s->events[n % EVENTS_MAX];
+      const struct event *e = &s->events[k % EVENTS_MAX];
       if (strcmp (e->id, id) != 0)
         continue;
       json_t *item = codec_write (&event_desc, e);
@@ -201,8 +201,9 @@
 
 /* Timers. */
 
-/* Replies to the calls that have waited for the task as long as they may.
-   Calls for a service slot are answered when the request itself expires. */
+/* Replies to those waiting calls for a task's end whose expires_ms has passed.
+   A call for a service slot is answered when its request expires, so it is
+   left alone here. */
 static void
 expire_waiters (struct sched *s, struct task *t)
 {
@@ -220,13 +221,14 @@
     }
 }
 
-/* Gives up a pending task whose time limit has passed, or releases the slot
-   of a service request that was not released in time. */
+/* Cancels a pending task whose time limit has passed, or releases the slot of
+   a service request that was not released in time. */
 static void
 expire_task (struct sched *s, struct task *t)
 {
   if (!t->accept_durable)
-    return; /* expires at a later check, once its accept is durable */
+    /* The task expires at a later check, once its accept is durable. */
+    return;
   t->expires_ms = 0;
   if (t->in_queue)
     task_finish (s, t, TASK_CANCELLED, WHY_DEADLINE);
@@ -234,7 +236,7 @@
     service_release (s, t, TASK_UNKNOWN);
 }
 
-/* Checks the time limits of all tasks, every EXPIRE_PERIOD_MS. */
+/* Checks the time limits of all tasks, every EXPIRE_CHECK_PERIOD_MS. */
 static void
 expire_tasks (struct sched *s)
 {
@@ -243,7 +245,7 @@
 
   if (s->now_ms < s->next_expire_ms)
     return;
-  s->next_expire_ms = s->now_ms + EXPIRE_PERIOD_MS;
+  s->next_expire_ms = s->now_ms + EXPIRE_CHECK_PERIOD_MS;
   RB_FOREACH_SAFE (t, task_tree, &s->tasks, next)
     {
       if (!TAILQ_EMPTY (&t->waiters))
@@ -259,8 +261,8 @@
     }
 }
 
-/* Forgets the oldest ended task while more than TASKS_RETAINED tasks are in
-   memory, one in each call. */
+/* Forgets the oldest ended task if more than TASKS_RETAINED tasks are in
+   memory.  Each call forgets one at most. */
 static void
 forget_ended (struct sched *s)
 {
@@ -286,18 +288,18 @@
     w->listed = false;
   for (size_t i = 0; i < list->n_items; i++)
     {
-      const struct inst *in = &list->items[i];
-      int d = 0;
-      while (d < n_domains && strcmp (domains[d], in->domain) != 0)
-        d++;
-      if (d == n_domains && n_domains < CLB_DOMAINS_MAX)
-        clb_copy (domains[n_domains++], in->domain, CLB_NAME_MAX);
-      if (in->kind == INST_ENTRY || strcmp (in->domain, s->domain) != 0)
+      const struct inst *inst = &list->items[i];
+      int k = 0;
+      while (k < n_domains && strcmp (domains[k], inst->domain) != 0)
+        k++;
+      if (k == n_domains && n_domains < CLB_DOMAINS_MAX)
+        clb_copy (domains[n_domains++], inst->domain, CLB_NAME_MAX);
+      if (inst->kind == INST_ENTRY || strcmp (inst->domain, s->domain) != 0)
         continue;
-      w = pool_add (&s->pool, in);
+      w = pool_add (&s->pool, inst);
       w->listed = true;
-      w->leaving = in->leaving;
-      w->sync_due |= in->leaving;
+      w->leaving = inst->leaving;
+      w->sync_due |= inst->leaving;
       if (w->last_contact_ms == 0)
         w->last_contact_ms = s->now_ms;
     }
--- a/core/sched.h
+++ b/core/sched.h
@@ -27,47 +27,53 @@
 {
   /* A worker stops a task whose lease was not renewed for this long. */
   TASK_LEASE_MS = 15000,
-  /* A start is sent only if the list of instances is younger than this. */
+  /* A member's start is sent only if the platform's list of instances was
+     requested less than this long ago. */
   LIST_FRESH_MS = 3000,
-  /* Bytes of a table row's key with NUL. */
+  /* Bytes of a table row's key, with the final NUL. */
   ROW_KEY_SIZE = 256,
-  /* Wait before a failed read or write of the journal is repeated. */
+  /* Delay before a failed read or write of the journal is repeated. */
   JOURNAL_RETRY_MS = 200,
   /* Default number of journal rows between two snapshots. */
   SNAP_EVERY_ROWS = 1000,
   /* Longest time between two syncs with one worker. */
   SYNC_PERIOD_MS = 2000,
-  /* A sync without an answer fails after this, its connection is closed. */
+  /* A sync that is not answered within this time fails, and its connection is
+     closed. */
   SYNC_TIMEOUT_MS = 2000,
-  /* A worker without a report for this long gets no new tasks. */
+  /* A worker that has not answered a sync for this long is given no new
+     tasks. */
   WORKER_UNREACHABLE_MS = 5000,
-  /* The leases of a worker without a report for this long are not renewed. */
+  /* The task leases of a worker that has not answered a sync for this long are
+     no longer renewed. */
   WORKER_EXPIRING_MS = 10000,
-  /* After its own lease has lapsed, a scheduler goes on renewing the leases
-     of its tasks for this long. */
+  /* A scheduler whose own lease has lapsed continues to renew the leases of
+     its tasks for this long. */
   LAPSED_RENEW_MS = 60000,
-  /* Failures of the task itself after which it is not retried. */
+  /* A task whose own runs have failed this many times is not retried. */
   TASK_FAILURES_MAX = 3,
-  /* Most tasks kept in memory, ended ones included. */
+  /* Maximum number of tasks in memory, including ended ones; new work is
+     refused beyond it. */
   TASKS_MAX = 200000,
-  /* A slot that nobody released counts as free this long after the longest
-     run time of its request. */
+  /* A service slot that was not released counts as free this long after the
+     longest run time of its request. */
   SERVICE_GRACE_MS = 5000,
 };
 
 /** enum member_state - what is known of a member on its worker */
 enum member_state
 {
-  /* Not sent yet.  The start is sent once, when the intent is durable. */
+  /* The start was not sent yet.  It is sent once, when the intent is
+     durable. */
   MEMBER_INTENT,
   /* The start was sent and may or may not have reached the worker. */
   MEMBER_SENT,
   /* The worker has reported that it runs. */
   MEMBER_RUNNING,
-  /* The worker is asked to stop it until a report shows that it has ended
-     or that it never started. */
+  /* The worker is asked by its syncs to stop the member, until a report shows
+     that it has ended or that it never started. */
   MEMBER_STOP,
-  /* It certainly does not run and will not start any more. */
+  /* The member certainly does not run and will never start. */
   MEMBER_ENDED,
 };
 
@@ -76,16 +82,21 @@
 {
   MEMBER_END_OK,
   MEMBER_END_FAILED,
-  MEMBER_END_STOPPED,     /* stopped after it had started */
-  MEMBER_END_NOT_STARTED, /* never started and never will */
+  MEMBER_END_STOPPED,     /* the worker stopped it after it had started */
+  MEMBER_END_NOT_STARTED, /* it never started and never will */
   MEMBER_END_REFUSED,     /* the worker refused to start it */
-  /* May have run; its lease has run out or its worker has restarted. */
+  /* The member may have run; its lease has run out or its worker has
+     restarted. */
   MEMBER_END_LOST,
 };
 
 struct task;
 
-/** struct member - a run of a placed task on one worker; a gang has several */
+/**
+ * struct member - one run of a placed task on one worker
+ *
+ * A task has one member, a gang has several.
+ */
 struct member
 {
   TAILQ_ENTRY (member) on_worker;
@@ -96,8 +107,8 @@
   int index;        /* position in the task's members */
   int state;        /* enum member_state */
   int end;          /* enum member_end, valid in state MEMBER_ENDED */
-  bool was_running; /* a report has shown it running */
-  /* Expected end by the declared run time; 0 when that is not known. */
+  bool was_running; /* true once a report has listed it as running */
+  /* Time of the expected end by the declared run time; 0: not known. */
   int64_t expected_end_ms;
   int64_t sent_seq;     /* number of the sync that carried the start */
   int64_t reported_seq; /* number of the latest sync whose report lists it */
@@ -109,9 +120,11 @@
   TAILQ_ENTRY (waiter) link;
   char entry[CLB_ID_MAX]; /* entry instance that called; empty: no reply */
   int64_t call_seq;       /* number of the call, echoed in the reply */
-  /* Clock of the entry instance when it last sent the call; echoed. */
+  /* Time on the entry instance's clock when it last sent the call; echoed in
+     the reply to a call for a service slot. */
   int64_t call_sent_ms;
-  /* The reply is given by then at the latest; not used for a service slot. */
+  /* A call for a task's end is answered at this time at the latest.  Not used
+     for a service slot. */
   int64_t expires_ms;
 };
 TAILQ_HEAD (waiter_list, waiter);
@@ -131,34 +144,43 @@
   int class; /* enum task_class */
   int lane;  /* enum queue_lane */
   bool idempotent;
-  /* Written to the journal.  Otherwise lost when the scheduler changes. */
+  /* True if the task is written to the journal.  A task that is not is lost
+     when another instance becomes the holder. */
   bool recorded;
-  /* The accept is in the table, or need not be as nothing is recorded. */
+  /* The accept record is durable, or the task is not recorded. */
   bool accept_durable;
-  bool in_queue; /* linked by queued */
-  bool in_ended; /* linked by ended */
+  bool in_queue; /* true while the task is in its team's queue */
+  bool in_ended; /* true while the task is in sched::ended */
   bool cancelled;
-  bool end_durable; /* the end is in the table */
-  /* The end was decided; it may not be durable yet. */
+  bool end_durable; /* the end record is durable */
+  /* The task has ended; the end record may not be durable yet. */
   bool end_decided;
-  bool intent_durable; /* the latest intent is in the table */
+  bool intent_durable; /* the latest intent record is durable */
   int state;           /* enum task_state */
-  int reason;          /* enum clb_reason of the latest decision */
+  int reason;          /* enum clb_reason of the latest decision about it */
   int64_t attempt;     /* number of the current or next attempt, from 0 */
   int64_t failures;    /* runs that the worker reported as failed */
   char failed_on[CLB_ID_MAX]; /* worker of the latest failure, or empty */
   int64_t accepted_ms;
-  int64_t placed_ms;       /* time of the latest placement */
-  int64_t no_fit_since_ms; /* since when no worker is large enough, or 0 */
-  int64_t n_preemptions;   /* times that it was preempted by urgent tasks */
-  bool being_preempted;    /* it is being stopped for an urgent task */
-  int64_t last_preempt_ms; /* when it last preempted other tasks, or 0 */
-  int64_t not_before_ms;   /* earliest start of the next attempt, or 0 */
-  /* A pending task is given up then, a service request's slot is free then;
-     0 for never. */
+  int64_t placed_ms; /* time of the latest placement */
+  /* Since when no listed worker is large enough for it; 0: not known to be
+     so. */
+  int64_t no_fit_since_ms;
+  /* Number of times that it was preempted for urgent tasks. */
+  int64_t n_preemptions;
+  /* True while it is being stopped for an urgent task. */
+  bool being_preempted;
+  /* When other tasks were last preempted for it; 0: never. */
+  int64_t last_preempt_ms;
+  /* Earliest time of the next placement; 0: at once. */
+  int64_t not_before_ms;
+  /* Time at which the task is cancelled if it is still pending, or at which
+     the slot of a service request counts as free if it was not released; 0:
+     never. */
   int64_t expires_ms;
-  struct member *members; /* n_members of them, owned; NULL unless placed */
-  int64_t n_members;      /* 0 unless placed */
+  /* Array of n_members, owned; NULL unless placed. */
+  struct member *members;
+  int64_t n_members; /* 0 unless placed */
   struct waiter_list waiters;
 };
 RB_HEAD (task_tree, task);
@@ -171,30 +193,43 @@
   RB_ENTRY (team) by_name;
   char name[CLB_NAME_MAX];
   int64_t weight;
-  /* Upper limit for all domains together; 0 for a team that is not in the
-     manifest. */
+  /* Upper limit for all domains together; all zero for a team that is not in
+     the configuration. */
   struct clb_res limit;
-  struct clb_res used;    /* by members placed in this domain */
+  struct clb_res used;    /* capacity used by members placed in this domain */
   struct clb_res granted; /* this domain's part of the limit */
-  struct grant_row row;   /* all domains' parts, as last read or written */
-  int64_t row_ver;        /* version of that row in the table; 0: absent */
-  /* The row is believed current; otherwise it is read before it is used. */
+  /* Copy of the team's grant row, which holds all domains' parts, as last read
+     or written. */
+  struct grant_row row;
+  /* Version of the grant row in the table; 0: no such row. */
+  int64_t row_ver;
+  /* True if the copy of the grant row is believed to be current; otherwise the
+     row is read before the next decision. */
   bool row_known;
-  struct clb_res last_limit; /* limit of the previous configuration */
-  /* The parts may add up to more than the limit: nothing new is started. */
+  /* Limit as of the latest configuration that was applied, to find out whether
+     a new one lowers it. */
+  struct clb_res last_limit;
+  /* True if the domains' parts may add up to more than the limit; no task of
+     the team is started then. */
   bool frozen;
-  /* The row must be written again with the new configuration's version. */
+  /* True if the grant row must be written again so that it carries the version
+     of the configuration in force. */
   bool rewrite_due;
-  bool want_written;     /* the row as last written asks for a larger part */
-  bool wants_more;       /* tasks wait for a larger part */
-  struct clb_res demand; /* needed to run all of the team's waiting tasks */
-  uint64_t op_token;     /* token of the outstanding store operation, or 0 */
-  int op_kind;           /* enum store_kind of that operation */
-  struct clb_res op_granted; /* the part if the outstanding write succeeds */
-  int64_t next_op_ms;        /* no store operation before this time */
-  int64_t idle_since_ms;     /* last change of used, or last shortage */
+  /* The grant row as last written says that this domain wants more. */
+  bool want_written;
+  /* True if tasks wait for a larger part of the limit here. */
+  bool wants_more;
+  /* Capacity that the team would use here if its waiting tasks ran. */
+  struct clb_res demand;
+  uint64_t op_token; /* token of the outstanding store operation, or 0 */
+  int op_kind;       /* enum store_kind of the outstanding store operation */
+  /* This domain's part once the outstanding write succeeds. */
+  struct clb_res op_granted;
+  int64_t next_op_ms; /* no store operation before this time */
+  /* Time of the last change of used, or of the last shortage. */
+  int64_t idle_since_ms;
   struct task_list queue[CLASS_N];
-  int64_t waiting; /* tasks in all queues */
+  int64_t waiting; /* number of tasks in all of the team's queues */
 };
 RB_HEAD (team_tree, team);
 
@@ -208,8 +243,8 @@
   EFFECT_REPLY,  /* send the reply */
   EFFECT_ACCEPT, /* queue the task for placement */
   EFFECT_INTENT, /* send the starts of the task's members */
-  EFFECT_ACK,    /* tell the worker that it may forget an ended run */
-  EFFECT_END,    /* replies may report the task's end */
+  EFFECT_ACK,    /* tell the worker that it may forget the ended run */
+  EFFECT_END,    /* allow replies to report the task's end */
   EFFECT_DROP,   /* free the task */
 };
 
@@ -218,11 +253,12 @@
 {
   TAILQ_ENTRY (effect) link;
   int kind;                /* enum effect_kind */
-  char id[CLB_ID_MAX];     /* of the task; of the run for EFFECT_ACK */
-  char worker[CLB_ID_MAX]; /* of EFFECT_ACK */
-  int64_t attempt;         /* of EFFECT_INTENT */
-  char entry[CLB_ID_MAX];  /* of EFFECT_REPLY: the receiver */
-  struct reply reply;      /* of EFFECT_REPLY */
+  char id[CLB_ID_MAX];     /* id of the task, or of the run for EFFECT_ACK */
+  char worker[CLB_ID_MAX]; /* EFFECT_ACK: id of the worker */
+  int64_t attempt; /* EFFECT_INTENT: the attempt whose intent is written */
+  /* EFFECT_REPLY: id of the receiving entry instance. */
+  char entry[CLB_ID_MAX];
+  struct reply reply; /* EFFECT_REPLY: the reply to be sent */
 };
 TAILQ_HEAD (effect_list, effect);
 
@@ -230,40 +266,49 @@
 struct group
 {
   struct journal_row row;
-  size_t recs_cap; /* records that row.recs has space for */
+  size_t recs_cap; /* number of records that row.recs has space for */
   struct effect_list effects;
 };
 
 /** struct journal - write side of the domain's journal */
 struct journal
 {
-  /* Every write has the condition that this row has this version. */
+  /* Key of the domain's epoch row.  Every write has the condition that this
+     row still has the version epoch_ver. */
   char epoch_key[CLB_ID_MAX];
   int64_t epoch_ver;
-  int64_t commit_seq;  /* number of the next row, or of that being written */
-  struct group open;   /* group that collects new records */
-  struct group commit; /* group that is being written */
-  bool commit_in_progress; /* the write of that group is not complete */
-  uint64_t commit_token;   /* of that write, 0 when none is outstanding */
-  int64_t commit_sent_ms;  /* when that write was sent */
-  int64_t
-      commit_retry_at_ms; /* when a failed write is repeated; 0: none failed */
-  int64_t opened_ms;      /* time of the open group's first record */
-  int64_t first_seq;      /* number of the oldest row kept in the table */
-  int64_t snap_seq;       /* last row covered by the latest snapshot */
-  int snap_step;          /* enum snap_step, in journal.c */
-  uint64_t snap_token;    /* of the outstanding snapshot write, or 0 */
-  char *snap_text;       /* snapshot that is not yet written, or NULL; owned */
-  int64_t snap_last_seq; /* last row covered by the snapshot in progress */
-  int64_t snap_retry_at_ms; /* no new snapshot before this time */
-  int64_t nonce;            /* number of the latest group's nonce */
+  /* Number of the journal row that the commit group is written as; while no
+     commit is in progress, the number of the next row. */
+  int64_t commit_seq;
+  struct group open;       /* group that collects new records */
+  struct group commit;     /* group that is being written */
+  bool commit_in_progress; /* true until the commit group is durable */
+  /* Token of the outstanding write of the commit group, or 0. */
+  uint64_t commit_token;
+  /* When the commit group was last sent to the table. */
+  int64_t commit_sent_ms;
+  /* Time at which the failed write of the commit group is repeated; 0: the
+     write has not failed. */
+  int64_t commit_retry_at_ms;
+  int64_t opened_ms; /* when the open group got its first record */
+  int64_t first_seq; /* number of the oldest row kept in the table */
+  int64_t snap_seq;  /* last row covered by the latest snapshot */
+  int snap_step;     /* enum snap_step, in journal.c */
+  /* Token of the outstanding write for the snapshot, or 0. */
+  uint64_t snap_token;
+  /* Text of a snapshot that is made and not yet sent, or NULL; owned. */
+  char *snap_text;
+  int64_t snap_last_seq;    /* last row covered by the snapshot in progress */
+  int64_t snap_retry_at_ms; /* no new snapshot is made before this time */
+  int64_t nonce; /* number in the nonce of the latest group committed */
 };
 
 enum sched_phase
 {
   SCHED_LOADING, /* reading snapshot, journal and grants */
   SCHED_READY,
-  SCHED_SUPERSEDED, /* a write's condition failed: another epoch has begun */
+  /* The condition of a write failed: another epoch has begun. */
+  SCHED_SUPERSEDED,
 };
 
 enum
@@ -272,16 +317,17 @@
 };
 
 /* Upper bounds of the wait histogram's buckets in ms, each inclusive.  The
-   last bucket has no bound. */
+   last bucket has no upper bound. */
 extern const int64_t wait_bucket_ms[WAIT_BUCKETS];
 
 /** struct sched_stats - counters since the scheduler was created */
 struct sched_stats
 {
-  /* Tasks by class and time from accept to first placement. */
+  /* Number of tasks by enum task_class and by time from accept to first
+     placement. */
   uint64_t waits[CLASS_N][WAIT_BUCKETS];
   uint64_t wait_sum_ms[CLASS_N];
-  uint64_t reasons[WHY_N]; /* decisions by reason */
+  uint64_t reasons[WHY_N]; /* number of decisions by enum clb_reason */
   uint64_t groups;         /* journal rows whose write was begun */
   uint64_t records;        /* journal records added */
   uint64_t group_retries;  /* failed writes of a journal row */
@@ -296,22 +342,28 @@
 {
   char domain[CLB_NAME_MAX];
   char me[CLB_ID_MAX]; /* id of this instance, the holder */
-  int64_t boot;        /* of this instance */
+  int64_t boot;        /* boot of this instance */
   int64_t epoch;
   int phase;          /* enum sched_phase */
-  int64_t now_ms;     /* time of the current input */
+  int64_t now_ms;     /* time of the input that is being handled */
   int64_t started_ms; /* when the scheduler was created */
-  /* The holder's lease is valid.  Set before each input. */
+  /* True if this instance's lease of the domain is valid.  It is set before
+     each input. */
   bool may_start;
-  bool store_up;   /* the table answered the holder's latest operation */
-  bool conf_fresh; /* the configuration is known to be current */
+  /* True if the table service answered this instance's latest operation. */
+  bool store_up;
+  bool conf_fresh; /* true if the configuration is known to be current */
   /* When may_start became false; 0 while it is true. */
   int64_t lapsed_since_ms;
-  bool stopping; /* being handed over: nothing new is placed */
-  /* Free capacity or a queue changed since the last placement round. */
+  /* True while the domain is being handed over; nothing new is placed then. */
+  bool stopping;
+  /* True if free capacity or a queue changed since the last placement
+     round. */
   bool dirty;
-  int64_t last_id;         /* number in the latest task id of this epoch */
-  int64_t next_expire_ms;  /* next check of the tasks' time limits */
+  /* Number in the latest task id given in this epoch; 0: none yet. */
+  int64_t last_id;
+  /* Time of the next check of the tasks' time limits. */
+  int64_t next_expire_ms;
   int64_t snap_every;      /* journal rows between two snapshots */
   int n_domains;           /* failure domains that share the teams' limits */
   const struct conf *conf; /* borrowed */
@@ -323,25 +375,34 @@
   struct request_tree requests;
   struct team_tree teams;
   struct task_list ended; /* recorded tasks that have ended, oldest first */
-  size_t n_tasks;         /* in tasks */
+  size_t n_tasks;         /* number of tasks in the tree tasks */
   struct journal journal;
   struct sched_stats stats;
-  uint64_t load_token;      /* of the outstanding read at loading, or 0 */
-  int load_step;            /* enum load_step, in load.c */
-  int64_t load_retry_at_ms; /* no read at loading before this time */
-  /* Where loading goes on: the snapshot's object or the last key listed;
-     NULL for the start of a list.  Owned. */
+  /* Token of the outstanding read while loading, or 0. */
+  uint64_t load_token;
+  int load_step; /* enum load_step, in load.c */
+  /* While loading, nothing is read before this time. */
+  int64_t load_retry_at_ms;
+  /* Position of the next read while loading: the name of the snapshot's
+     object, or the last key of the list read so far; NULL: the list is read
+     from its start.  Owned. */
   char *load_after;
   int64_t list_ms; /* when the latest list of instances was requested */
-  uint64_t want_read_token;  /* of the outstanding read of want rows, or 0 */
-  uint64_t want_write_token; /* of the outstanding write of ours, or 0 */
-  int64_t next_want_ms;      /* next read of the want rows */
-  int64_t want_read_ms;      /* when the latest read was sent */
-  char *want_written; /* this domain's want row as last written; owned */
-  /* Every entry instance has reported the slots that it uses. */
+  /* Token of the outstanding read of want rows, or 0. */
+  uint64_t want_read_token;
+  /* Token of the outstanding write of this domain's want row, or 0. */
+  uint64_t want_write_token;
+  /* Time of the next read of all domains' want rows. */
+  int64_t next_want_ms;
+  int64_t want_read_ms; /* when the latest read of the want rows was sent */
+  /* Text of this domain's want row as last written, or NULL; owned. */
+  char *want_written;
+  /* True once every entry instance has reported the service slots that it
+     uses. */
   bool slots_known;
-  int64_t event_seq;    /* number of the latest event; 0: none yet */
-  struct event *events; /* ring buffer of the latest EVENTS_MAX; owned */
+  int64_t event_seq; /* number of the latest decision event; 0: none yet */
+  /* Ring buffer of the latest EVENTS_MAX events; owned. */
+  struct event *events;
 };
 
 /* sched.c and calls.c: interface to the node */
@@ -373,6 +434,7 @@
 void sched_conf (struct sched *s, const struct conf *conf);
 /**
  * sched_instances() - Apply the platform's list of instances.
+ * @list: the list, copied as far as it is needed
  * @requested_ms: when the list was requested
  */
 void sched_instances (struct sched *s, const struct inst_list *list,
@@ -380,18 +442,22 @@
 /**
  * sched_call() - Handle a call; the reply may be sent much later.
  * @entry: id of the entry instance that calls
+ * @c: the call, copied as far as it is needed
  */
 void sched_call (struct sched *s, const char *entry, const struct call *c);
 /**
  * sched_used_slots() - Reserve slots that an entry instance still uses.
+ * @held: the slots, as the entry instance has reported them
  *
  * A slot is skipped if its task is known already or its executor is not.
  */
 void sched_used_slots (struct sched *s, const struct held_list *held);
 /**
  * sched_store() - Handle the answer to a store operation.
+ * @token: token of the operation
+ * @rep: the answer
  *
- * Return: whether @token belongs to an operation of the scheduler.
+ * Return: true if @token belongs to an operation of the scheduler.
  */
 bool sched_store (struct sched *s, uint64_t token,
                   const struct store_rep *rep);
@@ -399,7 +465,7 @@
  * sched_sync() - Handle a worker's answer to a sync.
  * @worker: id of the worker
  * @seq: number of the sync
- * @rep: the answer, NULL when none came
+ * @rep: the answer; NULL: the sync failed
  */
 void sched_sync (struct sched *s, const char *worker, int64_t seq,
                  const struct sync_rep *rep);
@@ -409,7 +475,7 @@
  * To be called after every input.
  */
 void sched_tick (struct sched *s);
-/** sched_idle() - Whether every journal record added is durable. */
+/** sched_idle() - Return whether every journal record added is durable. */
 bool sched_idle (const struct sched *s);
 
 /** sched_task() - Find a task by its id; NULL if unknown. */
@@ -422,41 +488,47 @@
  * @id: task that it is about, or empty
  * @team: name of the task's team, or empty
  * @where: worker, executor or instance that it is about, or empty
- * @detail: number of candidates considered, of tasks preempted for
- *          %WHY_MAKES_ROOM
+ * @detail: number of candidates considered for a placement, number of tasks
+ *          preempted for %WHY_PREEMPTING, else 0
  */
 void sched_event (struct sched *s, int reason, const char *id,
                   const char *team, const char *where, int64_t detail);
-/** sched_why() - A task's decisions as JSON text that the caller frees. */
+/**
+ * sched_why() - Write the decisions about a task as JSON text.
+ * @id: id of the task
+ *
+ * Return: the text, which the caller frees.
+ */
 char *sched_why (struct sched *s, const char *id);
 
 /* The rest is internal to the scheduler's files. */
 
 enum
 {
-  /* Decisions kept for sched_why(). */
+  /* Number of decision events kept for sched_why(). */
   EVENTS_MAX = 16384,
 };
 
 /**
- * task_new() - Create a task, known by its id.
+ * task_new() - Create a task and add it to sched::tasks.
+ * @id: id of the task
  * @team: name of its team
  *
  * Return: the task, owned by the scheduler and freed by task_free().
  */
 struct task *task_new (struct sched *s, const char *id, const char *team);
-/** task_free() - Remove a task from all lists, release its capacity. */
+/** task_free() - Free a task, its members and the capacity they reserve. */
 void task_free (struct sched *s, struct task *t);
 /** task_enqueue() - Make the task pending, last in its team's queue. */
 void task_enqueue (struct sched *s, struct task *t);
 /** task_dequeue() - Remove the task from its team's queue if it is in it. */
 void task_dequeue (struct task *t);
 /**
- * task_place() - Create the task's members.
+ * task_place() - Create the task's members on the workers chosen for them.
  * @picked: a worker for each member, on which capacity is reserved already
  */
 void task_place (struct sched *s, struct task *t, struct worker **picked);
-/** task_unplace() - Free the task's members and their capacity. */
+/** task_unplace() - Free the task's members and the capacity they reserve. */
 void task_unplace (struct sched *s, struct task *t);
 /**
  * task_evaluate() - End or retry a task according to its members' states.
@@ -465,10 +537,15 @@
  * may be freed.
  */
 void task_evaluate (struct sched *s, struct task *t);
-/** task_stop_members() - Have every member that has not ended stopped. */
+/**
+ * task_stop_members() - Stop every member that has not ended.
+ *
+ * A member whose start was not sent ends at once; for the others the next
+ * syncs ask their workers to stop them.
+ */
 void task_stop_members (struct sched *s, struct task *t);
 /**
- * task_finish() - End a task, answer its waiters.
+ * task_finish() - End a task and answer its waiters.
  * @state: final enum task_state
  * @reason: enum clb_reason
  *
@@ -482,17 +559,27 @@
  */
 void task_answer_waiters (struct sched *s, struct task *t);
 /**
- * member_finish() - Note that a member does not run; release its capacity.
+ * member_finish() - Mark a member as ended and release its capacity.
  * @end: enum member_end
  */
 void member_finish (struct sched *s, struct member *m, int end);
-/** member_run_id() - The member's run id: task, attempt and index. */
+/**
+ * member_run_id() - Write the member's run id.
+ * @out: set to the id, made of the task's id, the attempt and the index
+ */
 void member_run_id (const struct member *m, char out[CLB_ID_MAX]);
-/** task_unsent() - Whether the task is placed and no start was sent. */
+/**
+ * task_unsent() - Return whether a task is placed and no start was sent.
+ *
+ * It is never true of a service request, which has no start to be sent.
+ */
 bool task_unsent (const struct task *t);
-/** sched_withdraw() - Requeue the placed tasks of @team not yet sent. */
+/** sched_withdraw() - Requeue all tasks of @team that are task_unsent(). */
 void sched_withdraw (struct sched *s, struct team *team);
-/** sched_reply() - Send a reply to @entry; nothing if that is empty. */
+/**
+ * sched_reply() - Send a reply.
+ * @entry: id of the receiving entry instance; empty: nothing is sent
+ */
 void sched_reply (struct sched *s, const char *entry, const struct reply *r);
 /**
  * task_rec() - Make a journal record of the task's current state.
@@ -506,7 +593,7 @@
  * @kind: enum rec_kind
  */
 void task_journal (struct sched *s, const struct task *t, int kind);
-/** task_event() - Record a decision about a task, as sched_event(). */
+/** task_event() - Record a decision about a task; see sched_event(). */
 void task_event (struct sched *s, const struct task *t, int reason,
                  const char *where, int64_t detail);
 /**
@@ -528,7 +615,11 @@
  */
 void task_reply_durable (struct sched *s, const struct task *t,
                          const char *entry, int64_t call_seq);
-/** task_slot_expiry_ms() - When a slot taken now is free if not released. */
+/**
+ * task_slot_expiry_ms() - Return when a slot that is taken now expires.
+ *
+ * A slot that is not released by then counts as free.
+ */
 int64_t task_slot_expiry_ms (const struct sched *s, const struct task *t);
 /**
  * service_release() - End a service request and free its slot.
@@ -560,10 +651,10 @@
 };
 extern const struct desc snap_row_desc;
 
-/** journal_row_key() - Key of journal row @seq. */
+/** journal_row_key() - Write the key of journal row @seq to @out. */
 void journal_row_key (const struct sched *s, int64_t seq,
                       char out[ROW_KEY_SIZE]);
-/** journal_snap_key() - Key of the row that names the latest snapshot. */
+/** journal_snap_key() - Write the key of the domain's snapshot row to @out. */
 void journal_snap_key (const struct sched *s, char out[ROW_KEY_SIZE]);
 /**
  * journal_store_op() - Queue a store operation, to be filled by the caller.
@@ -573,63 +664,71 @@
  * Return: the operation, owned by the queue of outgoing messages.
  */
 struct store_op *journal_store_op (struct sched *s, int kind, uint64_t *token);
-/** load_read() - Send the next read of loading. */
+/** load_read() - Send the read that sched::load_step says comes next. */
 void load_read (struct sched *s);
-/** load_reply() - Handle the answer to a read of loading. */
+/** load_reply() - Handle the answer to a read that load_read() sent. */
 void load_reply (struct sched *s, const struct store_rep *rep);
 
 void journal_init (struct sched *s, int64_t epoch_ver);
 void journal_free (struct sched *s);
-/** journal_add() - Append a record; takes ownership of what @rec owns. */
+/**
+ * journal_add() - Add a record to the open group.
+ * @rec: the record; the function takes ownership of what it points to
+ */
 void journal_add (struct sched *s, const struct rec *rec);
 /**
- * journal_effect() - Add an action that follows once the group is durable.
+ * journal_effect() - Add an action to be run once the open group is durable.
  * @kind: enum effect_kind
- * @id: task, or run for %EFFECT_ACK
+ * @id: id of the task, or of the run for %EFFECT_ACK
  *
  * Return: the effect, owned by the open group, to be filled by the caller.
  */
 struct effect *journal_effect (struct sched *s, int kind, const char *id);
-/** journal_full() - Whether too many records wait to be written. */
+/** journal_full() - Return whether too many records wait to be written. */
 bool journal_full (const struct sched *s);
-/** journal_store() - As sched_store(), for the journal and loading. */
+/** journal_store() - Do as sched_store() for the journal and for loading. */
 bool journal_store (struct sched *s, uint64_t token,
                     const struct store_rep *rep);
 void journal_tick (struct sched *s);
-/** journal_replay() - Apply a record of an earlier epoch; @rec is copied. */
+/** journal_replay() - Apply a record of an earlier epoch, copied from @rec. */
 void journal_replay (struct sched *s, const struct rec *rec);
 
 /* recon.c */
 
 void recon_tick (struct sched *s);
-/** recon_report() - As sched_sync(), for a known worker. */
+/**
+ * recon_report() - Handle a worker's answer to a sync.
+ * @seq: number of the sync
+ * @rep: the answer; NULL: the sync failed
+ */
 void recon_report (struct sched *s, struct worker *w, int64_t seq,
                    const struct sync_rep *rep);
-/** recon_ack() - Let the next sync tell @w that it may forget @run. */
+/** recon_ack() - Make the next sync tell @w that it may forget run @run. */
 void recon_ack (struct worker *w, const char *run);
 /**
- * recon_service_end() - Note that a service request on @w has ended.
- * @bad: whether the executor failed
+ * recon_service_end() - Count the end of a service request for or against @w.
+ * @executor_failed: true if the request failed because the executor did
  */
-void recon_service_end (struct sched *s, struct worker *w, bool bad);
+void recon_service_end (struct sched *s, struct worker *w,
+                        bool executor_failed);
 
 /* escrow.c */
 
 /**
- * escrow_allows() - Whether the team's grant allows more here.
+ * escrow_allows() - Return whether the team's part allows more members here.
  * @need: capacity for one member
  * @n: number of members
  *
- * If not, a larger part of the limit will be requested.
+ * If it does not, the domain will try to get a larger part of the limit.
  */
 bool escrow_allows (struct sched *s, struct team *team,
                     const struct clb_res *need, int64_t n);
-/** escrow_store() - As sched_store(), for grant and want rows. */
+/** escrow_store() - Do as sched_store() for grant and want rows. */
 bool escrow_store (struct sched *s, uint64_t token,
                    const struct store_rep *rep);
-/** escrow_row() - Apply a grant row read while loading. */
+/** escrow_row() - Apply a grant row that was read while loading. */
 void escrow_row (struct sched *s, const struct row *row);
-/** escrow_conf() - Apply the limits of a newer configuration. */
+/** escrow_conf() - Apply the teams' limits of a newer configuration. */
 void escrow_conf (struct sched *s);
 void escrow_tick (struct sched *s);
 
--- a/core/task.c
+++ b/core/task.c
@@ -1,6 +1,6 @@
 /*
- * The life cycle of a task: queued, placed on workers, ended member by member,
- * then retried or ended for good.
+ * The life cycle of a task: it is queued, placed on workers and started; its
+ * members end one by one; then the task is retried or ends for good.
  */
 #include "sched.h"
 
@@ -10,9 +10,10 @@
 
 enum
 {
-  /* Wait before the attempt that follows the first failure.  It doubles with
-     each further failure, up to the maximum. */
+  /* Delay before the attempt that follows the first failure.  It doubles with
+     each further failure. */
   BACKOFF_BASE_MS = 500,
+  /* The delay is doubled only while it is shorter than this. */
   BACKOFF_MAX_MS = 60000,
 };
 
@@ -284,7 +285,7 @@
   t->in_ended = true;
 }
 
-/* Wait before the next attempt, in ms. */
+/* Returns the delay before the next attempt in ms; 0 if no run has failed. */
 static int64_t
 backoff_ms (const struct task *t)
 {
@@ -295,8 +296,8 @@
   return t->failures == 0 ? 0 : ms;
 }
 
-/* Puts a placed task back into its queue for another attempt.  @reason is an
-   enum clb_reason. */
+/* Puts a placed task back into its team's queue for another attempt.  @reason,
+   an enum clb_reason, says why. */
 static void
 task_retry (struct sched *s, struct task *t, int reason)
 {
@@ -329,62 +330,67 @@
       task_retry (s, t, WHY_TEAM_LIMIT);
 }
 
-/* struct tally - number of a placed task's members by how they ended */
+/* struct tally - counts of a placed task's members by how they ended */
 struct tally
 {
-  int64_t of[MEMBER_END_LOST + 1]; /* by enum member_end */
-  int64_t open;                    /* not ended yet */
+  int64_t by_end[MEMBER_END_LOST + 1]; /* ended ones, by enum member_end */
+  int64_t n_open;                      /* members that have not ended */
 };
 
+/* Counts the task's members by how they ended. */
 static struct tally
 tally_members (const struct task *t)
 {
-  struct tally n = { 0 };
+  struct tally tally = { 0 };
 
   for (int64_t i = 0; i < t->n_members; i++)
     if (t->members[i].state == MEMBER_ENDED)
-      n.of[t->members[i].end]++;
+      tally.by_end[t->members[i].end]++;
     else
-      n.open++;
-  return n;
+      tally.n_open++;
+  return tally;
 }
 
-/* The enum clb_reason of a failed attempt. */
+/* Returns the enum clb_reason for an attempt of which not every member has
+   ended well. */
 static int
-failure_reason (const struct tally *n)
+failure_reason (const struct tally *tally)
 {
-  if (n->of[MEMBER_END_FAILED])
+  if (tally->by_end[MEMBER_END_FAILED])
     return WHY_ENDED_FAILED;
-  if (n->of[MEMBER_END_LOST])
+  if (tally->by_end[MEMBER_END_LOST])
     return WHY_WORKER_LOST;
-  if (n->of[MEMBER_END_REFUSED])
+  if (tally->by_end[MEMBER_END_REFUSED])
     return WHY_WORKER_REFUSED;
-  return n->of[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED : WHY_START_UNSEEN;
+  return tally->by_end[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED
+                                           : WHY_START_UNSEEN;
 }
 
-/* Ends a service request.  The scheduler never retries one: its entry
-   instance makes a new request if another attempt is wanted. */
+/* Ends a service request of which not every member has ended well.  The
+   scheduler never retries a service request: its entry instance makes a new
+   request if another attempt is wanted. */
 static void
-end_service (struct sched *s, struct task *t, const struct tally *n)
+end_service (struct sched *s, struct task *t, const struct tally *tally)
 {
-  if (n->of[MEMBER_END_FAILED])
+  if (tally->by_end[MEMBER_END_FAILED])
     task_finish (s, t, TASK_FAILED, WHY_ENDED_FAILED);
-  else if (n->of[MEMBER_END_LOST])
+  else if (tally->by_end[MEMBER_END_LOST])
     task_finish (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
   else
     task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
 }
 
 /* Ends or retries a task whose members have all ended, at least one of them
-   other than well. */
+   with an end other than MEMBER_END_OK. */
 static void
-end_or_retry (struct sched *s, struct task *t, const struct tally *n)
+end_or_retry (struct sched *s, struct task *t, const struct tally *tally)
 {
-  bool ran = n->of[MEMBER_END_OK] || n->of[MEMBER_END_FAILED]
-             || n->of[MEMBER_END_STOPPED] || n->of[MEMBER_END_LOST];
-  int reason = failure_reason (n);
+  bool ran = tally->by_end[MEMBER_END_OK] || tally->by_end[MEMBER_END_FAILED]
+             || tally->by_end[MEMBER_END_STOPPED]
+             || tally->by_end[MEMBER_END_LOST];
+  int reason = failure_reason (tally);
 
-  if (n->of[MEMBER_END_FAILED])
+  if (tally->by_end[MEMBER_END_FAILED])
     t->failures++;
   if (t->being_preempted)
     {
@@ -392,12 +398,12 @@
       reason = WHY_PREEMPTED;
     }
   if (t->lane == LANE_SERVICE)
-    end_service (s, t, n);
-  else if (t->cancelled && (!n->of[MEMBER_END_LOST] || t->idempotent))
+    end_service (s, t, tally);
+  else if (t->cancelled && (!tally->by_end[MEMBER_END_LOST] || t->idempotent))
     task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else if (!ran)
     task_retry (s, t, reason);
-  else if (!t->idempotent && n->of[MEMBER_END_FAILED] == 0)
+  else if (!t->idempotent && tally->by_end[MEMBER_END_FAILED] == 0)
     task_finish (s, t, TASK_UNKNOWN, reason);
   else if (!t->idempotent)
     task_finish (s, t, TASK_FAILED, reason);
@@ -410,20 +416,20 @@
 void
 task_evaluate (struct sched *s, struct task *t)
 {
-  struct tally n = tally_members (t);
+  struct tally tally = tally_members (t);
 
   if (t->end_decided || t->n_members == 0)
     return;
-  if (n.of[MEMBER_END_OK] == t->n_members)
+  if (tally.by_end[MEMBER_END_OK] == t->n_members)
     {
       task_finish (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
-  /* A gang runs whole or not at all: if a member has ended other than well,
-     the others are stopped. */
-  if (n.of[MEMBER_END_OK] + n.open < t->n_members)
+  /* A gang runs as a whole or not at all: if one member has ended with an end
+     other than MEMBER_END_OK, the others are stopped. */
+  if (tally.by_end[MEMBER_END_OK] + tally.n_open < t->n_members)
     task_stop_members (s, t);
-  n = tally_members (t);
-  if (n.open == 0)
-    end_or_retry (s, t, &n);
+  tally = tally_members (t);
+  if (tally.n_open == 0)
+    end_or_retry (s, t, &tally);
 }
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -1,7 +1,7 @@
 /*
  * Preemption: when no worker has free capacity for an urgent task, the running
- * tasks that are cheapest to repeat are stopped and run again later.  A task
- * that may not run twice is never stopped.
+ * tasks that are cheapest_victim to repeat are stopped and run again later.  A
+ * task that may not run twice is never stopped.
  */
 #include "sched.h"
 
@@ -9,21 +9,22 @@
 {
   /* Shortest time between two preemptions in favour of the same task. */
   PREEMPT_INTERVAL_MS = 3000,
-  /* Most times that one task is preempted. */
+  /* Maximum number of times that one task is preempted. */
   PREEMPTIONS_MAX = 3,
-  /* Most tasks that are preempted at once. */
+  /* Maximum number of tasks that are preempted at once. */
   VICTIMS_MAX = 16,
 };
 
-/* struct plan - tasks that would be preempted on one worker, and the cost */
+/* struct plan - tasks that could be preempted on one worker, and their cost */
 struct plan
 {
   struct task *victims[VICTIMS_MAX];
-  int n;        /* number of victims */
-  int64_t cost; /* sum of preempt_cost() */
+  int n; /* number of victims */
+  /* Sum of preempt_cost() of all victims, in core milliseconds. */
+  int64_t cost;
 };
 
-/* Whether the task may be preempted. */
+/* Returns whether the task may be preempted. */
 static bool
 preemptible (const struct task *t)
 {
@@ -32,13 +33,15 @@
          && t->n_preemptions < PREEMPTIONS_MAX;
 }
 
-/* Work of the task that would have to be repeated, in core milliseconds. */
+/* Returns the work that would have to be repeated if the task were preempted,
+   in core milliseconds. */
 static int64_t
 preempt_cost (const struct sched *s, const struct task *t)
 {
   return (s->now_ms - t->placed_ms) * t->spec.need.cores;
 }
 
+/* Returns whether the task is one of the plan's victims. */
 static bool
 in_plan (const struct plan *p, const struct task *t)
 {
@@ -48,10 +51,11 @@
   return false;
 }
 
-/* The task on the worker that costs least and is not yet in the plan, or
-   NULL. */
+/* Returns the task on the worker with the lowest cost that may be preempted
+   and is not in the plan yet; NULL if there is none. */
 static struct task *
-cheapest (const struct sched *s, const struct worker *w, const struct plan *p)
+cheapest_victim (const struct sched *s, const struct worker *w,
+                 const struct plan *p)
 {
   struct member *m;
   struct task *best = NULL;
@@ -67,8 +71,8 @@
   return best;
 }
 
-/* Makes a plan that frees @need on the worker.  Returns false if that is not
-   possible. */
+/* Makes a plan that frees capacity @need on the worker.  Returns false if no
+   plan can. */
 static bool
 plan_worker (const struct sched *s, const struct worker *w,
              const struct clb_res *need, struct plan *p)
@@ -79,7 +83,7 @@
   *p = (struct plan){ .n = 0 };
   while (!clb_res_fits (need, &room))
     {
-      struct task *t = p->n < VICTIMS_MAX ? cheapest (s, w, p) : NULL;
+      struct task *t = p->n < VICTIMS_MAX ? cheapest_victim (s, w, p) : NULL;
       if (!t)
         return false;
       p->victims[p->n++] = t;
@@ -89,8 +93,8 @@
   return true;
 }
 
-/* Whether a task on the worker is being preempted already.  No second plan is
-   made for a worker until that is done. */
+/* Returns whether a task on the worker is being preempted already.  Until it
+   has ended, no other task on the worker is preempted. */
 static bool
 preempt_in_progress (const struct worker *w)
 {
@@ -102,7 +106,7 @@
   return false;
 }
 
-/* Preempts the plan's victims in favour of @t. */
+/* Stops the plan's victims in favour of @t. */
 static void
 preempt_victims (struct sched *s, struct task *t, const struct plan *p)
 {
