--- a/core/escrow.c
+++ b/core/escrow.c
@@ -114,12 +114,12 @@
 {
   struct clb_res sum = team->used;
   struct task *t;
-  int counted = 0;
+  int n_counted = 0;
 
   for (int class = 0; class < CLASS_N; class ++)
     TAILQ_FOREACH (t, &team->queue[class], queued)
       {
-        if (counted++ >= DEMAND_TASKS_MAX)
+        if (n_counted++ >= DEMAND_TASKS_MAX)
           return sum;
         clb_res_add (&sum, &t->spec.need, t->spec.members);
       }
@@ -388,8 +388,8 @@
   s->want_read_ms = s->now_ms;
 }
 
-/* Marks the grant rows of all teams that are named in another domain's want
-   row to be read again. */
+/* Causes the grant rows of all teams that are named in want row @row to be
+   read again, if the row is another domain's. */
 static void
 apply_want_row (struct sched *s, const struct row *row)
 {
--- a/core/journal.c
+++ b/core/journal.c
@@ -32,11 +32,12 @@
 enum snap_step
 {
   SNAP_NONE, /* no snapshot in progress */
-  /* Its text is made; the last row that it covers may not be durable. */
+  /* The snapshot's text is made; the last row that it covers may not be
+     durable. */
   SNAP_MADE,
-  SNAP_OBJECT, /* the object that holds its text is being written */
-  /* The snapshot row is being set to it, and the journal rows that it covers
-     are being deleted. */
+  SNAP_OBJECT, /* the object with the snapshot is being written */
+  /* The snapshot row is being set to the new object, and the journal rows that
+     the snapshot covers are being deleted. */
   SNAP_ROW,
 };
 
@@ -154,7 +155,8 @@
   task_enqueue (s, t);
 }
 
-/* Lets the starts of a task be sent whose intent has become durable. */
+/* Allows the starts of a task to be sent, since its intent has become
+   durable. */
 static void
 run_intent_effect (struct task *t)
 {
--- a/core/place.c
+++ b/core/place.c
@@ -93,17 +93,17 @@
 static struct clb_res
 free_capacity (const struct worker *w)
 {
-  struct clb_res room = w->inst.capacity;
+  struct clb_res available = w->inst.capacity;
 
-  clb_res_add (&room, &w->used, -1);
-  return room;
+  clb_res_add (&available, &w->used, -1);
+  return available;
 }
 
 /* Returns a score for the part of the worker's capacity that the member would
    leave free, summed over the dimensions.  The lower the score, the tighter
-   the fit.  @room is the worker's free capacity. */
+   the fit.  @available is the worker's free capacity. */
 static int64_t
-leftover_score (const struct worker *w, const struct clb_res *room,
+leftover_score (const struct worker *w, const struct clb_res *available,
                 const struct clb_res *need)
 {
   int64_t score = 0;
@@ -112,10 +112,10 @@
     {
       int64_t size = clb_res_get (&w->inst.capacity, k);
       if (size > 0)
-        score += (clb_res_get (room, k) - clb_res_get (need, k))
+        score += (clb_res_get (available, k) - clb_res_get (need, k))
                  * SCORE_PER_DIMENSION / size;
     }
-  if (room->accels > 0 && need->accels == 0)
+  if (available->accels > 0 && need->accels == 0)
     score += SCORE_ACCEL_WASTE;
   return score;
 }
@@ -160,13 +160,13 @@
   return (w->inst.kind == INST_EXECUTOR) == (spec->need.slots > 0);
 }
 
-/* Returns the score of a worker that has free capacity @room for the next
+/* Returns the score of a worker that has free capacity @available for the next
    member.  The worker with the lowest score is chosen. */
 static int64_t
 worker_score (const struct search *s, const struct worker *w,
-              const struct clb_res *room)
+              const struct clb_res *available)
 {
-  int64_t score = leftover_score (w, room, &s->spec->need);
+  int64_t score = leftover_score (w, available, &s->spec->need);
 
   if (prefers_most_free (s->spec))
     score = -score;
@@ -195,10 +195,10 @@
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
       s->n_candidates++;
-      struct clb_res room = free_capacity (w);
-      if (!clb_res_fits (&s->spec->need, &room))
+      struct clb_res available = free_capacity (w);
+      if (!clb_res_fits (&s->spec->need, &available))
         continue;
-      int64_t score = worker_score (s, w, &room);
+      int64_t score = worker_score (s, w, &available);
       if (!best || score < best_score)
         {
           best = w;
@@ -270,12 +270,12 @@
 
   RB_FOREACH (w, worker_tree, &pool->workers)
     {
-      struct clb_res room = w->inst.capacity;
+      struct clb_res available = w->inst.capacity;
       if (!w->listed || !kind_matches (w, spec))
         continue;
-      for (; n_fit < spec->members && clb_res_fits (&spec->need, &room);
+      for (; n_fit < spec->members && clb_res_fits (&spec->need, &available);
            n_fit++)
-        clb_res_add (&room, &spec->need, -1);
+        clb_res_add (&available, &spec->need, -1);
       if (n_fit >= spec->members)
         return true;
     }
@@ -319,8 +319,8 @@
     {
       if (!pool_usable (w, now_ms))
         continue;
-      struct clb_res room = free_capacity (w);
-      add_positive (&sum.free_capacity, &room);
+      struct clb_res available = free_capacity (w);
+      add_positive (&sum.free_capacity, &available);
       add_positive (&sum.total_capacity, &w->inst.capacity);
       for (int k = 0; k < RES_N; k++)
         if (clb_res_get (&w->inst.capacity, k)
--- a/core/place.h
+++ b/core/place.h
@@ -13,15 +13,16 @@
 /* The order matters, since recon.c compares the states. */
 enum worker_state
 {
-  /* The worker has not answered a sync in this epoch yet.  It is given no
-     tasks. */
+  /* The worker has not answered a sync in this epoch yet.  The worker is given
+     no tasks. */
   WORKER_UNSEEN,
+  /* The worker answers its syncs. */
   WORKER_LIVE,
-  /* The worker's answers are overdue.  It is given no tasks, but the leases of
-     its tasks are still renewed. */
+  /* The worker's answers are overdue.  The worker is given no tasks, but the
+     leases of its tasks are still renewed. */
   WORKER_UNREACHABLE,
-  /* The leases of the worker's tasks are no longer renewed.  Some may not have
-     run out yet. */
+  /* The leases of the worker's tasks are no longer renewed, but some of them
+     may not have run out yet. */
   WORKER_EXPIRING,
   /* The leases of all of the worker's tasks have run out. */
   WORKER_LOST,
@@ -37,43 +38,50 @@
 struct worker
 {
   RB_ENTRY (worker) by_id;
-  /* Description in the platform's latest list that has it. */
+  /* The worker's description in the latest list of instances that has it. */
   struct inst inst;
   int state; /* enum worker_state */
-  /* True if it is in the platform's latest list of instances. */
+  /* True if the worker is in the platform's latest list of instances. */
   bool listed;
-  /* True if the list or its own report says that it is leaving. */
+  /* True if the list of instances or the worker's own report says that the
+     worker is leaving. */
   bool leaving;
-  /* Capacity reserved for members and for unknown_slots. */
+  /* Capacity of the worker that is reserved for members and for
+     unknown_slots. */
   struct clb_res used;
-  /* Number of an executor's slots that are in use for requests that the
-     scheduler does not know. */
+  /* Number of an executor's slots that are used by requests that the scheduler
+     does not know. */
   int64_t unknown_slots;
-  /* Members that are placed on it and have not ended. */
+  /* Members that are placed on the worker and have not ended. */
   TAILQ_HEAD (, member) members;
-  int64_t boot; /* boot that it last reported; 0: none yet */
-  /* When it last answered a sync, or when it was first known. */
+  int64_t boot; /* boot that the worker last reported; 0: none yet */
+  /* When the worker last answered a sync; before its first answer, when it was
+     first known. */
   int64_t last_contact_ms;
-  bool answered; /* true once it has answered a sync in this epoch */
-  /* When its state last became WORKER_EXPIRING. */
+  /* True once the worker has answered a sync in this epoch. */
+  bool answered;
+  /* When the worker's state last became WORKER_EXPIRING. */
   int64_t expiring_since_ms;
   bool sync_due; /* true if the next sync is to be sent without delay */
-  /* Time at which the next sync is sent at the latest. */
+  /* Latest time at which the next sync is sent. */
   int64_t next_sync_ms;
-  int64_t sync_sent_ms;
-  bool sync_outstanding; /* true while the latest sync is not answered */
-  int64_t sync_seq;      /* number of the latest sync */
-  /* Ended runs that the next sync lets it forget; owned. */
+  int64_t sync_sent_ms; /* when the latest sync was sent */
+  /* True while an answer to the latest sync is awaited. */
+  bool sync_outstanding;
+  int64_t sync_seq; /* number of the latest sync */
+  /* Ended runs that the worker may forget, as the next sync tells it;
+     owned. */
   struct run_id *acks;
   size_t n_acks;
-  /* Runs that it reported and that belong to no known task.  The next sync
-     asks it to stop them.  Owned. */
+  /* Runs that the worker reported and that belong to no known task.  The next
+     sync asks the worker to stop them.  Owned. */
   struct run_id *orphans;
   size_t n_orphans;
-  int fail_streak; /* number of failures since its latest success */
-  /* It is given no tasks before this time; 0: never quarantined. */
+  int fail_streak; /* number of failures since the latest success */
+  /* The worker is given no tasks before this time; 0: it was never in
+     quarantine. */
   int64_t quarantine_until_ms;
-  /* Length of the latest quarantine; 0: none since a success. */
+  /* Length of the latest quarantine; 0: none since the latest success. */
   int64_t quarantine_ms;
 };
 RB_HEAD (worker_tree, worker);
@@ -83,10 +91,12 @@
 struct pool
 {
   struct worker_tree workers;
-  size_t n_workers;
+  size_t n_workers; /* number of workers in the tree */
 };
 
+/** pool_worker_cmp() - Compare two workers by their ids, as strcmp(). */
 int pool_worker_cmp (const struct worker *a, const struct worker *b);
+/** pool_init() - Make @pool an empty pool. */
 void pool_init (struct pool *pool);
 /** pool_clear() - Remove and free all workers. */
 void pool_clear (struct pool *pool);
--- a/core/queue.c
+++ b/core/queue.c
@@ -10,8 +10,9 @@
 
 enum
 {
-  /* Number of tasks at the head of each of a team's queues that are tried.  A
-     task among them may start before those ahead of it that cannot. */
+  /* Number of tasks that are tried at the head of each of a team's queues.  A
+     task among them that can start is placed before those ahead of it that
+     cannot. */
   BACKFILL_TASKS_MAX = 16,
   /* Number of sizes that a placement round remembers as not fitting. */
   BLOCKED_SIZES_MAX = 16,
@@ -29,8 +30,8 @@
   int n_blocked;
 };
 
-/* Returns whether @spec cannot fit in this round: a size that did not fit is
-   no larger than its need in any dimension. */
+/* Returns whether @spec certainly does not fit in this round, since a size
+   that did not fit is not larger than @spec's need in any dimension. */
 static bool
 round_is_blocked (const struct round *r, const struct spec *spec)
 {
--- a/core/recon.c
+++ b/core/recon.c
@@ -68,7 +68,8 @@
 may_send_start (const struct sched *s, const struct worker *w,
                 const struct member *m)
 {
-  /* The team's limit may have been lowered since the task was placed. */
+  /* The team may have become frozen since the task was placed, because its
+     limit was lowered. */
   if (m->task->team->frozen && task_unsent (m->task))
     return false;
   /* The list of instances shows that a worker is leaving, the configuration
@@ -83,18 +84,18 @@
 static void
 sync_add_start (struct sync_req *req, struct member *m)
 {
-  struct start_cmd *c;
+  struct start_cmd *cmd;
 
   req->starts
       = realloc (req->starts, (req->n_starts + 1) * sizeof *req->starts);
   if (!req->starts)
     abort ();
-  c = &req->starts[req->n_starts++];
-  memset (c, 0, sizeof *c);
-  member_run_id (m, c->id);
-  clb_copy (c->name, m->task->spec.name, sizeof c->name);
-  c->need = m->task->spec.need;
-  c->duration_ms = m->task->spec.duration_ms;
+  cmd = &req->starts[req->n_starts++];
+  memset (cmd, 0, sizeof *cmd);
+  member_run_id (m, cmd->id);
+  clb_copy (cmd->name, m->task->spec.name, sizeof cmd->name);
+  cmd->need = m->task->spec.need;
+  cmd->duration_ms = m->task->spec.duration_ms;
   m->state = MEMBER_SENT;
   m->sent_seq = req->seq;
 }
@@ -249,8 +250,8 @@
     }
 }
 
-/* Marks a member as running that a worker's report lists as running.  A member
-   that is being stopped stays in state MEMBER_STOP. */
+/* Marks a member as running because a worker's report lists it as running.  A
+   member that is being stopped stays in state MEMBER_STOP. */
 static void
 set_member_running (struct sched *s, struct member *m)
 {
@@ -378,10 +379,10 @@
   w->used.slots += w->unknown_slots;
 }
 
-/* Marks each member to be stopped that was sent to the worker by sync @seq or
-   earlier and is not listed in the worker's report.  The member's start was
-   lost or may still arrive late; the worker's answer to the stop rules out
-   that the member starts. */
+/* Stops the members that were sent to the worker by sync @seq or earlier and
+   that its report does not list.  The start of such a member was lost or may
+   still arrive late; the worker's answer to the stop rules out that the member
+   starts. */
 static void
 stop_unlisted_members (struct worker *w, int64_t seq)
 {
@@ -453,8 +454,8 @@
   return w->expiring_since_ms + wait;
 }
 
-/* Marks a worker as lost whose tasks' leases have all run out, and ends its
-   members. */
+/* Marks a worker as lost, since the leases of all its tasks have run out, and
+   ends its members. */
 static void
 set_worker_lost (struct sched *s, struct worker *w)
 {
--- a/core/sched.h
+++ b/core/sched.h
@@ -63,12 +63,12 @@
 /** enum member_state - what is known of a member on its worker */
 enum member_state
 {
-  /* The start was not sent yet.  It is sent once, when the intent is
-     durable. */
+  /* The member's start was not sent yet.  The start is sent once, when the
+     task's intent is durable. */
   MEMBER_INTENT,
-  /* The start was sent and may or may not have reached the worker. */
+  /* The member's start was sent and may or may not have reached the worker. */
   MEMBER_SENT,
-  /* The worker has reported that it runs. */
+  /* The worker has reported that the member runs. */
   MEMBER_RUNNING,
   /* The worker is asked by its syncs to stop the member, until a report shows
      that it has ended or that it never started. */
@@ -82,9 +82,9 @@
 {
   MEMBER_END_OK,
   MEMBER_END_FAILED,
-  MEMBER_END_STOPPED,     /* the worker stopped it after it had started */
-  MEMBER_END_NOT_STARTED, /* it never started and never will */
-  MEMBER_END_REFUSED,     /* the worker refused to start it */
+  MEMBER_END_STOPPED,     /* the worker stopped a started member */
+  MEMBER_END_NOT_STARTED, /* the member never started and never will */
+  MEMBER_END_REFUSED,     /* the worker refused to start the member */
   /* The member may have run; its lease has run out or its worker has
      restarted. */
   MEMBER_END_LOST,
@@ -103,15 +103,17 @@
   struct task *task;
   struct worker *worker; /* NULL once the member has ended */
   char worker_id[CLB_ID_MAX];
-  int64_t boot;     /* the worker's boot when the member was placed */
-  int index;        /* position in the task's members */
-  int state;        /* enum member_state */
-  int end;          /* enum member_end, valid in state MEMBER_ENDED */
-  bool was_running; /* true once a report has listed it as running */
+  int64_t boot; /* the worker's boot when the member was placed */
+  int index;    /* position in the task's array of members */
+  int state;    /* enum member_state */
+  int end;      /* enum member_end, valid in state MEMBER_ENDED */
+  /* True once a report has listed the member as running. */
+  bool was_running;
   /* Time of the expected end by the declared run time; 0: not known. */
   int64_t expected_end_ms;
-  int64_t sent_seq;     /* number of the sync that carried the start */
-  int64_t reported_seq; /* number of the latest sync whose report lists it */
+  int64_t sent_seq; /* number of the sync that carried the start */
+  /* Number of the latest sync whose report lists the member. */
+  int64_t reported_seq;
 };
 
 /** struct waiter - a call that waits for a task's end or for a service slot */
@@ -136,52 +138,54 @@
 {
   RB_ENTRY (task) by_id;
   RB_ENTRY (task) by_request;
-  TAILQ_ENTRY (task) queued; /* in its team's queue while pending */
-  TAILQ_ENTRY (task) ended;  /* in sched::ended, in order of ending */
+  TAILQ_ENTRY (task) queued; /* links a pending task in its team's queue */
+  TAILQ_ENTRY (task) ended;  /* links an ended task in sched::ended */
   char id[CLB_ID_MAX];
   struct team *team;
   struct spec spec;
   int class; /* enum task_class */
   int lane;  /* enum queue_lane */
   bool idempotent;
-  /* True if the task is written to the journal.  A task that is not is lost
-     when another instance becomes the holder. */
+  /* True if the task is written to the journal.  A task that is not recorded
+     is lost when another instance becomes the holder. */
   bool recorded;
-  /* The accept record is durable, or the task is not recorded. */
+  /* True once the accept record is durable, and always for a task that is not
+     recorded. */
   bool accept_durable;
   bool in_queue; /* true while the task is in its team's queue */
   bool in_ended; /* true while the task is in sched::ended */
   bool cancelled;
-  bool end_durable; /* the end record is durable */
-  /* The task has ended; the end record may not be durable yet. */
+  bool end_durable; /* true once the end record is durable */
+  /* True once the task has ended; the end record may not be durable yet. */
   bool end_decided;
-  bool intent_durable; /* the latest intent record is durable */
+  bool intent_durable; /* true if the latest intent record is durable */
   int state;           /* enum task_state */
-  int reason;          /* enum clb_reason of the latest decision about it */
+  int reason;          /* enum clb_reason of the latest decision */
   int64_t attempt;     /* number of the current or next attempt, from 0 */
-  int64_t failures;    /* runs that the worker reported as failed */
+  int64_t failures;    /* attempts in which a run was reported as failed */
   char failed_on[CLB_ID_MAX]; /* worker of the latest failure, or empty */
   int64_t accepted_ms;
   int64_t placed_ms; /* time of the latest placement */
-  /* Since when no listed worker is large enough for it; 0: not known to be
-     so. */
+  /* Since when no listed worker is large enough for the task; 0: not known to
+     be so. */
   int64_t no_fit_since_ms;
-  /* Number of times that it was preempted for urgent tasks. */
+  /* Number of times that the task was preempted for urgent tasks. */
   int64_t n_preemptions;
-  /* True while it is being stopped for an urgent task. */
+  /* True while the task is being stopped for an urgent one. */
   bool being_preempted;
-  /* When other tasks were last preempted for it; 0: never. */
+  /* When other tasks were last preempted for this task; 0: never. */
   int64_t last_preempt_ms;
-  /* Earliest time of the next placement; 0: at once. */
+  /* Earliest time of the task's next placement; 0: it may be placed at
+     once. */
   int64_t not_before_ms;
   /* Time at which the task is cancelled if it is still pending, or at which
      the slot of a service request counts as free if it was not released; 0:
      never. */
   int64_t expires_ms;
-  /* Array of n_members, owned; NULL unless placed. */
+  /* Array of n_members members, owned; NULL unless the task is placed. */
   struct member *members;
-  int64_t n_members; /* 0 unless placed */
-  struct waiter_list waiters;
+  int64_t n_members;          /* 0 unless the task is placed */
+  struct waiter_list waiters; /* calls that wait for the task */
 };
 RB_HEAD (task_tree, task);
 RB_HEAD (request_tree, task);
@@ -215,7 +219,8 @@
   /* True if the grant row must be written again so that it carries the version
      of the configuration in force. */
   bool rewrite_due;
-  /* The grant row as last written says that this domain wants more. */
+  /* True if the grant row as last written says that this domain wants a larger
+     part. */
   bool want_written;
   /* True if tasks wait for a larger part of the limit here. */
   bool wants_more;
@@ -225,8 +230,9 @@
   int op_kind;       /* enum store_kind of the outstanding store operation */
   /* This domain's part once the outstanding write succeeds. */
   struct clb_res op_granted;
-  int64_t next_op_ms; /* no store operation before this time */
-  /* Time of the last change of used, or of the last shortage. */
+  int64_t next_op_ms; /* no operation on the grant row before this time */
+  /* Since when the team is idle here: time of the last change of used, or of
+     the last time that granted was too small. */
   int64_t idle_since_ms;
   struct task_list queue[CLASS_N];
   int64_t waiting; /* number of tasks in all of the team's queues */
@@ -280,9 +286,10 @@
   /* Number of the journal row that the commit group is written as; while no
      commit is in progress, the number of the next row. */
   int64_t commit_seq;
-  struct group open;       /* group that collects new records */
-  struct group commit;     /* group that is being written */
-  bool commit_in_progress; /* true until the commit group is durable */
+  struct group open;   /* group that collects new records */
+  struct group commit; /* group that is being written */
+  /* True from the start of a commit until its group is durable. */
+  bool commit_in_progress;
   /* Token of the outstanding write of the commit group, or 0. */
   uint64_t commit_token;
   /* When the commit group was last sent to the table. */
@@ -291,22 +298,23 @@
      write has not failed. */
   int64_t commit_retry_at_ms;
   int64_t opened_ms; /* when the open group got its first record */
-  int64_t first_seq; /* number of the oldest row kept in the table */
-  int64_t snap_seq;  /* last row covered by the latest snapshot */
+  int64_t first_seq; /* number of the oldest journal row in the table */
+  int64_t snap_seq;  /* last journal row that the latest snapshot covers */
   int snap_step;     /* enum snap_step, in journal.c */
   /* Token of the outstanding write for the snapshot, or 0. */
   uint64_t snap_token;
   /* Text of a snapshot that is made and not yet sent, or NULL; owned. */
   char *snap_text;
-  int64_t snap_last_seq;    /* last row covered by the snapshot in progress */
+  /* Last journal row that the snapshot in progress covers. */
+  int64_t snap_last_seq;
   int64_t snap_retry_at_ms; /* no new snapshot is made before this time */
   int64_t nonce; /* number in the nonce of the latest group committed */
 };
 
 enum sched_phase
 {
-  SCHED_LOADING, /* reading snapshot, journal and grants */
-  SCHED_READY,
+  SCHED_LOADING, /* the snapshot, journal and grants are being read */
+  SCHED_READY,   /* loading is complete */
   /* The condition of a write failed: another epoch has begun. */
   SCHED_SUPERSEDED,
 };
@@ -326,15 +334,16 @@
   /* Number of tasks by enum task_class and by time from accept to first
      placement. */
   uint64_t waits[CLASS_N][WAIT_BUCKETS];
+  /* Sum of the times from accept to first placement, by enum task_class. */
   uint64_t wait_sum_ms[CLASS_N];
   uint64_t reasons[WHY_N]; /* number of decisions by enum clb_reason */
-  uint64_t groups;         /* journal rows whose write was begun */
-  uint64_t records;        /* journal records added */
-  uint64_t group_retries;  /* failed writes of a journal row */
-  uint64_t syncs;          /* syncs sent to workers and executors */
-  uint64_t sync_failures;  /* syncs that got no answer */
-  uint64_t placed;         /* placements of tasks */
-  uint64_t damaged_rows;   /* table rows that could not be parsed */
+  uint64_t groups;         /* number of journal rows whose write was begun */
+  uint64_t records;        /* number of journal records added */
+  uint64_t group_retries;  /* number of failed writes of journal rows */
+  uint64_t syncs;          /* number of syncs sent to workers and executors */
+  uint64_t sync_failures;  /* number of syncs that got no answer */
+  uint64_t placed;         /* number of placements of tasks */
+  uint64_t damaged_rows;   /* number of table rows that could not be parsed */
 };
 
 /** struct sched - the scheduler of a domain during one epoch */
@@ -364,11 +373,11 @@
   int64_t last_id;
   /* Time of the next check of the tasks' time limits. */
   int64_t next_expire_ms;
-  int64_t snap_every;      /* journal rows between two snapshots */
-  int n_domains;           /* failure domains that share the teams' limits */
-  const struct conf *conf; /* borrowed */
+  int64_t snap_every; /* number of journal rows between two snapshots */
+  int n_domains;      /* number of failure domains that share the limits */
+  const struct conf *conf; /* configuration in force, borrowed */
   struct outq *out;        /* messages to be sent, borrowed */
-  uint64_t *tokens;        /* latest store token, shared with the node */
+  uint64_t *tokens;        /* latest token of a store operation; borrowed */
   struct pool pool;        /* the domain's workers and service executors */
   struct task_tree tasks;
   /* Recorded tasks by team and request id, to find duplicates. */
@@ -478,9 +487,9 @@
 /** sched_idle() - Return whether every journal record added is durable. */
 bool sched_idle (const struct sched *s);
 
-/** sched_task() - Find a task by its id; NULL if unknown. */
+/** sched_task() - Find a task by its id; returns NULL if unknown. */
 struct task *sched_task (struct sched *s, const char *id);
-/** sched_team() - Find a team by its name, create it if necessary. */
+/** sched_team() - Find a team by its name; creates it if necessary. */
 struct team *sched_team (struct sched *s, const char *name);
 /**
  * sched_event() - Record a decision and publish it to watchers.
@@ -585,7 +594,7 @@
  * task_rec() - Make a journal record of the task's current state.
  * @kind: enum rec_kind
  *
- * Return: the record; its places are owned by the caller.
+ * Return: the record; the caller owns the array of its places.
  */
 struct rec task_rec (const struct task *t, int kind);
 /**
@@ -669,7 +678,12 @@
 /** load_reply() - Handle the answer to a read that load_read() sent. */
 void load_reply (struct sched *s, const struct store_rep *rep);
 
+/**
+ * journal_init() - Initialise the journal's write side.
+ * @epoch_ver: version of the epoch row, the condition of every write
+ */
 void journal_init (struct sched *s, int64_t epoch_ver);
+/** journal_free() - Free what the journal's write side owns. */
 void journal_free (struct sched *s);
 /**
  * journal_add() - Add a record to the open group.
@@ -689,12 +703,14 @@
 /** journal_store() - Do as sched_store() for the journal and for loading. */
 bool journal_store (struct sched *s, uint64_t token,
                     const struct store_rep *rep);
+/** journal_tick() - Send the reads and writes of the journal that are due. */
 void journal_tick (struct sched *s);
 /** journal_replay() - Apply a record of an earlier epoch, copied from @rec. */
 void journal_replay (struct sched *s, const struct rec *rec);
 
 /* recon.c */
 
+/** recon_tick() - Update the workers' states and send the syncs due. */
 void recon_tick (struct sched *s);
 /**
  * recon_report() - Handle a worker's answer to a sync.
@@ -730,6 +746,7 @@
 void escrow_row (struct sched *s, const struct row *row);
 /** escrow_conf() - Apply the teams' limits of a newer configuration. */
 void escrow_conf (struct sched *s);
+/** escrow_tick() - Send the operations on grant and want rows that are due. */
 void escrow_tick (struct sched *s);
 
 #endif
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -77,18 +77,18 @@
 plan_worker (const struct sched *s, const struct worker *w,
              const struct clb_res *need, struct plan *p)
 {
-  struct clb_res room = w->inst.capacity;
+  struct clb_res available = w->inst.capacity;
 
-  clb_res_add (&room, &w->used, -1);
+  clb_res_add (&available, &w->used, -1);
   *p = (struct plan){ .n = 0 };
-  while (!clb_res_fits (need, &room))
+  while (!clb_res_fits (need, &available))
     {
       struct task *t = p->n < VICTIMS_MAX ? cheapest_victim (s, w, p) : NULL;
       if (!t)
         return false;
       p->victims[p->n++] = t;
       p->cost += preempt_cost (s, t);
-      clb_res_add (&room, &t->spec.need, 1);
+      clb_res_add (&available, &t->spec.need, 1);
     }
   return true;
 }
