--- a/core/journal.c
+++ b/core/journal.c
@@ -320,9 +320,9 @@
   group_clear (&done);
 }
 
-/* Removes the effects of task @id from the list.  Its replies are sent at
-   once: they name @first_id, the task that was accepted first for the request,
-   and have the enum clb_err @err. */
+/* Removes the effects of task @id from the list.  Replies among them are sent
+   at once, with the enum clb_err @err and with the id @first_id of the task
+   that was accepted first for the request. */
 static void
 refuse_effects (struct sched *s, struct effect_list *list, const char *id,
                 const char *first_id, int err)
--- a/core/recon.c
+++ b/core/recon.c
@@ -198,7 +198,7 @@
 {
   if (++w->fail_streak < QUARANTINE_FAILURES)
     return;
-  /* After the quarantine, one more failure starts the next. */
+  /* After the quarantine, a single failure starts the next one. */
   w->fail_streak = QUARANTINE_FAILURES - 1;
   w->quarantine_ms
       = w->quarantine_ms ? 2 * w->quarantine_ms : QUARANTINE_FIRST_MS;
@@ -272,7 +272,8 @@
   sched_event (s, WHY_STARTED, t->id, t->team->name, m->worker_id, 0);
 }
 
-/* Returns the enum member_end for the enum run_state that ends the member. */
+/* Returns the enum member_end of a member that was reported to be in
+   @run_state, an enum run_state other than RUN_RUNNING. */
 static int
 member_end_of (const struct member *m, int run_state)
 {
@@ -293,8 +294,8 @@
     }
 }
 
-/* Acknowledges an ended run to its worker once the open group, which has the
-   end's record, is durable.  Until a run is acknowledged, the worker goes on
+/* Acknowledges an ended run to its worker once the open group, and with it the
+   run's end, is durable.  Until a run is acknowledged, the worker goes on
    reporting it. */
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
