--- a/core/calls.c
+++ b/core/calls.c
@@ -372,7 +372,7 @@
 }
 
 void
-sched_call (struct sched *s, const char *entry, const struct call *c)
+sched_handle_call (struct sched *s, const char *entry, const struct call *c)
 {
   bool new_work = c->verb == CALL_SUBMIT || c->verb == CALL_ACQUIRE;
 
@@ -408,7 +408,7 @@
   for (size_t i = 0; i < held->n_items; i++)
     {
       const struct held_slot *slot = &held->items[i];
-      struct worker *w = pool_worker (&s->pool, slot->executor);
+      struct worker *w = pool_find_worker (&s->pool, slot->executor);
       if (sched_task (s, slot->id) || !w)
         continue;
       struct task *t = task_new (s, slot->id, slot->team);
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -102,7 +102,7 @@
   clb_res_add (&total, need, n);
   if (!team->frozen && clb_res_fits (&total, &team->granted))
     return true;
-  team->wants_more = true;
+  team->wants_larger_grant = true;
   team->idle_since_ms = s->now_ms;
   return false;
 }
@@ -213,7 +213,7 @@
 }
 
 /* Sends a write of the team's grant row with this domain's part set to @part.
-   @wants_more is true if the domain wants a larger part. */
+   @wants_larger_grant is true if the domain wants a larger part. */
 static void
 write_grant_row (struct sched *s, struct team *team,
                  const struct clb_res *part, bool wants_more)
@@ -225,13 +225,13 @@
 
   own->amount = *part;
   own->wants_more = wants_more;
-  team->want_written = wants_more;
+  team->row_wants_larger_grant = wants_more;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
   o->u.store.token = team->op_token = ++*s->tokens;
   op->kind = team->op_kind = STORE_TXN;
-  store_cond (op, s->journal.epoch_key, s->journal.epoch_ver);
+  store_cond (op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_cond (op, key, team->row_ver);
   store_put (op, key, text);
   team->op_granted = *part;
@@ -254,18 +254,18 @@
 
   codec_free (&grant_row_desc, &team->row);
   team->row_ver = row ? row->ver : 0;
-  team->row_known = true;
+  team->row_is_current = true;
   if (row && row->value
       && codec_parse (&grant_row_desc, row->value, strlen (row->value),
                       CODEC_LENIENT, &team->row, &ce))
     {
       s->stats.damaged_rows++;
-      team->row_known = false;
+      team->row_is_current = false;
     }
 }
 
 void
-escrow_row (struct sched *s, const struct row *row)
+escrow_load_row (struct sched *s, const struct row *row)
 {
   const char *name = strrchr (row->key, '/');
 
@@ -279,7 +279,7 @@
 }
 
 void
-escrow_conf (struct sched *s)
+escrow_apply_limits (struct sched *s)
 {
   struct team *team;
 
@@ -292,7 +292,7 @@
       if (!not_lowered || over_limit (s, team))
         {
           team->frozen = true;
-          team->row_known = false;
+          team->row_is_current = false;
           team->rewrite_due = true;
         }
       team->last_limit = team->limit;
@@ -346,7 +346,7 @@
   if (!row.teams)
     abort ();
   RB_FOREACH (team, team_tree, &s->teams)
-    if (team->want_written && row.n_teams < CONF_TEAMS_MAX)
+    if (team->row_wants_larger_grant && row.n_teams < CONF_TEAMS_MAX)
       clb_copy (row.teams[row.n_teams++].team, team->name, CLB_NAME_MAX);
   text = codec_text (&want_row_desc, &row);
   free (row.teams);
@@ -361,7 +361,7 @@
   char key[ROW_KEY_SIZE];
   struct out *o;
 
-  if (s->want_written && strcmp (s->want_written, text) == 0)
+  if (s->want_row_text && strcmp (s->want_row_text, text) == 0)
     {
       free (text);
       return;
@@ -370,10 +370,10 @@
   snprintf (key, sizeof key, "want/%s", s->domain);
   o->u.store.token = s->want_write_token = ++*s->tokens;
   o->u.store.op.kind = STORE_TXN;
-  store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_ver);
+  store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_put (&o->u.store.op, key, text);
-  free (s->want_written);
-  s->want_written = text;
+  free (s->want_row_text);
+  s->want_row_text = text;
 }
 
 /* Sends a read of the want rows of all domains. */
@@ -402,11 +402,11 @@
                       CODEC_LENIENT, &wants, &ce))
     return;
   for (size_t i = 0; i < wants.n_teams; i++)
-    sched_team (s, wants.teams[i].team)->row_known = false;
+    sched_team (s, wants.teams[i].team)->row_is_current = false;
   codec_free (&want_row_desc, &wants);
 }
 
-/* Does as escrow_store() for operations on want rows. */
+/* Does as escrow_handle_store_reply() for operations on want rows. */
 static bool
 want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
 {
@@ -415,8 +415,8 @@
       s->want_write_token = 0;
       if (rep->err)
         {
-          free (s->want_written);
-          s->want_written = NULL;
+          free (s->want_row_text);
+          s->want_row_text = NULL;
         }
       return true;
     }
@@ -444,7 +444,8 @@
 }
 
 bool
-escrow_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+escrow_handle_store_reply (struct sched *s, uint64_t token,
+                           const struct store_rep *rep)
 {
   struct team *team = token ? team_by_token (s, token) : NULL;
   bool is_write;
@@ -461,7 +462,7 @@
     set_grant_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
   else
     {
-      team->row_known = false;
+      team->row_is_current = false;
       team->next_op_ms = s->now_ms + GRANT_READ_PERIOD_MS;
     }
   for (size_t i = 0; rep->err == CLB_ECONFLICT && i < rep->n_rows; i++)
@@ -512,11 +513,12 @@
 {
   struct clb_res part = raised_part (s, team);
   struct grant *own = find_or_add_grant (&team->row, s->domain);
-  bool wants_more = team->wants_more && !clb_res_fits (&team->demand, &part);
+  bool wants_more
+      = team->wants_larger_grant && !clb_res_fits (&team->demand, &part);
 
   if (!res_equal (&part, &team->granted) || own->wants_more != wants_more)
     write_grant_row (s, team, &part, wants_more);
-  else if (team->wants_more)
+  else if (team->wants_larger_grant)
     read_grant_row (s, team, GRANT_READ_PERIOD_MS);
 }
 
@@ -536,7 +538,7 @@
   part = lowered_part (s, team, others_want && idle);
   if (res_equal (&part, &team->granted))
     return false;
-  write_grant_row (s, team, &part, team->wants_more);
+  write_grant_row (s, team, &part, team->wants_larger_grant);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
@@ -547,8 +549,8 @@
 static void
 team_adjust (struct sched *s, struct team *team)
 {
-  bool idle
-      = s->now_ms - team->idle_since_ms >= TEAM_IDLE_MS && !team->wants_more;
+  bool idle = s->now_ms - team->idle_since_ms >= TEAM_IDLE_MS
+              && !team->wants_larger_grant;
   bool others_want;
 
   sum_other_parts (s, team, &others_want);
@@ -560,11 +562,11 @@
     {
       /* The configuration version in the grant row keeps domains that have an
          older configuration from raising their parts under its limit. */
-      write_grant_row (s, team, &team->granted, team->wants_more);
+      write_grant_row (s, team, &team->granted, team->wants_larger_grant);
       team->rewrite_due = false;
     }
   else if (!give_up_unused (s, team, idle)
-           && (team->wants_more || !others_want))
+           && (team->wants_larger_grant || !others_want))
     raise_part (s, team);
 }
 
@@ -576,12 +578,12 @@
 {
   if (team->op_token || s->now_ms < team->next_op_ms)
     return;
-  if (team->row_known && team->row.conf_version > s->conf->version)
+  if (team->row_is_current && team->row.conf_version > s->conf->version)
     {
       read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
-  if (!team->row_known)
+  if (!team->row_is_current)
     {
       read_grant_row (s, team, 0);
       return;
@@ -589,7 +591,7 @@
   team_adjust (s, team);
   if (!team->op_token)
     team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
-  team->wants_more = false;
+  team->wants_larger_grant = false;
   s->dirty |= team->waiting > 0;
 }
 
--- a/core/journal.c
+++ b/core/journal.c
@@ -91,7 +91,7 @@
   struct journal *j = &s->journal;
 
   snprintf (j->epoch_key, sizeof j->epoch_key, "epoch/%s", s->domain);
-  j->epoch_ver = epoch_ver;
+  j->epoch_row_ver = epoch_ver;
   j->commit_seq = 1;
   group_init (&j->open);
   group_init (&j->commit);
@@ -192,7 +192,7 @@
         t->end_durable = true;
       break;
     case EFFECT_ACK:
-      w = pool_worker (&s->pool, e->worker);
+      w = pool_find_worker (&s->pool, e->worker);
       if (w)
         recon_ack (w, e->id);
       break;
@@ -265,7 +265,7 @@
   clb_auto char *text = codec_text (&journal_row_desc, &j->commit.row);
 
   journal_row_key (s, j->commit_seq, key);
-  store_cond (op, j->epoch_key, j->epoch_ver);
+  store_cond (op, j->epoch_key, j->epoch_row_ver);
   store_cond (op, key, 0);
   store_put (op, key, text);
   add_request_rows (s, op, &j->commit);
@@ -582,7 +582,7 @@
     row.first_seq = j->snap_last_seq + 1;
   clb_auto char *text = codec_text (&snap_row_desc, &row);
   journal_snap_key (s, key);
-  store_cond (op, j->epoch_key, j->epoch_ver);
+  store_cond (op, j->epoch_key, j->epoch_row_ver);
   store_put (op, key, text);
   for (int k = 0;
        k < SNAP_DELETE_ROWS_MAX && j->first_seq + k <= j->snap_last_seq; k++)
@@ -629,7 +629,8 @@
 }
 
 bool
-journal_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+journal_handle_store_reply (struct sched *s, uint64_t token,
+                            const struct store_rep *rep)
 {
   struct journal *j = &s->journal;
 
--- a/core/load.c
+++ b/core/load.c
@@ -87,7 +87,7 @@
 static struct worker *
 find_or_add_worker (struct sched *s, const struct place *p, int lane)
 {
-  struct worker *w = pool_worker (&s->pool, p->worker);
+  struct worker *w = pool_find_worker (&s->pool, p->worker);
   struct inst in
       = { .kind = lane == LANE_SERVICE ? INST_EXECUTOR : INST_WORKER };
 
@@ -278,12 +278,12 @@
 handle_grant_rows (struct sched *s, const struct store_rep *rep)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
-    escrow_row (s, &rep->rows[i]);
+    escrow_load_row (s, &rep->rows[i]);
   if (set_list_position (s, rep))
     return;
   s->load_step = LOAD_DONE;
   s->phase = SCHED_READY;
-  escrow_conf (s);
+  escrow_apply_limits (s);
   sched_event (s, WHY_TOOK_OVER, "", "", s->me, 0);
 }
 
--- a/core/node.c
+++ b/core/node.c
@@ -300,7 +300,7 @@
       break;
     case PM_CALL:
       if (n->sched)
-        sched_call (n->sched, m->from, &m->u.call);
+        sched_handle_call (n->sched, m->from, &m->u.call);
       break;
     case PM_REPLY:
       entry_reply (n, &m->u.reply);
@@ -662,7 +662,7 @@
     list_answer (n, rep);
   else if (!apply_store (n, token, rep) && !role_store (&n->role, token, rep)
            && n->sched)
-    sched_store (n->sched, token, rep);
+    sched_handle_store_reply (n->sched, token, rep);
   node_step (n);
 }
 
@@ -672,7 +672,7 @@
 {
   node_at (n, now_ms);
   if (n->sched)
-    sched_sync (n->sched, worker, seq, rep);
+    sched_handle_sync_reply (n->sched, worker, seq, rep);
   node_step (n);
 }
 
--- a/core/place.c
+++ b/core/place.c
@@ -55,7 +55,7 @@
 }
 
 struct worker *
-pool_worker (struct pool *pool, const char *id)
+pool_find_worker (struct pool *pool, const char *id)
 {
   struct worker key;
 
@@ -66,7 +66,7 @@
 struct worker *
 pool_add (struct pool *pool, const struct inst *inst)
 {
-  struct worker *w = pool_worker (pool, inst->id);
+  struct worker *w = pool_find_worker (pool, inst->id);
 
   if (!w)
     {
--- a/core/place.h
+++ b/core/place.h
@@ -100,8 +100,8 @@
 void pool_init (struct pool *pool);
 /** pool_clear() - Remove and free all workers. */
 void pool_clear (struct pool *pool);
-/** pool_worker() - Find a worker by its id; returns NULL if unknown. */
-struct worker *pool_worker (struct pool *pool, const char *id);
+/** pool_find_worker() - Find a worker by its id; returns NULL if unknown. */
+struct worker *pool_find_worker (struct pool *pool, const char *id);
 /**
  * pool_add() - Find or create a worker and set its description.
  * @inst: description, which has the worker's id; copied
--- a/core/recon.c
+++ b/core/recon.c
@@ -229,7 +229,7 @@
 count_run_failure (struct sched *s, struct worker *w, struct task *t)
 {
   struct worker *first_failed
-      = *t->failed_on ? pool_worker (&s->pool, t->failed_on) : NULL;
+      = *t->failed_on ? pool_find_worker (&s->pool, t->failed_on) : NULL;
 
   if (!*t->failed_on || strcmp (t->failed_on, w->inst.id) == 0)
     count_worker_failure (s, w);
--- a/core/sched.c
+++ b/core/sched.c
@@ -92,7 +92,7 @@
   pool_clear (&s->pool);
   journal_free (s);
   free (s->load_after);
-  free (s->want_written);
+  free (s->want_row_text);
   free (s->events);
   free (s);
 }
@@ -133,7 +133,7 @@
       team->weight = conf->teams[i].weight;
       team->limit = conf->teams[i].limit;
     }
-  escrow_conf (s);
+  escrow_apply_limits (s);
   s->dirty = true;
 }
 
@@ -309,16 +309,18 @@
 }
 
 bool
-sched_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+sched_handle_store_reply (struct sched *s, uint64_t token,
+                          const struct store_rep *rep)
 {
-  return journal_store (s, token, rep) || escrow_store (s, token, rep);
+  return journal_handle_store_reply (s, token, rep)
+         || escrow_handle_store_reply (s, token, rep);
 }
 
 void
-sched_sync (struct sched *s, const char *worker, int64_t seq,
-            const struct sync_rep *rep)
+sched_handle_sync_reply (struct sched *s, const char *worker, int64_t seq,
+                         const struct sync_rep *rep)
 {
-  struct worker *w = pool_worker (&s->pool, worker);
+  struct worker *w = pool_find_worker (&s->pool, worker);
 
   if (w)
     recon_report (s, w, seq, rep);
--- a/core/sched.h
+++ b/core/sched.h
@@ -209,7 +209,7 @@
   int64_t row_ver;
   /* True if the copy of the grant row is believed to be current; otherwise the
      row is read before the next decision. */
-  bool row_known;
+  bool row_is_current;
   /* Limit as of the latest configuration that was applied, to find out whether
      a new one lowers it. */
   struct clb_res last_limit;
@@ -221,9 +221,9 @@
   bool rewrite_due;
   /* True if the grant row as last written says that this domain wants a larger
      part. */
-  bool want_written;
+  bool row_wants_larger_grant;
   /* True if tasks wait for a larger part of the limit here. */
-  bool wants_more;
+  bool wants_larger_grant;
   /* Capacity that the team would use here if its waiting tasks ran. */
   struct clb_res demand;
   uint64_t op_token; /* token of the outstanding store operation, or 0 */
@@ -280,9 +280,9 @@
 struct journal
 {
   /* Key of the domain's epoch row.  Every write has the condition that this
-     row still has the version epoch_ver. */
+     row still has the version epoch_row_ver. */
   char epoch_key[CLB_ID_MAX];
-  int64_t epoch_ver;
+  int64_t epoch_row_ver;
   /* Number of the journal row that the commit group is written as; while no
      commit is in progress, the number of the next row. */
   int64_t commit_seq;
@@ -405,7 +405,7 @@
   int64_t next_want_ms;
   int64_t want_read_ms; /* when the latest read of the want rows was sent */
   /* Text of this domain's want row as last written, or NULL; owned. */
-  char *want_written;
+  char *want_row_text;
   /* True once every entry instance has reported the service slots that it
      uses. */
   bool slots_known;
@@ -422,7 +422,7 @@
  * @me: id of this instance
  * @boot: boot of this instance
  * @epoch: number of the lease's epoch
- * @epoch_ver: version of the epoch row, the condition of every write
+ * @epoch_row_ver: version of the epoch row, the condition of every write
  * @now_ms: current time
  * @conf: configuration in force
  * @out: queue for outgoing messages
@@ -449,11 +449,12 @@
 void sched_instances (struct sched *s, const struct inst_list *list,
                       int64_t requested_ms);
 /**
- * sched_call() - Handle a call; the reply may be sent much later.
+ * sched_handle_call() - Handle a call; the reply may be sent much later.
  * @entry: id of the entry instance that calls
  * @c: the call, copied as far as it is needed
  */
-void sched_call (struct sched *s, const char *entry, const struct call *c);
+void sched_handle_call (struct sched *s, const char *entry,
+                        const struct call *c);
 /**
  * sched_used_slots() - Reserve slots that an entry instance still uses.
  * @held: the slots, as the entry instance has reported them
@@ -462,22 +463,22 @@
  */
 void sched_used_slots (struct sched *s, const struct held_list *held);
 /**
- * sched_store() - Handle the answer to a store operation.
+ * sched_handle_store_reply() - Handle the answer to a store operation.
  * @token: token of the operation
  * @rep: the answer
  *
  * Return: true if @token belongs to an operation of the scheduler.
  */
-bool sched_store (struct sched *s, uint64_t token,
-                  const struct store_rep *rep);
+bool sched_handle_store_reply (struct sched *s, uint64_t token,
+                               const struct store_rep *rep);
 /**
- * sched_sync() - Handle a worker's answer to a sync.
+ * sched_handle_sync_reply() - Handle a worker's answer to a sync.
  * @worker: id of the worker
  * @seq: number of the sync
  * @rep: the answer; NULL: the sync failed
  */
-void sched_sync (struct sched *s, const char *worker, int64_t seq,
-                 const struct sync_rep *rep);
+void sched_handle_sync_reply (struct sched *s, const char *worker, int64_t seq,
+                              const struct sync_rep *rep);
 /**
  * sched_tick() - Run timers, place tasks, sync workers, write the journal.
  *
@@ -680,7 +681,7 @@
 
 /**
  * journal_init() - Initialise the journal's write side.
- * @epoch_ver: version of the epoch row, the condition of every write
+ * @epoch_row_ver: version of the epoch row, the condition of every write
  */
 void journal_init (struct sched *s, int64_t epoch_ver);
 /** journal_free() - Free what the journal's write side owns. */
@@ -700,9 +701,10 @@
 struct effect *journal_effect (struct sched *s, int kind, const char *id);
 /** journal_full() - Return whether too many records wait to be written. */
 bool journal_full (const struct sched *s);
-/** journal_store() - Do as sched_store() for the journal and for loading. */
-bool journal_store (struct sched *s, uint64_t token,
-                    const struct store_rep *rep);
+/** journal_handle_store_reply() - Do as sched_handle_store_reply() for the
+ * journal and for loading. */
+bool journal_handle_store_reply (struct sched *s, uint64_t token,
+                                 const struct store_rep *rep);
 /** journal_tick() - Send the reads and writes of the journal that are due. */
 void journal_tick (struct sched *s);
 /** journal_replay() - Apply a record of an earlier epoch, copied from @rec. */
@@ -739,13 +741,15 @@
  */
 bool escrow_allows (struct sched *s, struct team *team,
                     const struct clb_res *need, int64_t n);
-/** escrow_store() - Do as sched_store() for grant and want rows. */
-bool escrow_store (struct sched *s, uint64_t token,
-                   const struct store_rep *rep);
-/** escrow_row() - Apply a grant row that was read while loading. */
-void escrow_row (struct sched *s, const struct row *row);
-/** escrow_conf() - Apply the teams' limits of a newer configuration. */
-void escrow_conf (struct sched *s);
+/** escrow_handle_store_reply() - Do as sched_handle_store_reply() for grant
+ * and want rows. */
+bool escrow_handle_store_reply (struct sched *s, uint64_t token,
+                                const struct store_rep *rep);
+/** escrow_load_row() - Apply a grant row that was read while loading. */
+void escrow_load_row (struct sched *s, const struct row *row);
+/** escrow_apply_limits() - Apply the teams' limits of a newer configuration.
+ */
+void escrow_apply_limits (struct sched *s);
 /** escrow_tick() - Send the operations on grant and want rows that are due. */
 void escrow_tick (struct sched *s);
 
