--- a/core/calls.c
+++ b/core/calls.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  /* Maximum time that a status call waits for a task's end. */
+  /* Maximum time that a status call waits for the task's end. */
   STATUS_WAIT_MAX_MS = 600000,
 };
 
@@ -32,21 +32,21 @@
 
 /* Returns whether the call describes the same work as the task. */
 static bool
-same_request (const struct task *t, const struct call *c)
+same_spec (const struct task *t, const struct call *c)
 {
-  char *a = codec_text (&spec_desc, &t->spec);
-  char *b = codec_text (&spec_desc, &c->spec);
-  bool same = strcmp (a, b) == 0;
+  char *task_text = codec_text (&spec_desc, &t->spec);
+  char *call_text = codec_text (&spec_desc, &c->spec);
+  bool specs_equal = strcmp (task_text, call_text) == 0;
 
-  free (a);
-  free (b);
-  return same;
+  free (task_text);
+  free (call_text);
+  return specs_equal;
 }
 
 /* Finds the recorded task with the call's team and request id.  Returns NULL
    if there is none. */
 static struct task *
-find_request (struct sched *s, const struct call *c)
+find_task_by_request (struct sched *s, const struct call *c)
 {
   struct task key = { .team = sched_team (s, c->team) };
 
@@ -74,7 +74,7 @@
 reply_duplicate (struct sched *s, const char *entry, const struct call *c,
                  struct task *t)
 {
-  if (!same_request (t, c))
+  if (!same_spec (t, c))
     {
       reply_err (s, entry, c->seq, CLB_EDUP, WHY_DUPLICATE);
       return;
@@ -115,7 +115,7 @@
 
 /* Creates a recorded task with id @id for the call and journals its accept. */
 static struct task *
-accept_recorded (struct sched *s, const char *id, const struct call *c)
+accept_recorded_task (struct sched *s, const char *id, const struct call *c)
 {
   struct task *t = task_from_call (s, id, c);
 
@@ -156,11 +156,11 @@
   char id[CLB_ID_MAX];
   struct task *t;
 
-  if (reply_if_known_or_refused (s, entry, c, find_request (s, c)))
+  if (reply_if_known_or_refused (s, entry, c, find_task_by_request (s, c)))
     return;
   snprintf (id, sizeof id, "%s.%lld.%lld", s->domain, (long long)s->epoch,
             (long long)++s->last_id);
-  t = accept_recorded (s, id, c);
+  t = accept_recorded_task (s, id, c);
   if (c->spec.deadline_ms > 0)
     t->expires_ms = s->now_ms + c->spec.deadline_ms;
   task_reply_durable (s, t, entry, c->seq);
@@ -174,7 +174,7 @@
 {
   struct waiter *waiter;
 
-  /* An entry instance may send the same call again. */
+  /* An entry instance may repeat a call that already waits. */
   TAILQ_FOREACH (waiter, &t->waiters, link)
     if (waiter->call_seq == c->seq && strcmp (waiter->entry, entry) == 0)
       return;
@@ -211,7 +211,7 @@
 }
 
 /* Handles an acquire call whose task @t exists already.  An entry instance
-   sends such a call again after a change of holder or when the reply was
+   repeats such a call if the domain's lease has a new holder or the reply was
    lost. */
 static void
 handle_repeated_acquire (struct sched *s, const char *entry,
@@ -240,11 +240,11 @@
       return;
     }
   if (!c->idempotent)
-    t = find_request (s, c);
+    t = find_task_by_request (s, c);
   if (reply_if_known_or_refused (s, entry, c, t))
     return;
   if (!c->idempotent)
-    t = accept_recorded (s, c->id, c);
+    t = accept_recorded_task (s, c->id, c);
   else
     {
       t = task_from_call (s, c->id, c);
@@ -276,8 +276,8 @@
   task_evaluate (s, t);
 }
 
-/* Handles a call that releases the slot of a service request and reports how
-   the request has ended. */
+/* Handles a call that releases the slot of a service request and says how the
+   request has ended. */
 static void
 handle_release (struct sched *s, const char *entry, const struct call *c)
 {
@@ -400,7 +400,7 @@
     }
 }
 
-/* Service slots that were granted by an earlier holder. */
+/* Service slots that an earlier holder of the domain's lease granted. */
 
 void
 sched_used_slots (struct sched *s, const struct held_list *held)
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -1,13 +1,16 @@
 /*
- * Upper limits by escrow.  Each team's limit on the whole fleet is split into
- * parts, one for each failure domain, in one table row, the team's grant row.
- * The parts never add up to more than the limit, so a domain that stays within
- * its own part need not coordinate with the others.
+ * Division of the teams' limits among the failure domains (escrow).  Each team
+ * has a limit for the whole fleet.  A domain's grant is the part of this limit
+ * that the team may use in the domain.  One table row for each team, its grant
+ * row, holds the grants of all domains.  The grants do not add up to more than
+ * the limit, so a domain that keeps the team's use within its own grant need
+ * not coordinate with the other domains.  If they do because the limit was
+ * lowered, no task of the team is started until they fit again.
  *
- * A domain raises its part while the team's tasks wait for it and the limit
- * and the others' parts allow it, and gives up what is unused.  It names the
- * teams that are short of their part in its want row, which the other domains
- * read.
+ * A domain raises its grant while the team's tasks wait for it and the limit
+ * and the other domains' grants allow it, and gives up what the team does not
+ * use.  The domain's want row names the teams for which its grant is too
+ * small; the other domains read it.
  */
 #include "sched.h"
 
@@ -17,21 +20,20 @@
 
 enum
 {
-  /* Time between two reads of a grant row while the domains' parts exceed the
-     limit, this domain's part is too small or the row was written under a
-     newer configuration; also the delay after a failed operation on the
-     row. */
+  /* Time between two reads of a team's grant row while the domains' grants add
+     up to more than the team's limit, this domain's grant is too small or the
+     row was written under a newer configuration; also the delay after a failed
+     operation on the row. */
   GRANT_READ_PERIOD_MS = 1000,
-  /* Time between two decisions about this domain's part of one team's
-     limit. */
+  /* Time between two decisions about one team's grant in this domain. */
   GRANT_ADJUST_PERIOD_MS = 500,
-  /* A part that the team does not use in this domain is kept for this long. */
-  TEAM_IDLE_MS = 3000,
+  /* Unused capacity of a grant is kept for this long. */
+  UNUSED_GRANT_KEEP_MS = 3000,
   /* Time between two reads of all domains' want rows. */
-  WANT_PERIOD_MS = 1000,
-  /* A read of the want rows that is not answered within this time is given
-     up. */
-  WANT_TIMEOUT_MS = 3000,
+  WANT_ROWS_READ_PERIOD_MS = 1000,
+  /* If a read of the want rows is not answered within this time, the next one
+     may be sent. */
+  WANT_ROWS_READ_TIMEOUT_MS = 3000,
   /* Maximum number of a team's waiting tasks that are counted as its
      demand. */
   DEMAND_TASKS_MAX = 256,
@@ -44,8 +46,8 @@
   snprintf (out, ROW_KEY_SIZE, "grant/%s", team->name);
 }
 
-/* Finds a domain's part in a grant row.  If the row has none, an empty part is
-   added.  The row owns the part. */
+/* Finds a domain's grant in a grant row.  If the row has none, a grant of zero
+   is added.  The grant is owned by the row. */
 static struct grant *
 find_or_add_grant (struct grant_row *row, const char *domain)
 {
@@ -62,32 +64,33 @@
   return grant;
 }
 
-/* Returns the sum of the other domains' parts.  *@others_want is set to true
-   if one of these domains wants a larger part, else to false. */
+/* Returns the sum of the other domains' grants.  Sets
+   *@others_want_larger_grant to true if any of these domains wants a larger
+   grant, else to false. */
 static struct clb_res
-sum_other_parts (const struct sched *s, const struct team *team,
-                 bool *others_want)
+sum_other_grants (const struct sched *s, const struct team *team,
+                  bool *others_want_larger_grant)
 {
   struct clb_res sum = { 0 };
 
-  *others_want = false;
+  *others_want_larger_grant = false;
   for (size_t i = 0; i < team->row.n_grants; i++)
     {
       const struct grant *grant = &team->row.grants[i];
       if (strcmp (grant->domain, s->domain) == 0)
         continue;
       clb_res_add (&sum, &grant->amount, 1);
-      *others_want |= grant->wants_more;
+      *others_want_larger_grant |= grant->wants_more;
     }
   return sum;
 }
 
-/* Returns whether all domains' parts add up to more than the team's limit. */
+/* Returns whether the sum of all domains' grants exceeds the team's limit. */
 static bool
 over_limit (const struct sched *s, const struct team *team)
 {
-  bool others_want;
-  struct clb_res sum = sum_other_parts (s, team, &others_want);
+  bool others_want_larger_grant;
+  struct clb_res sum = sum_other_grants (s, team, &others_want_larger_grant);
 
   clb_res_add (&sum, &team->granted, 1);
   return !clb_res_fits (&sum, &team->limit);
@@ -126,16 +129,16 @@
   return sum;
 }
 
-/* Returns the part of the team's limit that each domain has if it is split
+/* Returns the grant that each domain has if the team's limit is split
    evenly. */
 static struct clb_res
-even_part (const struct sched *s, const struct team *team)
+even_grant (const struct sched *s, const struct team *team)
 {
-  struct clb_res part;
+  struct clb_res even;
 
   for (int k = 0; k < RES_N; k++)
-    clb_res_set (&part, k, clb_res_get (&team->limit, k) / s->n_domains);
-  return part;
+    clb_res_set (&even, k, clb_res_get (&team->limit, k) / s->n_domains);
+  return even;
 }
 
 static int64_t
@@ -150,51 +153,54 @@
   return a < b ? a : b;
 }
 
-/* Returns the part to which this domain's part can be raised.  It is the
-   team's demand, bounded by the even part if another domain wants more; if
-   none does, the even part where that is larger than the demand.  The limit
-   and the other domains' parts bound it, but it is never less than what is
-   granted. */
+/* Returns the amount to which this domain's grant can be raised.  If another
+   domain wants a larger grant, it is the team's demand, at most an even split
+   of the limit; else it is the demand or an even split, whichever is larger.
+   It is also at most what the other domains' grants leave of the limit, but
+   never less than the present grant. */
 static struct clb_res
-raised_part (const struct sched *s, const struct team *team)
+raised_grant (const struct sched *s, const struct team *team)
 {
-  bool others_want;
-  struct clb_res others = sum_other_parts (s, team, &others_want);
-  struct clb_res even = even_part (s, team);
-  struct clb_res part;
+  bool others_want_larger_grant;
+  struct clb_res others
+      = sum_other_grants (s, team, &others_want_larger_grant);
+  struct clb_res even = even_grant (s, team);
+  struct clb_res new_grant;
 
   for (int k = 0; k < RES_N; k++)
     {
       int64_t granted = clb_res_get (&team->granted, k);
       int64_t target = clb_res_get (&team->demand, k);
-      /* A domain exceeds its even part only while no other domain wants
-         more. */
-      if (others_want)
+      /* A domain's grant may exceed an even split of the limit only while no
+         other domain wants a larger grant. */
+      if (others_want_larger_grant)
         target = min64 (target, clb_res_get (&even, k));
       else
         target = max64 (target, clb_res_get (&even, k));
       int64_t left = clb_res_get (&team->limit, k) - clb_res_get (&others, k);
-      clb_res_set (&part, k, max64 (granted, min64 (target, left)));
+      clb_res_set (&new_grant, k, max64 (granted, min64 (target, left)));
     }
-  return part;
+  return new_grant;
 }
 
-/* Returns the part that is left after unused capacity is given up.  If
-   @to_used is true, all that is not in use is given up, else only what is also
-   above the even part. */
+/* Returns what is left of this domain's grant after unused capacity is given
+   up.  If @down_to_used is true, all unused capacity is given up, else only
+   what exceeds an even split of the limit. */
 static struct clb_res
-lowered_part (const struct sched *s, const struct team *team, bool to_used)
+lowered_grant (const struct sched *s, const struct team *team,
+               bool down_to_used)
 {
-  struct clb_res even = even_part (s, team);
-  struct clb_res part;
+  struct clb_res even = even_grant (s, team);
+  struct clb_res new_grant;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t keep = to_used ? 0 : clb_res_get (&even, k);
+      int64_t keep = down_to_used ? 0 : clb_res_get (&even, k);
       keep = max64 (keep, clb_res_get (&team->used, k));
-      clb_res_set (&part, k, min64 (keep, clb_res_get (&team->granted, k)));
+      clb_res_set (&new_grant, k,
+                   min64 (keep, clb_res_get (&team->granted, k)));
     }
-  return part;
+  return new_grant;
 }
 
 /* Sends a read of the team's grant row.  The next decision about the team is
@@ -212,20 +218,21 @@
   team->next_op_ms = s->now_ms + wait_ms;
 }
 
-/* Sends a write of the team's grant row with this domain's part set to @part.
-   @wants_larger_grant is true if the domain wants a larger part. */
+/* Sends a write of the team's grant row in which this domain's grant is
+   @new_grant.  @wants_larger_grant is true if the domain wants a larger
+   grant. */
 static void
 write_grant_row (struct sched *s, struct team *team,
-                 const struct clb_res *part, bool wants_more)
+                 const struct clb_res *new_grant, bool wants_larger_grant)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
-  struct grant *own = find_or_add_grant (&team->row, s->domain);
+  struct grant *own_grant = find_or_add_grant (&team->row, s->domain);
   char key[ROW_KEY_SIZE];
 
-  own->amount = *part;
-  own->wants_more = wants_more;
-  team->row_wants_larger_grant = wants_more;
+  own_grant->amount = *new_grant;
+  own_grant->wants_more = wants_larger_grant;
+  team->row_wants_larger_grant = wants_larger_grant;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
@@ -234,19 +241,19 @@
   store_cond (op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_cond (op, key, team->row_ver);
   store_put (op, key, text);
-  team->op_granted = *part;
+  team->op_granted = *new_grant;
   /* The capacity that is given up must not be used from now on, since the
      write may take effect whatever its answer is. */
   for (int k = 0; k < RES_N; k++)
     clb_res_set (
         &team->granted, k,
-        min64 (clb_res_get (&team->granted, k), clb_res_get (part, k)));
+        min64 (clb_res_get (&team->granted, k), clb_res_get (new_grant, k)));
   team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
 }
 
 /* Replaces the team's copy of its grant row.  @row is the row as read; NULL:
-   the table has no such row.  The part that may be used in this domain does
-   not change, since only the domain's own writes raise it. */
+   the table has no such row.  team::granted does not change, since only a
+   write by this domain can raise it. */
 static void
 set_grant_row (struct sched *s, struct team *team, const struct row *row)
 {
@@ -274,7 +281,7 @@
   struct team *team = sched_team (s, name + 1);
   set_grant_row (s, team, row);
   /* The epoch is new, so no earlier write of this domain is in progress, and
-     the domain's part may be taken from the row. */
+     the domain's grant may be taken from the row. */
   team->granted = find_or_add_grant (&team->row, s->domain)->amount;
 }
 
@@ -330,13 +337,13 @@
   s->dirty = true;
 }
 
-/* Want rows.  Each domain has one, in which it names the teams that want a
-   larger part in that domain.  The other domains then read these teams' grant
-   rows. */
+/* Want rows.  Each domain has one want row, which names the teams that want a
+   larger grant in that domain.  The other domains then read the grant rows of
+   these teams. */
 
 /* Returns this domain's want row as JSON text, which the caller frees. */
 static char *
-want_text (struct sched *s)
+make_want_row_text (struct sched *s)
 {
   struct want_row row = { .n_teams = 0 };
   struct team *team;
@@ -353,11 +360,11 @@
   return text;
 }
 
-/* Sends a write of this domain's want row if the row has changed. */
+/* Sends a write of this domain's want row if its text has changed. */
 static void
-want_write (struct sched *s)
+write_want_row (struct sched *s)
 {
-  char *text = want_text (s);
+  char *text = make_want_row_text (s);
   char key[ROW_KEY_SIZE];
   struct out *o;
 
@@ -378,7 +385,7 @@
 
 /* Sends a read of the want rows of all domains. */
 static void
-want_read (struct sched *s)
+read_want_rows (struct sched *s)
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
@@ -388,8 +395,8 @@
   s->want_read_ms = s->now_ms;
 }
 
-/* Causes the grant rows of all teams that are named in want row @row to be
-   read again, if the row is another domain's. */
+/* Handles a want row: marks the grant rows of the teams that it names to be
+   read again.  This domain's own want row is ignored. */
 static void
 apply_want_row (struct sched *s, const struct row *row)
 {
@@ -406,9 +413,11 @@
   codec_free (&want_row_desc, &wants);
 }
 
-/* Does as escrow_handle_store_reply() for operations on want rows. */
+/* Handles the answer to an operation on want rows.  Returns false if @token
+   belongs to no such operation. */
 static bool
-want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+handle_want_reply (struct sched *s, uint64_t token,
+                   const struct store_rep *rep)
 {
   if (token == s->want_write_token)
     {
@@ -428,19 +437,19 @@
   return true;
 }
 
-/* Sends a read of all want rows and, if necessary, a write of this domain's
-   want row, every WANT_PERIOD_MS. */
+/* Sends a read of all want rows every WANT_ROWS_READ_PERIOD_MS, and with it a
+   write of this domain's want row if the row has changed. */
 static void
-want_tick (struct sched *s)
+want_rows_tick (struct sched *s)
 {
-  if (s->now_ms - s->want_read_ms > WANT_TIMEOUT_MS)
+  if (s->now_ms - s->want_read_ms > WANT_ROWS_READ_TIMEOUT_MS)
     s->want_read_token = 0;
   if (s->now_ms < s->next_want_ms || s->want_read_token)
     return;
-  s->next_want_ms = s->now_ms + WANT_PERIOD_MS;
-  want_read (s);
+  s->next_want_ms = s->now_ms + WANT_ROWS_READ_PERIOD_MS;
+  read_want_rows (s);
   if (!s->want_write_token)
-    want_write (s);
+    write_want_row (s);
 }
 
 bool
@@ -452,7 +461,7 @@
   char key[ROW_KEY_SIZE];
 
   if (!team)
-    return token && want_store (s, token, rep);
+    return token && handle_want_reply (s, token, rep);
   is_write = team->op_kind == STORE_TXN;
   team->op_token = 0;
   grant_key (team, key);
@@ -484,97 +493,102 @@
   return clb_res_fits (a, b) && clb_res_fits (b, a);
 }
 
-/* Lowers this domain's part for a team whose parts exceed its limit.  The part
-   is lowered to the even part or, if that changes nothing, to what is in use.
-   If nothing can be given up, the grant row is read again later. */
+/* Lowers this domain's grant for a team of which all domains' grants together
+   exceed the limit.  The grant is lowered to an even split of the limit or, if
+   that changes nothing, to what is in use.  If nothing can be given up, the
+   grant row is read again later. */
 static void
 lower_over_limit (struct sched *s, struct team *team)
 {
-  struct clb_res part;
+  struct clb_res new_grant;
 
   team->frozen = true;
   sched_withdraw (s, team);
-  part = lowered_part (s, team, false);
-  if (res_equal (&part, &team->granted))
-    part = lowered_part (s, team, true);
-  if (res_equal (&part, &team->granted))
+  new_grant = lowered_grant (s, team, false);
+  if (res_equal (&new_grant, &team->granted))
+    new_grant = lowered_grant (s, team, true);
+  if (res_equal (&new_grant, &team->granted))
     {
       read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
-  write_grant_row (s, team, &part, false);
+  write_grant_row (s, team, &new_grant, false);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
 }
 
-/* Raises this domain's part if the team's demand needs it.  If the part cannot
-   be raised and tasks wait for it, the grant row is read again later. */
+/* Raises this domain's grant if the team's demand needs it.  If the grant
+   cannot be raised and tasks wait for it, the grant row is read again
+   later. */
 static void
-raise_part (struct sched *s, struct team *team)
+raise_grant (struct sched *s, struct team *team)
 {
-  struct clb_res part = raised_part (s, team);
-  struct grant *own = find_or_add_grant (&team->row, s->domain);
-  bool wants_more
-      = team->wants_larger_grant && !clb_res_fits (&team->demand, &part);
+  struct clb_res new_grant = raised_grant (s, team);
+  struct grant *own_grant = find_or_add_grant (&team->row, s->domain);
+  bool wants_larger_grant
+      = team->wants_larger_grant && !clb_res_fits (&team->demand, &new_grant);
 
-  if (!res_equal (&part, &team->granted) || own->wants_more != wants_more)
-    write_grant_row (s, team, &part, wants_more);
+  if (!res_equal (&new_grant, &team->granted)
+      || own_grant->wants_more != wants_larger_grant)
+    write_grant_row (s, team, &new_grant, wants_larger_grant);
   else if (team->wants_larger_grant)
     read_grant_row (s, team, GRANT_READ_PERIOD_MS);
 }
 
-/* Gives up unused capacity of this domain's part.  What is above the even part
-   is given up if the team is idle in this domain (@idle) or another domain
-   wants more; all that is unused is given up if both hold.  Returns false if
-   nothing is given up. */
+/* Gives up capacity of this domain's grant that the team does not use.  If the
+   team is idle in this domain (@idle) or another domain wants a larger grant,
+   what exceeds an even split of the limit is given up.  If the team is idle
+   and another domain wants a larger grant, all unused capacity is given up.
+   Returns false if the grant stays as it is. */
 static bool
 give_up_unused (struct sched *s, struct team *team, bool idle)
 {
-  bool others_want;
-  struct clb_res part;
+  bool others_want_larger_grant;
+  struct clb_res new_grant;
 
-  sum_other_parts (s, team, &others_want);
-  if (!idle && !others_want)
+  sum_other_grants (s, team, &others_want_larger_grant);
+  if (!idle && !others_want_larger_grant)
     return false;
-  part = lowered_part (s, team, others_want && idle);
-  if (res_equal (&part, &team->granted))
+  new_grant = lowered_grant (s, team, others_want_larger_grant && idle);
+  if (res_equal (&new_grant, &team->granted))
     return false;
-  write_grant_row (s, team, &part, team->wants_larger_grant);
+  write_grant_row (s, team, &new_grant, team->wants_larger_grant);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
 
-/* Decides whether this domain's part of a team's limit is raised, lowered or
-   left, and sends the write.  The team's copy of the grant row must be
+/* Raises or lowers this domain's grant for a team, or leaves it as it is, and
+   sends the write if there is one.  The team's copy of the grant row must be
    current. */
 static void
-team_adjust (struct sched *s, struct team *team)
+adjust_grant (struct sched *s, struct team *team)
 {
-  bool idle = s->now_ms - team->idle_since_ms >= TEAM_IDLE_MS
+  bool idle = s->now_ms - team->idle_since_ms >= UNUSED_GRANT_KEEP_MS
               && !team->wants_larger_grant;
-  bool others_want;
+  bool others_want_larger_grant;
 
-  sum_other_parts (s, team, &others_want);
+  sum_other_grants (s, team, &others_want_larger_grant);
   team->demand = team_demand (team);
   team->frozen = over_limit (s, team);
   if (team->frozen)
     lower_over_limit (s, team);
   else if (team->rewrite_due)
     {
-      /* The configuration version in the grant row keeps domains that have an
-         older configuration from raising their parts under its limit. */
+      /* The row now names the newer configuration.  Domains that still have an
+         older one do not change their grants, so they cannot raise them by the
+         outdated limit. */
       write_grant_row (s, team, &team->granted, team->wants_larger_grant);
       team->rewrite_due = false;
     }
   else if (!give_up_unused (s, team, idle)
-           && (team->wants_larger_grant || !others_want))
-    raise_part (s, team);
+           && (team->wants_larger_grant || !others_want_larger_grant))
+    raise_grant (s, team);
 }
 
-/* Makes the next decision about a team if it is due.  The team's grant row is
-   read first if the copy is not current or was written under a newer
-   configuration. */
+/* Makes the next decision about a team's grant in this domain if it is due.
+   If the copy of the team's grant row is not current or was written under a
+   newer configuration, the row is read first. */
 static void
-team_tick (struct sched *s, struct team *team)
+decide_grant_if_due (struct sched *s, struct team *team)
 {
   if (team->op_token || s->now_ms < team->next_op_ms)
     return;
@@ -588,7 +602,7 @@
       read_grant_row (s, team, 0);
       return;
     }
-  team_adjust (s, team);
+  adjust_grant (s, team);
   if (!team->op_token)
     team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
   team->wants_larger_grant = false;
@@ -600,7 +614,7 @@
 {
   struct team *team;
 
-  want_tick (s);
+  want_rows_tick (s);
   RB_FOREACH (team, team_tree, &s->teams)
-    team_tick (s, team);
+    decide_grant_if_due (s, team);
 }
--- a/core/journal.c
+++ b/core/journal.c
@@ -15,9 +15,9 @@
 
 enum
 {
-  /* Maximum time that a group with records stays open for more while no other
-     group is being written. */
-  GROUP_WAIT_MS = 5,
+  /* A group with records is committed this long after its first record, or
+     later if another group is still being written. */
+  GROUP_OPEN_MAX_MS = 5,
   /* A group with this many records is committed without waiting for more. */
   GROUP_RECORDS_MAX = 512,
   /* New work is refused while the open group has this many records. */
@@ -32,13 +32,13 @@
 enum snap_step
 {
   SNAP_NONE, /* no snapshot in progress */
-  /* The snapshot's text is made; the last row that it covers may not be
-     durable. */
-  SNAP_MADE,
-  SNAP_OBJECT, /* the object with the snapshot is being written */
+  /* The snapshot's text is made; it is not written yet, since the last journal
+     row that the snapshot covers may not be durable. */
+  SNAP_TEXT_MADE,
+  SNAP_WRITE_OBJECT, /* the object with the snapshot is being written */
   /* The snapshot row is being set to the new object, and the journal rows that
      the snapshot covers are being deleted. */
-  SNAP_ROW,
+  SNAP_WRITE_ROW,
 };
 
 void
@@ -54,8 +54,8 @@
   snprintf (out, ROW_KEY_SIZE, "snap/%s", s->domain);
 }
 
-/* Writes the key of a request's row to @out.  The row has the id of the task
-   that was accepted for the request, in whichever domain. */
+/* Writes the key of a request's row to @out.  The row holds the id of the task
+   that was accepted for the request and is shared by all domains. */
 static void
 request_key (const char *team, const char *request_id, char out[ROW_KEY_SIZE])
 {
@@ -86,12 +86,12 @@
 }
 
 void
-journal_init (struct sched *s, int64_t epoch_ver)
+journal_init (struct sched *s, int64_t epoch_row_ver)
 {
   struct journal *j = &s->journal;
 
   snprintf (j->epoch_key, sizeof j->epoch_key, "epoch/%s", s->domain);
-  j->epoch_row_ver = epoch_ver;
+  j->epoch_row_ver = epoch_row_ver;
   j->commit_seq = 1;
   group_init (&j->open);
   group_init (&j->commit);
@@ -217,7 +217,7 @@
     }
 }
 
-/* Writing groups. */
+/* Commits of groups. */
 
 struct store_op *
 journal_store_op (struct sched *s, int kind, uint64_t *token)
@@ -309,15 +309,15 @@
 commit_finish (struct sched *s)
 {
   struct journal *j = &s->journal;
-  struct group done = j->commit;
+  struct group durable_group = j->commit;
 
-  TAILQ_INIT (&done.effects);
-  TAILQ_CONCAT (&done.effects, &j->commit.effects, link);
+  TAILQ_INIT (&durable_group.effects);
+  TAILQ_CONCAT (&durable_group.effects, &j->commit.effects, link);
   group_init (&j->commit);
   j->commit_in_progress = false;
   j->commit_seq++;
-  run_effects (s, &done.effects);
-  group_clear (&done);
+  run_effects (s, &durable_group.effects);
+  group_clear (&durable_group);
 }
 
 /* Removes the effects of task @id from the list.  Replies among them are sent
@@ -374,13 +374,13 @@
   task_free (s, t);
   /* A snapshot that was made when the group's commit began contains the
      refused task, so it is dropped. */
-  if (j->snap_step == SNAP_MADE)
+  if (j->snap_step == SNAP_TEXT_MADE)
     j->snap_step = SNAP_NONE;
 }
 
-/* Refuses the accept in the commit group whose request row is @row, and
-   removes the accept's record.  Returns false if the group has no such
-   accept. */
+/* Finds the accept record of the commit group whose request row is @row,
+   refuses the task that it accepts and removes the record.  Returns false if
+   the group has no such record. */
 static bool
 drop_refused_accept (struct sched *s, const struct row *row)
 {
@@ -407,7 +407,7 @@
 /* Returns whether the journal row was written by this scheduler for the commit
    group. */
 static bool
-is_own_row (const struct sched *s, const struct row *row)
+is_own_journal_row (const struct sched *s, const struct row *row)
 {
   struct journal_row journal_row;
   struct codec_err ce;
@@ -434,7 +434,8 @@
   /* If the journal row is this scheduler's own, an earlier attempt of the same
      write has succeeded and its answer was lost. */
   for (size_t i = 0; i < rep->n_rows; i++)
-    if (strcmp (rep->rows[i].key, key) == 0 && is_own_row (s, &rep->rows[i]))
+    if (strcmp (rep->rows[i].key, key) == 0
+        && is_own_journal_row (s, &rep->rows[i]))
       {
         commit_finish (s);
         return;
@@ -484,8 +485,8 @@
    rec_kind.  *@recs_cap is the number of records that row->recs has space for;
    it is updated when row->recs grows. */
 static void
-snap_add (struct journal_row *row, size_t *recs_cap, const struct task *t,
-          int kind)
+snap_add_rec (struct journal_row *row, size_t *recs_cap, const struct task *t,
+              int kind)
 {
   if (row->n_recs == *recs_cap)
     {
@@ -498,22 +499,22 @@
 }
 
 /* Appends the records that restore the task's state to the snapshot @row.
-   @recs_cap is as for snap_add(). */
+   @recs_cap is as for snap_add_rec(). */
 static void
-snap_task (struct journal_row *row, size_t *recs_cap, const struct task *t)
+snap_add_task (struct journal_row *row, size_t *recs_cap, const struct task *t)
 {
-  snap_add (row, recs_cap, t, REC_ACCEPT);
+  snap_add_rec (row, recs_cap, t, REC_ACCEPT);
   if (task_state_final (t->state))
     {
-      snap_add (row, recs_cap, t, REC_END);
+      snap_add_rec (row, recs_cap, t, REC_END);
       return;
     }
   if (t->attempt > 0 || t->failures > 0)
-    snap_add (row, recs_cap, t, REC_RETRY);
+    snap_add_rec (row, recs_cap, t, REC_RETRY);
   if (t->n_members > 0)
-    snap_add (row, recs_cap, t, REC_INTENT);
+    snap_add_rec (row, recs_cap, t, REC_INTENT);
   if (t->cancelled)
-    snap_add (row, recs_cap, t, REC_CANCEL);
+    snap_add_rec (row, recs_cap, t, REC_CANCEL);
 }
 
 /* Makes the text of a snapshot if one is due.  The snapshot covers the commit
@@ -531,17 +532,17 @@
     return;
   RB_FOREACH (t, task_tree, &s->tasks)
     if (t->recorded)
-      snap_task (&row, &recs_cap, t);
+      snap_add_task (&row, &recs_cap, t);
   free (j->snap_text);
   j->snap_text = codec_text (&journal_row_desc, &row);
   codec_free (&journal_row_desc, &row);
   j->snap_last_seq = j->commit_seq;
-  j->snap_step = SNAP_MADE;
+  j->snap_step = SNAP_TEXT_MADE;
 }
 
 /* Writes the name of the object for the snapshot in progress to @out. */
 static void
-snap_name (const struct sched *s, char out[CLB_ID_MAX])
+snap_object_name (const struct sched *s, char out[CLB_ID_MAX])
 {
   snprintf (out, CLB_ID_MAX, "snap-%s-%lld-%lld", s->domain,
             (long long)s->epoch, (long long)s->journal.snap_last_seq);
@@ -558,11 +559,11 @@
   if (j->commit_in_progress && j->commit_seq <= j->snap_last_seq)
     return;
   struct store_op *op = journal_store_op (s, STORE_OBJ_PUT, &j->snap_token);
-  snap_name (s, name);
+  snap_object_name (s, name);
   op->key = strdup (name);
   op->value = j->snap_text;
   j->snap_text = NULL;
-  j->snap_step = SNAP_OBJECT;
+  j->snap_step = SNAP_WRITE_OBJECT;
 }
 
 /* Sends the write that sets the snapshot row to the new object and deletes the
@@ -576,7 +577,7 @@
   struct store_op *op = journal_store_op (s, STORE_TXN, &j->snap_token);
   char key[ROW_KEY_SIZE];
 
-  snap_name (s, row.object);
+  snap_object_name (s, row.object);
   row.first_seq = j->first_seq + SNAP_DELETE_ROWS_MAX;
   if (row.first_seq > j->snap_last_seq)
     row.first_seq = j->snap_last_seq + 1;
@@ -590,7 +591,7 @@
       journal_row_key (s, j->first_seq + k, key);
       store_put (op, key, NULL);
     }
-  j->snap_step = SNAP_ROW;
+  j->snap_step = SNAP_WRITE_ROW;
 }
 
 /* Handles the answer to a write for the snapshot in progress.  Further writes
@@ -612,7 +613,7 @@
       j->snap_retry_at_ms = s->now_ms + SNAP_RETRY_MS;
       return;
     }
-  if (j->snap_step == SNAP_ROW)
+  if (j->snap_step == SNAP_WRITE_ROW)
     {
       j->snap_seq = j->snap_last_seq;
       j->first_seq += SNAP_DELETE_ROWS_MAX;
@@ -646,7 +647,7 @@
 }
 
 /* Returns whether the open group is to be committed now, without waiting for
-   more records.  This is true of a group without records, which may have
+   more records.  A group without records is always due, since it may have
    effects. */
 static bool
 group_is_due (const struct sched *s)
@@ -654,7 +655,7 @@
   const struct journal *j = &s->journal;
 
   return j->open.row.n_recs == 0 || j->open.row.n_recs >= GROUP_RECORDS_MAX
-         || s->now_ms - j->opened_ms >= GROUP_WAIT_MS;
+         || s->now_ms - j->opened_ms >= GROUP_OPEN_MAX_MS;
 }
 
 void
@@ -672,6 +673,6 @@
     commit_send (s);
   if (!j->commit_in_progress && group_is_due (s))
     commit_begin (s);
-  if (j->snap_step == SNAP_MADE)
+  if (j->snap_step == SNAP_TEXT_MADE)
     snap_put_object (s);
 }
--- a/core/load.c
+++ b/core/load.c
@@ -11,11 +11,11 @@
 /** enum load_step - what is read next while loading */
 enum load_step
 {
-  LOAD_SNAP_ROW, /* the snapshot row, which names the latest snapshot */
-  LOAD_SNAP_OBJ, /* the object that holds the snapshot */
-  LOAD_ROWS,     /* the journal rows after the snapshot */
-  LOAD_GRANTS,   /* the grant rows of all teams */
-  LOAD_DONE,     /* nothing: loading is complete */
+  LOAD_SNAP_ROW,     /* the snapshot row, which names the latest snapshot */
+  LOAD_SNAP_OBJ,     /* the object that holds the snapshot */
+  LOAD_JOURNAL_ROWS, /* the journal rows after the snapshot */
+  LOAD_GRANTS,       /* the grant rows of all teams */
+  LOAD_DONE,         /* nothing: loading is complete */
 };
 
 static const struct fld snap_fields[] = {
@@ -41,7 +41,7 @@
       op = journal_store_op (s, STORE_OBJ_GET, &s->load_token);
       clb_copy (key, s->load_after, sizeof key);
       break;
-    case LOAD_ROWS:
+    case LOAD_JOURNAL_ROWS:
       op = journal_store_op (s, STORE_LIST, &s->load_token);
       snprintf (key, sizeof key, "journal/%s/", s->domain);
       op->after = s->load_after ? strdup (s->load_after) : NULL;
@@ -56,7 +56,7 @@
   s->load_retry_at_ms = 0;
 }
 
-/* Replay: these functions apply one record each. */
+/* Replay of records: each function applies one record. */
 
 /* Creates the task of an accept record and queues it. */
 static void
@@ -101,7 +101,8 @@
 }
 
 /* Places the task on the recorded workers.  Its members are marked as sent,
-   since the earlier holder may have sent their starts. */
+   since the earlier holder of the domain's lease may have sent their
+   starts. */
 static void
 replay_intent (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -213,7 +214,7 @@
   struct codec_err ce;
   const char *text = rep->n_rows ? rep->rows[0].value : NULL;
 
-  s->load_step = LOAD_ROWS;
+  s->load_step = LOAD_JOURNAL_ROWS;
   s->journal.first_seq = 1;
   if (!text
       || codec_parse (&snap_row_desc, text, strlen (text), CODEC_LENIENT,
@@ -238,11 +239,11 @@
   journal_row_key (s, s->journal.snap_seq, key);
   free (s->load_after);
   s->load_after = strdup (key);
-  s->load_step = LOAD_ROWS;
+  s->load_step = LOAD_JOURNAL_ROWS;
 }
 
 /* Sets sched::load_after to the last key in the answer if the list has more
-   rows, else to NULL. Returns whether the list has more rows. */
+   rows, else to NULL.  Returns whether the list has more rows. */
 static bool
 set_list_position (struct sched *s, const struct store_rep *rep)
 {
@@ -272,8 +273,8 @@
     s->load_step = LOAD_GRANTS;
 }
 
-/* Handles the answer to a read of grant rows.  After the last of them the
-   scheduler is ready. */
+/* Handles the answer to a read of grant rows.  Once all grant rows are read,
+   the scheduler is ready. */
 static void
 handle_grant_rows (struct sched *s, const struct store_rep *rep)
 {
@@ -304,7 +305,7 @@
     case LOAD_SNAP_OBJ:
       handle_snap_obj (s, rep);
       break;
-    case LOAD_ROWS:
+    case LOAD_JOURNAL_ROWS:
       handle_journal_rows (s, rep);
       break;
     default:
--- a/core/place.c
+++ b/core/place.c
@@ -9,14 +9,16 @@
 
 enum
 {
-  /* For each dimension whose whole capacity would be left over; a part of it
-     for a part of the capacity. */
+  /* Score for a resource of which the worker's whole capacity would stay free;
+     for a resource that would stay free in part, the same part of this
+     score. */
   SCORE_PER_DIMENSION = 1024,
-  /* For a worker that has free accelerators if the task needs none. */
+  /* Added for a worker that has free accelerators if the task needs none. */
   SCORE_ACCEL_WASTE = 8192,
-  /* For each other member on the worker's rack if the task is to be spread. */
+  /* Added for each other member of the task on the worker's rack if the task
+     is to be spread. */
   SCORE_SAME_RACK = 16384,
-  /* For the worker that is to be avoided. */
+  /* Added for the worker that is to be avoided. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -99,9 +101,10 @@
   return available;
 }
 
-/* Returns a score for the part of the worker's capacity that the member would
-   leave free, summed over the dimensions.  The lower the score, the tighter
-   the fit.  @available is the worker's free capacity. */
+/* Returns a score for the capacity that would stay free on the worker if the
+   member were placed there, summed over all resources.  The lower the score,
+   the tighter the fit.  @available is the worker's free capacity without the
+   member. */
 static int64_t
 leftover_score (const struct worker *w, const struct clb_res *available,
                 const struct clb_res *need)
@@ -120,7 +123,7 @@
   return score;
 }
 
-/* Returns how many of the @n workers picked are on the rack. */
+/* Returns how many of the @n workers in the array @picked are on the rack. */
 static int
 members_on_rack (const char *rack, struct worker *const *picked, int64_t n)
 {
@@ -131,17 +134,18 @@
   return found;
 }
 
-/* Returns true if the worker with the most free capacity is to be preferred,
-   false if the tightest fit is.  Service requests go to the executor with the
-   most free capacity, so that the loss of one executor affects few of them. */
+/* Returns true if a worker with much free capacity is preferred for the task,
+   false if a worker with the tightest fit is.  Service requests go to the
+   executor with the most free capacity, so that the loss of one executor
+   affects few of them. */
 static bool
 prefers_most_free (const struct spec *spec)
 {
   return spec->need.slots > 0 || spec->spread;
 }
 
-/* struct search - arguments and state of one call of pool_pick() */
-struct search
+/* struct pick_state - arguments and state of one call of pool_pick() */
+struct pick_state
 {
   struct pool *pool;
   const struct spec *spec;
@@ -155,7 +159,7 @@
 /* Returns whether the worker is of the kind that the task needs: an executor
    if the task needs slots, else a worker. */
 static bool
-kind_matches (const struct worker *w, const struct spec *spec)
+worker_kind_matches (const struct worker *w, const struct spec *spec)
 {
   return (w->inst.kind == INST_EXECUTOR) == (spec->need.slots > 0);
 }
@@ -163,7 +167,7 @@
 /* Returns the score of a worker that has free capacity @available for the next
    member.  The worker with the lowest score is chosen. */
 static int64_t
-worker_score (const struct search *s, const struct worker *w,
+worker_score (const struct pick_state *s, const struct worker *w,
               const struct clb_res *available)
 {
   int64_t score = leftover_score (w, available, &s->spec->need);
@@ -182,7 +186,7 @@
    that it must be on; NULL: any rack.  Returns NULL if no worker has enough
    free capacity. */
 static struct worker *
-pick_worker (struct search *s, const char *rack)
+pick_worker (struct pick_state *s, const char *rack)
 {
   struct worker *w;
   struct worker *best = NULL;
@@ -190,7 +194,7 @@
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      if (!pool_usable (w, s->now_ms) || !kind_matches (w, s->spec))
+      if (!pool_usable (w, s->now_ms) || !worker_kind_matches (w, s->spec))
         continue;
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
@@ -211,7 +215,7 @@
 /* Releases the capacity reserved on all workers picked so far and forgets
    them. */
 static void
-unreserve_picked (struct search *s)
+unreserve_picked (struct pick_state *s)
 {
   for (int64_t i = 0; i < s->n_picked; i++)
     clb_res_add (&s->picked[i]->used, &s->spec->need, -1);
@@ -222,7 +226,7 @@
    rack that the workers must be on; NULL: any rack.  Returns false, with
    nothing reserved, if a member does not fit. */
 static bool
-pick_all_members (struct search *s, const char *rack)
+pick_all_members (struct pick_state *s, const char *rack)
 {
   while (s->n_picked < s->spec->members)
     {
@@ -242,7 +246,7 @@
    reserves their capacity.  Returns false, with nothing reserved, if no rack
    can. */
 static bool
-pick_same_rack (struct search *s)
+pick_same_rack (struct pick_state *s)
 {
   struct worker *w;
   const char *last_rack = NULL;
@@ -271,7 +275,7 @@
   RB_FOREACH (w, worker_tree, &pool->workers)
     {
       struct clb_res available = w->inst.capacity;
-      if (!w->listed || !kind_matches (w, spec))
+      if (!w->listed || !worker_kind_matches (w, spec))
         continue;
       for (; n_fit < spec->members && clb_res_fits (&spec->need, &available);
            n_fit++)
@@ -286,11 +290,11 @@
 pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
            int64_t now_ms, struct worker **picked, int64_t *n_candidates)
 {
-  struct search s = { .pool = pool,
-                      .spec = spec,
-                      .avoid = avoid,
-                      .now_ms = now_ms,
-                      .picked = picked };
+  struct pick_state s = { .pool = pool,
+                          .spec = spec,
+                          .avoid = avoid,
+                          .now_ms = now_ms,
+                          .picked = picked };
   bool found = spec->same_rack && spec->members > 1 && pick_same_rack (&s);
 
   found = found || pick_all_members (&s, NULL);
@@ -300,7 +304,8 @@
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
-/* Adds @r to @sum, except in the dimensions in which @r is negative. */
+/* Adds @r to @sum, but for the resources of which the amount in @r is
+   negative. */
 static void
 add_positive (struct clb_res *sum, const struct clb_res *r)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -10,7 +10,7 @@
 
 #include "msg.h"
 
-/* The order matters, since recon.c compares the states. */
+/* The order of the values matters: recon.c compares states with <=. */
 enum worker_state
 {
   /* The worker has not answered a sync in this epoch yet.  The worker is given
@@ -63,18 +63,18 @@
   /* When the worker's state last became WORKER_EXPIRING. */
   int64_t expiring_since_ms;
   bool sync_due; /* true if the next sync is to be sent without delay */
-  /* Latest time at which the next sync is sent. */
+  /* The next sync is sent at this time at the latest. */
   int64_t next_sync_ms;
   int64_t sync_sent_ms; /* when the latest sync was sent */
   /* True while an answer to the latest sync is awaited. */
   bool sync_outstanding;
   int64_t sync_seq; /* number of the latest sync */
-  /* Ended runs that the worker may forget, as the next sync tells it;
+  /* Array of the ended runs that the next sync allows the worker to forget;
      owned. */
   struct run_id *acks;
   size_t n_acks;
-  /* Runs that the worker reported and that belong to no known task.  The next
-     sync asks the worker to stop them.  Owned. */
+  /* Array of the runs that the worker reported and that belong to no known
+     task.  The next sync asks the worker to stop them.  Owned. */
   struct run_id *orphans;
   size_t n_orphans;
   int fail_streak; /* number of failures since the latest success */
@@ -117,7 +117,7 @@
 
 /**
  * pool_pick() - Choose a worker for each member and reserve its capacity.
- * @spec: the task
+ * @spec: description of the task
  * @avoid: id of a worker that is chosen only if no other can be, or empty
  * @now_ms: current time
  * @picked: array of spec->members pointers, set to the workers
@@ -136,10 +136,10 @@
 /** struct pool_sum - capacity of a domain's usable workers and executors */
 struct pool_sum
 {
-  struct clb_res free_capacity; /* sum of the free capacity */
-  /* Sum of the whole capacity, free or used. */
+  struct clb_res free_capacity; /* sum of the workers' free capacity */
+  /* Sum of the workers' whole capacity, free or used. */
   struct clb_res total_capacity;
-  /* Largest capacity of any one worker, in each dimension by itself. */
+  /* For each resource, the largest capacity that any single worker has. */
   struct clb_res largest_worker;
 };
 /** pool_summary() - Sum up the capacity of workers usable at @now_ms. */
--- a/core/queue.c
+++ b/core/queue.c
@@ -14,7 +14,8 @@
      task among them that can start is placed before those ahead of it that
      cannot. */
   BACKFILL_TASKS_MAX = 16,
-  /* Number of sizes that a placement round remembers as not fitting. */
+  /* Maximum number of sizes that a placement round remembers as not
+     fitting. */
   BLOCKED_SIZES_MAX = 16,
   /* A task that no worker is large enough for is ended after this time. */
   NEVER_FITS_MS = 120000,
@@ -23,31 +24,32 @@
   SHARE_ONE = 1 << 20,
 };
 
-/* struct round - sizes that did not fit in the current placement round */
-struct round
+/* struct placement_round - sizes that did not fit in the current placement
+ * round */
+struct placement_round
 {
-  struct clb_res blocked[BLOCKED_SIZES_MAX];
+  struct clb_res blocked_sizes[BLOCKED_SIZES_MAX];
   int n_blocked;
 };
 
-/* Returns whether @spec certainly does not fit in this round, since a size
-   that did not fit is not larger than @spec's need in any dimension. */
+/* Returns whether the task is known not to fit in this round, because another
+   task that needs no more of any resource did not fit. */
 static bool
-round_is_blocked (const struct round *r, const struct spec *spec)
+known_not_to_fit (const struct placement_round *r, const struct spec *spec)
 {
   for (int i = 0; i < r->n_blocked; i++)
-    if (clb_res_fits (&r->blocked[i], &spec->need))
+    if (clb_res_fits (&r->blocked_sizes[i], &spec->need))
       return true;
   return false;
 }
 
-/* Remembers the size of a task that did not fit in this round.  The size of a
-   gang is not remembered. */
+/* Remembers the size of a task that did not fit in this placement round.  The
+   size of a gang is not remembered. */
 static void
-round_add_blocked (struct round *r, const struct spec *spec)
+remember_blocked_size (struct placement_round *r, const struct spec *spec)
 {
   if (r->n_blocked < BLOCKED_SIZES_MAX && spec->members == 1)
-    r->blocked[r->n_blocked++] = spec->need;
+    r->blocked_sizes[r->n_blocked++] = spec->need;
 }
 
 /* Replies to the acquire call of a service request that has got a slot. */
@@ -66,7 +68,7 @@
 const int64_t wait_bucket_ms[WAIT_BUCKETS]
     = { 10, 100, 500, 1000, 3600, 10000, 60000, 600000, INT64_MAX };
 
-/* Counts the time from a task's accept to its placement in the wait
+/* Adds the time from the task's accept to its placement to the wait
    histogram. */
 static void
 count_wait (struct sched *s, const struct task *t)
@@ -83,8 +85,8 @@
 /* Creates the task's members on the picked workers and journals the intent.
    @reason is an enum clb_reason. */
 static void
-start_placed (struct sched *s, struct task *t, struct worker **picked,
-              int reason, int64_t n_candidates)
+place_on_workers (struct sched *s, struct task *t, struct worker **picked,
+                  int reason, int64_t n_candidates)
 {
   task_dequeue (t);
   task_place (s, t, picked);
@@ -119,8 +121,8 @@
 }
 
 /* Ends a task once no worker has been large enough for it for NEVER_FITS_MS.
-   It is not ended at once, since a larger worker might be listed in that
-   time. */
+   The task is not ended at once, since a larger worker may be listed
+   meanwhile. */
 static void
 end_if_never_fits (struct sched *s, struct task *t)
 {
@@ -133,7 +135,7 @@
 
 /* Places the task if it can start now.  Returns whether it was placed. */
 static bool
-try_place (struct sched *s, struct round *r, struct task *t)
+try_place (struct sched *s, struct placement_round *r, struct task *t)
 {
   struct worker **picked;
   int64_t n_candidates;
@@ -147,7 +149,7 @@
       set_wait_reason (s, t, WHY_TEAM_LIMIT, 0);
       return false;
     }
-  if (round_is_blocked (r, &t->spec))
+  if (known_not_to_fit (r, &t->spec))
     return false;
   picked = calloc ((size_t)t->spec.members, sizeof *picked);
   if (!picked)
@@ -156,7 +158,7 @@
                           &n_candidates);
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
-      round_add_blocked (r, &t->spec);
+      remember_blocked_size (r, &t->spec);
       set_wait_reason (s, t, reason, n_candidates);
       if (reason == WHY_NO_WORKER_FITS)
         end_if_never_fits (s, t);
@@ -166,16 +168,17 @@
         urgent_preempt (s, t);
     }
   else
-    start_placed (s, t, picked, reason, n_candidates);
+    place_on_workers (s, t, picked, reason, n_candidates);
   free (picked);
   return reason != WHY_NO_ROOM && reason != WHY_NO_WORKER_FITS;
 }
 
 /* Places the first task that can start now among the BACKFILL_TASKS_MAX tasks
-   at the head of a team's queue.  Returns false if none can. */
+   at the head of the team's queue for @class, an enum task_class.  Returns
+   false if none of them can start. */
 static bool
-place_first_startable (struct sched *s, struct round *r, struct team *team,
-                       int class)
+place_first_startable (struct sched *s, struct placement_round *r,
+                       struct team *team, int class)
 {
   struct task *t;
   struct task *next;
@@ -193,9 +196,10 @@
 }
 
 /* Returns a team's dominant share, that is its largest share of any resource
-   in @total, divided by its weight.  SHARE_ONE stands for all of @total. */
+   in @total, divided by the team's weight.  SHARE_ONE stands for all of
+   @total. */
 static int64_t
-team_share (const struct team *team, const struct clb_res *total)
+weighted_dominant_share (const struct team *team, const struct clb_res *total)
 {
   int64_t share = 0;
 
@@ -225,11 +229,12 @@
   return sum;
 }
 
-/* Places the waiting tasks of one class that can start.  Each is taken from
-   the team that has the lowest share among those with such a task.  @total is
-   the domain's whole capacity, @class an enum task_class. */
+/* Places all waiting tasks of class @class, an enum task_class, that can
+   start.  The next task is always one of the team with the lowest dominant
+   share among the teams that have such a task.  @total is the domain's whole
+   capacity. */
 static void
-place_class_tasks (struct sched *s, struct round *r,
+place_class_tasks (struct sched *s, struct placement_round *r,
                    const struct clb_res *total, int class)
 {
   struct team *team;
@@ -243,7 +248,8 @@
     {
       int best = 0;
       for (int i = 1; i < n_teams; i++)
-        if (team_share (teams[i], total) < team_share (teams[best], total))
+        if (weighted_dominant_share (teams[i], total)
+            < weighted_dominant_share (teams[best], total))
           best = i;
       if (!place_first_startable (s, r, teams[best], class))
         teams[best] = teams[--n_teams];
@@ -253,7 +259,7 @@
 void
 place_round (struct sched *s)
 {
-  struct round r = { .n_blocked = 0 };
+  struct placement_round r = { .n_blocked = 0 };
   struct clb_res total = total_capacity (s);
 
   s->dirty = false;
--- a/core/recon.c
+++ b/core/recon.c
@@ -2,9 +2,9 @@
  * Reconciliation of the tasks with what the workers run.  Each worker is sent
  * one sync at a time, which renews the leases of the worker's tasks and
  * carries starts, stops and acknowledgements.  The worker answers with a
- * report of its runs, by which the states of its members are updated.  If a
- * worker stops answering, its members end as lost once their leases have
- * certainly run out.
+ * report of its runs, from which the states of the members placed on it are
+ * updated.  If a worker stops answering, these members end as lost once their
+ * leases have certainly run out.
  */
 #include "sched.h"
 
@@ -13,13 +13,14 @@
 
 enum
 {
-  /* Allowance for clock rates that differ and pauses on either machine. */
+  /* Allowance for different clock rates of the two machines and for pauses on
+     either of them. */
   CLOCK_MARGIN_MS = 1000,
-  /* A worker is sent a sync this long after a run's expected end. */
-  END_SLACK_MS = 10,
-  /* Minimum delay before a sync that is sent because of a run's expected
+  /* Delay from a run's expected end to the sync that is sent because of it. */
+  END_SYNC_DELAY_MS = 10,
+  /* Minimum delay from now to a sync that is sent because of a run's expected
      end. */
-  END_SYNC_WAIT_MIN_MS = 50,
+  END_SYNC_DELAY_MIN_MS = 50,
   /* Number of failures in a row after which a worker is put into
      quarantine. */
   QUARANTINE_FAILURES = 4,
@@ -49,7 +50,7 @@
   run_id_push (&w->acks, &w->n_acks, run);
 }
 
-/* Sending. */
+/* Syncs that are sent to workers. */
 
 /* Returns the length of the lease that a sync grants to all of a worker's
    tasks, in ms; 0 if their leases are not renewed. */
@@ -72,8 +73,9 @@
      limit was lowered. */
   if (m->task->team->frozen && task_unsent (m->task))
     return false;
-  /* The list of instances shows that a worker is leaving, the configuration
-     that a limit was lowered, so both must be current. */
+  /* The list of instances must be current, since it shows whether the worker
+     is leaving, and so must the configuration, since it shows whether a limit
+     was lowered. */
   if (w->leaving || s->now_ms - s->list_ms >= LIST_FRESH_MS || !s->conf_fresh)
     return false;
   return m->state == MEMBER_INTENT && m->task->intent_durable && s->may_start
@@ -106,12 +108,12 @@
 sync_at_expected_end (const struct sched *s, struct worker *w,
                       const struct member *m)
 {
-  int64_t at_ms = m->expected_end_ms + END_SLACK_MS;
+  int64_t at_ms = m->expected_end_ms + END_SYNC_DELAY_MS;
 
   if (m->state != MEMBER_RUNNING || m->expected_end_ms <= s->now_ms)
     return;
-  if (at_ms < s->now_ms + END_SYNC_WAIT_MIN_MS)
-    at_ms = s->now_ms + END_SYNC_WAIT_MIN_MS;
+  if (at_ms < s->now_ms + END_SYNC_DELAY_MIN_MS)
+    at_ms = s->now_ms + END_SYNC_DELAY_MIN_MS;
   if (at_ms < w->next_sync_ms)
     w->next_sync_ms = at_ms;
 }
@@ -142,8 +144,8 @@
       else if (m->state == MEMBER_STOP && s->may_start)
         run_id_push (&req->stops, &req->n_stops, id);
     }
-  /* If this scheduler's own lease has lapsed, a run that it does not know may
-     have been started by its successor, so the run is not stopped. */
+  /* If this instance's lease of the domain has lapsed, its successor may have
+     started the orphans, so they are not stopped. */
   size_t n_orphans = s->may_start ? w->n_orphans : 0;
   for (size_t i = 0; i < n_orphans; i++)
     run_id_push (&req->stops, &req->n_stops, w->orphans[i].id);
@@ -161,7 +163,7 @@
   s->stats.syncs++;
 }
 
-/* Reports. */
+/* Reports with which workers answer syncs. */
 
 /* Finds the member with run id @run that is placed on the worker.  Returns
    NULL if the task is unknown, the run belongs to another attempt, or the
@@ -223,18 +225,19 @@
 
 /* Counts a failed run of task @t against its worker @w.  If the task's
    previous failure was on another worker, the task is at fault and not the
-   workers: this failure is not counted, and if the previous one was the task's
-   first, it is no longer counted either. */
+   workers: this failure is not counted against @w, and if the previous failure
+   was the task's first, it is no longer counted against the other worker
+   either. */
 static void
 count_run_failure (struct sched *s, struct worker *w, struct task *t)
 {
-  struct worker *first_failed
+  struct worker *first_failed_worker
       = *t->failed_on ? pool_find_worker (&s->pool, t->failed_on) : NULL;
 
   if (!*t->failed_on || strcmp (t->failed_on, w->inst.id) == 0)
     count_worker_failure (s, w);
-  else if (first_failed && t->failures == 1)
-    undo_worker_failure (s, first_failed);
+  else if (first_failed_worker && t->failures == 1)
+    undo_worker_failure (s, first_failed_worker);
   clb_copy (t->failed_on, w->inst.id, sizeof t->failed_on);
 }
 
@@ -272,8 +275,8 @@
   sched_event (s, WHY_STARTED, t->id, t->team->name, m->worker_id, 0);
 }
 
-/* Returns the enum member_end of a member that was reported to be in
-   @run_state, an enum run_state other than RUN_RUNNING. */
+/* Returns how a member has ended, an enum member_end.  @run_state is the enum
+   run_state that its worker has reported, other than RUN_RUNNING. */
 static int
 member_end_of (const struct member *m, int run_state)
 {
@@ -295,8 +298,8 @@
 }
 
 /* Acknowledges an ended run to its worker once the open group, and with it the
-   run's end, is durable.  Until a run is acknowledged, the worker goes on
-   reporting it. */
+   record of the run's end, is durable.  Until a run is acknowledged, the
+   worker goes on reporting it. */
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
 {
@@ -339,9 +342,10 @@
   ack_when_durable (s, w, run->id);
 }
 
-/* Sets the boot that a worker has reported, if it is the worker's first one or
-   the worker has restarted.  A worker that restarts forgets every run that was
-   sent to it, so the members placed during another boot end. */
+/* Handles a report with another boot than before: it is either the worker's
+   first report or the worker has restarted.  A worker that restarts forgets
+   every run that was sent to it, so the members placed during another boot
+   end. */
 static void
 set_worker_boot (struct sched *s, struct worker *w, int64_t boot)
 {
@@ -364,9 +368,10 @@
     }
 }
 
-/* Reserves the slots that an executor reports as busy in excess of those of
-   known requests.  Those slots are used by requests that were granted by an
-   earlier holder, or whose entry instance has stopped. */
+/* Reserves the slots that the executor reports as busy although no known
+   request uses them.  They are used by requests that got their slot from an
+   earlier holder of the domain's lease, or whose entry instance has stopped.
+   @busy is the number of all busy slots. */
 static void
 count_unknown_slots (struct worker *w, int64_t busy)
 {
@@ -381,9 +386,9 @@
 }
 
 /* Stops the members that were sent to the worker by sync @seq or earlier and
-   that its report does not list.  The start of such a member was lost or may
-   still arrive late; the worker's answer to the stop rules out that the member
-   starts. */
+   that the worker's report does not list.  The start of such a member was lost
+   or may still arrive late; the worker's answer to the stop rules out that the
+   member starts. */
 static void
 stop_unlisted_members (struct worker *w, int64_t seq)
 {
@@ -448,15 +453,16 @@
 {
   int64_t wait = TASK_LEASE_MS + SYNC_TIMEOUT_MS + CLOCK_MARGIN_MS;
 
-  /* An earlier holder may have renewed leases for LAPSED_RENEW_MS after its
-     own had lapsed. */
+  /* An earlier holder of the domain's lease may have renewed task leases for
+     LAPSED_RENEW_MS after its own lease had lapsed. */
   if (!w->answered)
     return s->started_ms + LAPSED_RENEW_MS + wait;
   return w->expiring_since_ms + wait;
 }
 
-/* Marks a worker as lost, since the leases of all its tasks have run out, and
-   ends its members. */
+/* Marks a worker as lost, since the leases of all its tasks have run out.  The
+   members placed on a worker that is not an executor end: as not started if
+   their start was not sent, else as lost. */
 static void
 set_worker_lost (struct sched *s, struct worker *w)
 {
@@ -464,7 +470,7 @@
 
   w->state = WORKER_LOST;
   sched_event (s, WHY_WORKER_LOST, "", "", w->inst.id, 0);
-  /* An executor's members do not end here: their slots are released by the
+  /* Members on an executor do not end here: their slots are released by the
      entry instances that use them. */
   if (w->inst.kind == INST_EXECUTOR)
     return;
@@ -477,7 +483,7 @@
     }
 }
 
-/* Updates the state of a worker by the time since its last answer. */
+/* Updates a worker's state according to the time since its last answer. */
 static void
 update_contact_state (struct sched *s, struct worker *w)
 {
@@ -494,9 +500,9 @@
     set_worker_lost (s, w);
 }
 
-/* Ends the placement of a task that is placed on a leaving worker and was not
-   sent to it yet; the task is retried.  At most one task is handled in each
-   call. */
+/* Ends the placement of one task that is placed on a leaving worker and whose
+   start was not sent to it yet; the task is retried.  Each call handles one
+   task at most. */
 static void
 withdraw_unsent_task (struct sched *s, struct worker *w)
 {
@@ -508,8 +514,8 @@
         struct task *t = m->task;
         task_stop_members (s, t);
         task_evaluate (s, t);
-        /* The worker's list of members has changed.  Its other tasks are
-           handled by later calls. */
+        /* The worker's list of members has changed, so the loop cannot go on.
+           The worker's other tasks are handled by later calls. */
         return;
       }
 }
--- a/core/sched.c
+++ b/core/sched.c
@@ -42,7 +42,7 @@
 
 struct sched *
 sched_new (const char *domain, const char *me, int64_t boot, int64_t epoch,
-           int64_t epoch_ver, int64_t now_ms, const struct conf *conf,
+           int64_t epoch_row_ver, int64_t now_ms, const struct conf *conf,
            struct outq *out, uint64_t *tokens)
 {
   struct sched *s = calloc (1, sizeof *s);
@@ -68,7 +68,7 @@
   RB_INIT (&s->requests);
   RB_INIT (&s->teams);
   TAILQ_INIT (&s->ended);
-  journal_init (s, epoch_ver);
+  journal_init (s, epoch_row_ver);
   sched_conf (s, conf);
   return s;
 }
@@ -201,9 +201,9 @@
 
 /* Timers. */
 
-/* Replies to those waiting calls for a task's end whose expires_ms has passed.
-   A call for a service slot is answered when its request expires, so it is
-   left alone here. */
+/* Replies to the calls that wait for the task's end and whose waiting time is
+   over.  Calls that wait for a service slot get their reply when the request
+   expires, so they are left alone here. */
 static void
 expire_waiters (struct sched *s, struct task *t)
 {
@@ -221,8 +221,8 @@
     }
 }
 
-/* Cancels a pending task whose time limit has passed, or releases the slot of
-   a service request that was not released in time. */
+/* Cancels a pending task whose time limit has passed, or frees the slot of a
+   service request that was not released in time. */
 static void
 expire_task (struct sched *s, struct task *t)
 {
@@ -264,7 +264,7 @@
 /* Forgets the oldest ended task if more than TASKS_RETAINED tasks are in
    memory.  Each call forgets one at most. */
 static void
-forget_ended (struct sched *s)
+forget_oldest_ended (struct sched *s)
 {
   struct task *t = TAILQ_FIRST (&s->ended);
 
@@ -338,7 +338,7 @@
   if (s->phase == SCHED_READY)
     {
       expire_tasks (s);
-      forget_ended (s);
+      forget_oldest_ended (s);
       escrow_tick (s);
       if (s->dirty && s->may_start && !s->stopping && !journal_full (s))
         place_round (s);
--- a/core/sched.h
+++ b/core/sched.h
@@ -16,7 +16,7 @@
  *   recon.c    reconciliation with the workers through syncs
  *   journal.c  group commits and snapshots
  *   load.c     recovery from the journal at the start of an epoch
- *   escrow.c   the domain's part of each team's upper limit
+ *   escrow.c   division of the teams' limits among the domains
  */
 #ifndef SCHED_H
 #define SCHED_H
@@ -50,7 +50,8 @@
   /* A scheduler whose own lease has lapsed continues to renew the leases of
      its tasks for this long. */
   LAPSED_RENEW_MS = 60000,
-  /* A task whose own runs have failed this many times is not retried. */
+  /* A task is not retried after this many attempts in which a run of the task
+     was reported as failed. */
   TASK_FAILURES_MAX = 3,
   /* Maximum number of tasks in memory, including ended ones; new work is
      refused beyond it. */
@@ -70,8 +71,8 @@
   MEMBER_SENT,
   /* The worker has reported that the member runs. */
   MEMBER_RUNNING,
-  /* The worker is asked by its syncs to stop the member, until a report shows
-     that it has ended or that it never started. */
+  /* Syncs ask the worker to stop the member, until a report shows that the
+     member has ended or was never started. */
   MEMBER_STOP,
   /* The member certainly does not run and will never start. */
   MEMBER_ENDED,
@@ -104,15 +105,15 @@
   struct worker *worker; /* NULL once the member has ended */
   char worker_id[CLB_ID_MAX];
   int64_t boot; /* the worker's boot when the member was placed */
-  int index;    /* position in the task's array of members */
+  int index;    /* position in task::members */
   int state;    /* enum member_state */
   int end;      /* enum member_end, valid in state MEMBER_ENDED */
   /* True once a report has listed the member as running. */
   bool was_running;
   /* Time of the expected end by the declared run time; 0: not known. */
   int64_t expected_end_ms;
-  int64_t sent_seq; /* number of the sync that carried the start */
-  /* Number of the latest sync whose report lists the member. */
+  int64_t sent_seq; /* number of the sync with the member's start; 0: none */
+  /* Number of the latest sync whose report lists the member; 0: none. */
   int64_t reported_seq;
 };
 
@@ -122,11 +123,12 @@
   TAILQ_ENTRY (waiter) link;
   char entry[CLB_ID_MAX]; /* entry instance that called; empty: no reply */
   int64_t call_seq;       /* number of the call, echoed in the reply */
-  /* Time on the entry instance's clock when it last sent the call; echoed in
-     the reply to a call for a service slot. */
+  /* When the entry instance last sent the call, by its own clock.  The reply
+     to a call for a service slot carries the time back. */
   int64_t call_sent_ms;
-  /* A call for a task's end is answered at this time at the latest.  Not used
-     for a service slot. */
+  /* Time at which a call that waits for the task's end gets a reply even if
+     the task has not ended; not used for a call that waits for a service
+     slot. */
   int64_t expires_ms;
 };
 TAILQ_HEAD (waiter_list, waiter);
@@ -162,12 +164,12 @@
   int state;           /* enum task_state */
   int reason;          /* enum clb_reason of the latest decision */
   int64_t attempt;     /* number of the current or next attempt, from 0 */
-  int64_t failures;    /* attempts in which a run was reported as failed */
+  int64_t failures; /* number of attempts in which a run of the task failed */
   char failed_on[CLB_ID_MAX]; /* worker of the latest failure, or empty */
   int64_t accepted_ms;
   int64_t placed_ms; /* time of the latest placement */
-  /* Since when no listed worker is large enough for the task; 0: not known to
-     be so. */
+  /* When the scheduler first found that no listed worker is large enough for
+     the task; 0: at least one is, or the scheduler has not checked. */
   int64_t no_fit_since_ms;
   /* Number of times that the task was preempted for urgent tasks. */
   int64_t n_preemptions;
@@ -184,55 +186,62 @@
   int64_t expires_ms;
   /* Array of n_members members, owned; NULL unless the task is placed. */
   struct member *members;
-  int64_t n_members;          /* 0 unless the task is placed */
-  struct waiter_list waiters; /* calls that wait for the task */
+  int64_t n_members; /* 0 unless the task is placed */
+  /* calls that wait for the task's end or for its slot */
+  struct waiter_list waiters;
 };
 RB_HEAD (task_tree, task);
 RB_HEAD (request_tree, task);
 TAILQ_HEAD (task_list, task);
 
-/** struct team - use, grant and queues of a team in this domain */
+/** struct team - a team's resource use, grant and queues in this domain */
 struct team
 {
   RB_ENTRY (team) by_name;
   char name[CLB_NAME_MAX];
   int64_t weight;
-  /* Upper limit for all domains together; all zero for a team that is not in
-     the configuration. */
+  /* Upper limit of the team's use in all domains together; all zero for a team
+     that is not in the configuration. */
   struct clb_res limit;
-  struct clb_res used;    /* capacity used by members placed in this domain */
-  struct clb_res granted; /* this domain's part of the limit */
-  /* Copy of the team's grant row, which holds all domains' parts, as last read
-     or written. */
+  struct clb_res used; /* capacity used by members placed in this domain */
+  /* This domain's grant, that is the part of the team's limit that the team
+     may use in this domain. */
+  struct clb_res granted;
+  /* Copy of the team's grant row, which holds the grants of all domains, as
+     last read or written. */
   struct grant_row row;
   /* Version of the grant row in the table; 0: no such row. */
   int64_t row_ver;
   /* True if the copy of the grant row is believed to be current; otherwise the
      row is read before the next decision. */
   bool row_is_current;
-  /* Limit as of the latest configuration that was applied, to find out whether
-     a new one lowers it. */
+  /* The team's limit in the latest configuration that was applied; a new
+     configuration is compared with it to find out whether the limit was
+     lowered. */
   struct clb_res last_limit;
-  /* True if the domains' parts may add up to more than the limit; no task of
-     the team is started then. */
+  /* True if the sum of all domains' grants may exceed the team's limit.  While
+     it is true, no task of the team is started. */
   bool frozen;
   /* True if the grant row must be written again so that it carries the version
      of the configuration in force. */
   bool rewrite_due;
-  /* True if the grant row as last written says that this domain wants a larger
-     part. */
+  /* True if the grant row, as last written by this domain, says that the
+     domain wants a larger grant. */
   bool row_wants_larger_grant;
-  /* True if tasks wait for a larger part of the limit here. */
+  /* True if a waiting task of the team was not placed because this domain's
+     grant is too small. */
   bool wants_larger_grant;
-  /* Capacity that the team would use here if its waiting tasks ran. */
+  /* Capacity that the team would use in this domain if its waiting tasks ran
+     too. */
   struct clb_res demand;
   uint64_t op_token; /* token of the outstanding store operation, or 0 */
   int op_kind;       /* enum store_kind of the outstanding store operation */
-  /* This domain's part once the outstanding write succeeds. */
+  /* This domain's grant after the outstanding write, if the write succeeds. */
   struct clb_res op_granted;
   int64_t next_op_ms; /* no operation on the grant row before this time */
-  /* Since when the team is idle here: time of the last change of used, or of
-     the last time that granted was too small. */
+  /* Latest time at which used changed or a waiting task was not placed because
+     the grant is too small.  The team is idle in this domain once this time is
+     long past. */
   int64_t idle_since_ms;
   struct task_list queue[CLASS_N];
   int64_t waiting; /* number of tasks in all of the team's queues */
@@ -308,7 +317,7 @@
   /* Last journal row that the snapshot in progress covers. */
   int64_t snap_last_seq;
   int64_t snap_retry_at_ms; /* no new snapshot is made before this time */
-  int64_t nonce; /* number in the nonce of the latest group committed */
+  int64_t nonce; /* counter in the nonce of the latest group committed */
 };
 
 enum sched_phase
@@ -331,8 +340,8 @@
 /** struct sched_stats - counters since the scheduler was created */
 struct sched_stats
 {
-  /* Number of tasks by enum task_class and by time from accept to first
-     placement. */
+  /* Histogram of the times from accept to first placement: numbers of tasks,
+     by enum task_class and by bucket. */
   uint64_t waits[CLASS_N][WAIT_BUCKETS];
   /* Sum of the times from accept to first placement, by enum task_class. */
   uint64_t wait_sum_ms[CLASS_N];
@@ -350,8 +359,9 @@
 struct sched
 {
   char domain[CLB_NAME_MAX];
-  char me[CLB_ID_MAX]; /* id of this instance, the holder */
-  int64_t boot;        /* boot of this instance */
+  /* id of this instance, which holds the domain's lease */
+  char me[CLB_ID_MAX];
+  int64_t boot; /* boot of this instance */
   int64_t epoch;
   int phase;          /* enum sched_phase */
   int64_t now_ms;     /* time of the input that is being handled */
@@ -374,10 +384,10 @@
   /* Time of the next check of the tasks' time limits. */
   int64_t next_expire_ms;
   int64_t snap_every; /* number of journal rows between two snapshots */
-  int n_domains;      /* number of failure domains that share the limits */
+  int n_domains; /* number of failure domains that share the teams' limits */
   const struct conf *conf; /* configuration in force, borrowed */
-  struct outq *out;        /* messages to be sent, borrowed */
-  uint64_t *tokens;        /* latest token of a store operation; borrowed */
+  struct outq *out;        /* queue for outgoing messages, borrowed */
+  uint64_t *tokens;        /* token of the latest store operation, borrowed */
   struct pool pool;        /* the domain's workers and service executors */
   struct task_tree tasks;
   /* Recorded tasks by team and request id, to find duplicates. */
@@ -404,7 +414,8 @@
   /* Time of the next read of all domains' want rows. */
   int64_t next_want_ms;
   int64_t want_read_ms; /* when the latest read of the want rows was sent */
-  /* Text of this domain's want row as last written, or NULL; owned. */
+  /* Text of this domain's want row as last written; NULL: the row was not
+     written yet, or the write has failed.  Owned. */
   char *want_row_text;
   /* True once every entry instance has reported the service slots that it
      uses. */
@@ -421,19 +432,19 @@
  * @domain: failure domain to schedule
  * @me: id of this instance
  * @boot: boot of this instance
- * @epoch: number of the lease's epoch
+ * @epoch: epoch of the domain's lease
  * @epoch_row_ver: version of the epoch row, the condition of every write
  * @now_ms: current time
  * @conf: configuration in force
  * @out: queue for outgoing messages
- * @tokens: latest store token; raised for each store operation
+ * @tokens: token of the latest store operation; incremented for each operation
  *
  * @conf, @out and @tokens are borrowed and must outlive the scheduler.
  *
  * Return: the scheduler, which the caller frees with sched_free().
  */
 struct sched *sched_new (const char *domain, const char *me, int64_t boot,
-                         int64_t epoch, int64_t epoch_ver, int64_t now_ms,
+                         int64_t epoch, int64_t epoch_row_ver, int64_t now_ms,
                          const struct conf *conf, struct outq *out,
                          uint64_t *tokens);
 /** sched_free() - Free the scheduler and all it owns; @s may be NULL. */
@@ -543,8 +554,8 @@
 /**
  * task_evaluate() - End or retry a task according to its members' states.
  *
- * If a member has ended other than well, the others are stopped.  The task
- * may be freed.
+ * If the end of any member is not %MEMBER_END_OK, the other members are
+ * stopped.  The function may free the task.
  */
 void task_evaluate (struct sched *s, struct task *t);
 /**
@@ -579,12 +590,15 @@
  */
 void member_run_id (const struct member *m, char out[CLB_ID_MAX]);
 /**
- * task_unsent() - Return whether a task is placed and no start was sent.
+ * task_unsent() - Return whether a task is placed and no member's start was
+ * sent.
  *
- * It is never true of a service request, which has no start to be sent.
+ * Always false for a service request, whose members have no start to be sent.
  */
 bool task_unsent (const struct task *t);
-/** sched_withdraw() - Requeue all tasks of @team that are task_unsent(). */
+/**
+ * sched_withdraw() - Requeue the team's tasks for which task_unsent() is true.
+ */
 void sched_withdraw (struct sched *s, struct team *team);
 /**
  * sched_reply() - Send a reply.
@@ -599,8 +613,10 @@
  */
 struct rec task_rec (const struct task *t, int kind);
 /**
- * task_journal() - Add a record of a recorded task to the journal.
+ * task_journal() - Add a record of the task's current state to the journal.
  * @kind: enum rec_kind
+ *
+ * Does nothing for a task that is not recorded.
  */
 void task_journal (struct sched *s, const struct task *t, int kind);
 /** task_event() - Record a decision about a task; see sched_event(). */
@@ -615,13 +631,17 @@
  * task_reply_now() - Make a reply that may be sent at once.
  * @call_seq: number of the call
  *
- * An end that is not durable is reported as the state before it.
+ * If the task has ended and its end is not durable yet, the reply says that
+ * the task is running or pending.
  */
 struct reply task_reply_now (const struct task *t, int64_t call_seq);
 /**
- * task_reply_durable() - Reply once the open group is durable.
+ * task_reply_durable() - Reply with the task's state once it is durable.
  * @entry: receiver, an entry instance
  * @call_seq: number of the call
+ *
+ * The state is the present one; the reply is sent once the open group is
+ * durable.
  */
 void task_reply_durable (struct sched *s, const struct task *t,
                          const char *entry, int64_t call_seq);
@@ -647,7 +667,13 @@
 /** place_round() - Place every waiting task that can start now. */
 void place_round (struct sched *s);
 
-/** urgent_preempt() - Stop the cheapest running tasks in favour of @t. */
+/**
+ * urgent_preempt() - Preempt running tasks to free capacity for a task.
+ * @t: an urgent task for which no worker has enough free capacity
+ *
+ * The preempted tasks all run on one worker.  They are chosen so that little
+ * work has to be repeated.
+ */
 void urgent_preempt (struct sched *s, struct task *t);
 
 /* journal.c and load.c */
@@ -683,7 +709,7 @@
  * journal_init() - Initialise the journal's write side.
  * @epoch_row_ver: version of the epoch row, the condition of every write
  */
-void journal_init (struct sched *s, int64_t epoch_ver);
+void journal_init (struct sched *s, int64_t epoch_row_ver);
 /** journal_free() - Free what the journal's write side owns. */
 void journal_free (struct sched *s);
 /**
@@ -701,8 +727,13 @@
 struct effect *journal_effect (struct sched *s, int kind, const char *id);
 /** journal_full() - Return whether too many records wait to be written. */
 bool journal_full (const struct sched *s);
-/** journal_handle_store_reply() - Do as sched_handle_store_reply() for the
- * journal and for loading. */
+/**
+ * journal_handle_store_reply() - Handle the answer to a journal operation.
+ * @token: token of the operation
+ * @rep: the answer
+ *
+ * Return: true if @token belongs to an operation of the journal or of loading.
+ */
 bool journal_handle_store_reply (struct sched *s, uint64_t token,
                                  const struct store_rep *rep);
 /** journal_tick() - Send the reads and writes of the journal that are due. */
@@ -724,8 +755,9 @@
 /** recon_ack() - Make the next sync tell @w that it may forget run @run. */
 void recon_ack (struct worker *w, const char *run);
 /**
- * recon_service_end() - Count the end of a service request for or against @w.
- * @executor_failed: true if the request failed because the executor did
+ * recon_service_end() - Count the end of a service request on an executor.
+ * @w: the executor
+ * @executor_failed: true: a failure of the executor; false: a success
  */
 void recon_service_end (struct sched *s, struct worker *w,
                         bool executor_failed);
@@ -733,22 +765,29 @@
 /* escrow.c */
 
 /**
- * escrow_allows() - Return whether the team's part allows more members here.
+ * escrow_allows() - Return whether the team's grant allows more members.
  * @need: capacity for one member
  * @n: number of members
  *
- * If it does not, the domain will try to get a larger part of the limit.
+ * If this domain's grant is too small, the domain will try to get a larger
+ * one.
  */
 bool escrow_allows (struct sched *s, struct team *team,
                     const struct clb_res *need, int64_t n);
-/** escrow_handle_store_reply() - Do as sched_handle_store_reply() for grant
- * and want rows. */
+/**
+ * escrow_handle_store_reply() - Handle the answer to an escrow operation.
+ * @token: token of the operation
+ * @rep: the answer
+ *
+ * Return: true if @token belongs to an operation on a grant row or a want row.
+ */
 bool escrow_handle_store_reply (struct sched *s, uint64_t token,
                                 const struct store_rep *rep);
-/** escrow_load_row() - Apply a grant row that was read while loading. */
-void escrow_load_row (struct sched *s, const struct row *row);
-/** escrow_apply_limits() - Apply the teams' limits of a newer configuration.
+/**
+ * escrow_load_row() - Apply a team's grant row that was read while loading.
  */
+void escrow_load_row (struct sched *s, const struct row *row);
+/** escrow_apply_limits() - Apply the teams' limits of a new configuration. */
 void escrow_apply_limits (struct sched *s);
 /** escrow_tick() - Send the operations on grant and want rows that are due. */
 void escrow_tick (struct sched *s);
--- a/core/task.c
+++ b/core/task.c
@@ -333,8 +333,9 @@
 /* struct tally - counts of a placed task's members by how they ended */
 struct tally
 {
-  int64_t by_end[MEMBER_END_LOST + 1]; /* ended ones, by enum member_end */
-  int64_t n_open;                      /* members that have not ended */
+  /* numbers of ended members, by enum member_end */
+  int64_t by_end[MEMBER_END_LOST + 1];
+  int64_t n_not_ended; /* number of members that have not ended */
 };
 
 /* Counts the task's members by how they ended. */
@@ -347,12 +348,12 @@
     if (t->members[i].state == MEMBER_ENDED)
       tally.by_end[t->members[i].end]++;
     else
-      tally.n_open++;
+      tally.n_not_ended++;
   return tally;
 }
 
-/* Returns the enum clb_reason for an attempt of which not every member has
-   ended well. */
+/* Returns the enum clb_reason for an attempt in which at least one member's
+   end was not MEMBER_END_OK. */
 static int
 failure_reason (const struct tally *tally)
 {
@@ -366,9 +367,9 @@
                                            : WHY_START_UNSEEN;
 }
 
-/* Ends a service request of which not every member has ended well.  The
-   scheduler never retries a service request: its entry instance makes a new
-   request if another attempt is wanted. */
+/* Ends a service request if the end of at least one member was not
+   MEMBER_END_OK.  The scheduler never retries a service request: its entry
+   instance makes a new request if another attempt is wanted. */
 static void
 end_service (struct sched *s, struct task *t, const struct tally *tally)
 {
@@ -381,13 +382,13 @@
 }
 
 /* Ends or retries a task whose members have all ended, at least one of them
-   with an end other than MEMBER_END_OK. */
+   with another end than MEMBER_END_OK. */
 static void
 end_or_retry (struct sched *s, struct task *t, const struct tally *tally)
 {
-  bool ran = tally->by_end[MEMBER_END_OK] || tally->by_end[MEMBER_END_FAILED]
-             || tally->by_end[MEMBER_END_STOPPED]
-             || tally->by_end[MEMBER_END_LOST];
+  bool may_have_run
+      = tally->by_end[MEMBER_END_OK] || tally->by_end[MEMBER_END_FAILED]
+        || tally->by_end[MEMBER_END_STOPPED] || tally->by_end[MEMBER_END_LOST];
   int reason = failure_reason (tally);
 
   if (tally->by_end[MEMBER_END_FAILED])
@@ -401,7 +402,7 @@
     end_service (s, t, tally);
   else if (t->cancelled && (!tally->by_end[MEMBER_END_LOST] || t->idempotent))
     task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
-  else if (!ran)
+  else if (!may_have_run)
     task_retry (s, t, reason);
   else if (!t->idempotent && tally->by_end[MEMBER_END_FAILED] == 0)
     task_finish (s, t, TASK_UNKNOWN, reason);
@@ -425,11 +426,11 @@
       task_finish (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
-  /* A gang runs as a whole or not at all: if one member has ended with an end
-     other than MEMBER_END_OK, the others are stopped. */
-  if (tally.by_end[MEMBER_END_OK] + tally.n_open < t->n_members)
+  /* A gang runs as a whole or not at all: if the end of one member is not
+     MEMBER_END_OK, the other members are stopped. */
+  if (tally.by_end[MEMBER_END_OK] + tally.n_not_ended < t->n_members)
     task_stop_members (s, t);
   tally = tally_members (t);
-  if (tally.n_open == 0)
+  if (tally.n_not_ended == 0)
     end_or_retry (s, t, &tally);
 }
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -1,13 +1,13 @@
 /*
- * Preemption: when no worker has free capacity for an urgent task, the running
- * tasks that are cheapest_victim to repeat are stopped and run again later.  A
- * task that may not run twice is never stopped.
+ * Preemption: when no worker has enough free capacity for an urgent task,
+ * running tasks that are the cheapest to repeat are stopped and run again
+ * later.  A task that may not run twice is never stopped.
  */
 #include "sched.h"
 
 enum
 {
-  /* Shortest time between two preemptions in favour of the same task. */
+  /* Minimum time between two preemptions in favour of the same task. */
   PREEMPT_INTERVAL_MS = 3000,
   /* Maximum number of times that one task is preempted. */
   PREEMPTIONS_MAX = 3,
@@ -15,11 +15,11 @@
   VICTIMS_MAX = 16,
 };
 
-/* struct plan - tasks that could be preempted on one worker, and their cost */
-struct plan
+/* struct preempt_plan - tasks to preempt on one worker, and the cost of it */
+struct preempt_plan
 {
   struct task *victims[VICTIMS_MAX];
-  int n; /* number of victims */
+  int n_victims; /* number of victims */
   /* Sum of preempt_cost() of all victims, in core milliseconds. */
   int64_t cost;
 };
@@ -41,21 +41,22 @@
   return (s->now_ms - t->placed_ms) * t->spec.need.cores;
 }
 
-/* Returns whether the task is one of the plan's victims. */
+/* Returns whether the plan has the task among the tasks to preempt. */
 static bool
-in_plan (const struct plan *p, const struct task *t)
+is_planned_victim (const struct preempt_plan *p, const struct task *t)
 {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_victims; i++)
     if (p->victims[i] == t)
       return true;
   return false;
 }
 
-/* Returns the task on the worker with the lowest cost that may be preempted
-   and is not in the plan yet; NULL if there is none. */
+/* Returns a task on the worker that may be preempted and is not in the plan
+   yet.  Of several such tasks it is the one with the lowest preempt_cost();
+   NULL if there is none. */
 static struct task *
 cheapest_victim (const struct sched *s, const struct worker *w,
-                 const struct plan *p)
+                 const struct preempt_plan *p)
 {
   struct member *m;
   struct task *best = NULL;
@@ -63,7 +64,7 @@
   TAILQ_FOREACH (m, &w->members, on_worker)
     {
       struct task *t = m->task;
-      if (!preemptible (t) || in_plan (p, t))
+      if (!preemptible (t) || is_planned_victim (p, t))
         continue;
       if (!best || preempt_cost (s, t) < preempt_cost (s, best))
         best = t;
@@ -71,22 +72,23 @@
   return best;
 }
 
-/* Makes a plan that frees capacity @need on the worker.  Returns false if no
-   plan can. */
+/* Fills @p with tasks whose preemption frees capacity @need on the worker.
+   Returns false if so much cannot be freed. */
 static bool
-plan_worker (const struct sched *s, const struct worker *w,
-             const struct clb_res *need, struct plan *p)
+plan_preemption (const struct sched *s, const struct worker *w,
+                 const struct clb_res *need, struct preempt_plan *p)
 {
   struct clb_res available = w->inst.capacity;
 
   clb_res_add (&available, &w->used, -1);
-  *p = (struct plan){ .n = 0 };
+  *p = (struct preempt_plan){ .n_victims = 0 };
   while (!clb_res_fits (need, &available))
     {
-      struct task *t = p->n < VICTIMS_MAX ? cheapest_victim (s, w, p) : NULL;
+      struct task *t
+          = p->n_victims < VICTIMS_MAX ? cheapest_victim (s, w, p) : NULL;
       if (!t)
         return false;
-      p->victims[p->n++] = t;
+      p->victims[p->n_victims++] = t;
       p->cost += preempt_cost (s, t);
       clb_res_add (&available, &t->spec.need, 1);
     }
@@ -106,11 +108,11 @@
   return false;
 }
 
-/* Stops the plan's victims in favour of @t. */
+/* Stops all tasks of the plan, so that @t can be placed. */
 static void
-preempt_victims (struct sched *s, struct task *t, const struct plan *p)
+preempt_victims (struct sched *s, struct task *t, const struct preempt_plan *p)
 {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_victims; i++)
     {
       struct task *victim = p->victims[i];
       victim->being_preempted = true;
@@ -118,15 +120,15 @@
       victim->state = TASK_STOPPING;
       task_stop_members (s, victim);
     }
-  sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n);
+  sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n_victims);
 }
 
 void
 urgent_preempt (struct sched *s, struct task *t)
 {
   struct worker *w;
-  struct plan p;
-  struct plan best = { .n = 0 };
+  struct preempt_plan p;
+  struct preempt_plan best = { .n_victims = 0 };
   bool found = false;
 
   if (t->spec.members != 1 || t->lane != LANE_TASK
@@ -136,7 +138,8 @@
   RB_FOREACH (w, worker_tree, &s->pool.workers)
     {
       if (!pool_usable (w, s->now_ms) || w->inst.kind != INST_WORKER
-          || preempt_in_progress (w) || !plan_worker (s, w, &t->spec.need, &p))
+          || preempt_in_progress (w)
+          || !plan_preemption (s, w, &t->spec.need, &p))
         continue;
       if (!found || p.cost < best.cost)
         best = p;
