--- a/core/calls.c
+++ b/core/calls.c
@@ -376,8 +376,9 @@
 {
   bool new_work = c->verb == CALL_SUBMIT || c->verb == CALL_ACQUIRE;
 
-  /* The state of a holder whose lease has lapsed may be out of date.  A holder
-     that is handing over leaves new work to its successor. */
+  /* If this instance's lease of the domain has lapsed, its state may be out of
+     date.  While the domain is handed over, new work is left to the
+     successor. */
   if (s->phase != SCHED_READY || !s->may_start || (s->stopping && new_work))
     {
       reply_err (s, entry, c->seq, CLB_ENOHOLDER, WHY_NONE);
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -319,7 +319,7 @@
   return NULL;
 }
 
-/* Handles the answer that a write of the team's grant row has succeeded. */
+/* Handles the answer to a successful write of the team's grant row. */
 static void
 handle_grant_written (struct sched *s, struct team *team,
                       const struct store_rep *rep)
@@ -392,7 +392,7 @@
   o->u.store.token = s->want_read_token = ++*s->tokens;
   o->u.store.op.kind = STORE_LIST;
   o->u.store.op.key = strdup ("want/");
-  s->want_read_ms = s->now_ms;
+  s->want_read_sent_ms = s->now_ms;
 }
 
 /* Handles a want row: marks the grant rows of the teams that it names to be
@@ -442,11 +442,11 @@
 static void
 want_rows_tick (struct sched *s)
 {
-  if (s->now_ms - s->want_read_ms > WANT_ROWS_READ_TIMEOUT_MS)
+  if (s->now_ms - s->want_read_sent_ms > WANT_ROWS_READ_TIMEOUT_MS)
     s->want_read_token = 0;
-  if (s->now_ms < s->next_want_ms || s->want_read_token)
+  if (s->now_ms < s->next_want_read_ms || s->want_read_token)
     return;
-  s->next_want_ms = s->now_ms + WANT_ROWS_READ_PERIOD_MS;
+  s->next_want_read_ms = s->now_ms + WANT_ROWS_READ_PERIOD_MS;
   read_want_rows (s);
   if (!s->want_write_token)
     write_want_row (s);
--- a/core/journal.c
+++ b/core/journal.c
@@ -347,8 +347,8 @@
     }
 }
 
-/* Frees task @id and answers its calls, because its request was accepted
-   before as task @first_id, perhaps in another domain. */
+/* Frees task @id and answers the calls about it, because its request was
+   accepted before as task @first_id, perhaps in another domain. */
 static void
 refuse_accept (struct sched *s, const char *id, const char *first_id)
 {
@@ -421,8 +421,8 @@
   return own;
 }
 
-/* Handles the answer that the write of the commit group had no effect because
-   a condition failed. */
+/* Handles a conflict: the write of the commit group had no effect, since one
+   of its conditions did not hold. */
 static void
 commit_conflict (struct sched *s, const struct store_rep *rep)
 {
@@ -619,8 +619,8 @@
       j->first_seq += SNAP_DELETE_ROWS_MAX;
       if (j->first_seq > j->snap_last_seq)
         {
-          /* The rows deleted include those that an earlier holder had not
-             deleted. */
+          /* The rows deleted include those that an earlier holder of the
+             domain's lease had not deleted. */
           j->first_seq = j->snap_last_seq + 1;
           j->snap_step = SNAP_NONE;
           return;
--- a/core/place.c
+++ b/core/place.c
@@ -9,16 +9,16 @@
 
 enum
 {
-  /* Score for a resource of which the worker's whole capacity would stay free;
-     for a resource that would stay free in part, the same part of this
-     score. */
+  /* Added to a worker's score for each resource, times the fraction of the
+     worker's capacity that would stay free. */
   SCORE_PER_DIMENSION = 1024,
-  /* Added for a worker that has free accelerators if the task needs none. */
+  /* Added to the score of a worker that has free accelerators if the task
+     needs none. */
   SCORE_ACCEL_WASTE = 8192,
-  /* Added for each other member of the task on the worker's rack if the task
-     is to be spread. */
+  /* Added to a worker's score for each other member of the task on the same
+     rack, if the task is to be spread. */
   SCORE_SAME_RACK = 16384,
-  /* Added for the worker that is to be avoided. */
+  /* Added to the score of the worker that is to be avoided. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -134,9 +134,9 @@
   return found;
 }
 
-/* Returns true if a worker with much free capacity is preferred for the task,
-   false if a worker with the tightest fit is.  Service requests go to the
-   executor with the most free capacity, so that the loss of one executor
+/* Returns true if the worker with the most free capacity is preferred for the
+   task, false if the worker with the tightest fit is.  Service requests go to
+   the executor with the most free capacity, so that the loss of one executor
    affects few of them. */
 static bool
 prefers_most_free (const struct spec *spec)
@@ -213,7 +213,7 @@
 }
 
 /* Releases the capacity reserved on all workers picked so far and forgets
-   them. */
+   these workers. */
 static void
 unreserve_picked (struct pick_state *s)
 {
@@ -304,8 +304,7 @@
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
-/* Adds @r to @sum, but for the resources of which the amount in @r is
-   negative. */
+/* Adds @r to @sum, except for resources of which @r is negative. */
 static void
 add_positive (struct clb_res *sum, const struct clb_res *r)
 {
--- a/core/queue.c
+++ b/core/queue.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  /* Number of tasks that are tried at the head of each of a team's queues.  A
+  /* Number of tasks at the head of each of a team's queues that are tried.  A
      task among them that can start is placed before those ahead of it that
      cannot. */
   BACKFILL_TASKS_MAX = 16,
@@ -24,8 +24,7 @@
   SHARE_ONE = 1 << 20,
 };
 
-/* struct placement_round - sizes that did not fit in the current placement
- * round */
+/* struct placement_round - sizes that did not fit in this placement round */
 struct placement_round
 {
   struct clb_res blocked_sizes[BLOCKED_SIZES_MAX];
--- a/core/recon.c
+++ b/core/recon.c
@@ -82,7 +82,7 @@
          && w->state == WORKER_LIVE;
 }
 
-/* Adds the start of a member to a sync and marks it as sent. */
+/* Adds the start of a member to a sync and marks the member as sent. */
 static void
 sync_add_start (struct sync_req *req, struct member *m)
 {
@@ -102,8 +102,8 @@
   m->sent_seq = req->seq;
 }
 
-/* Moves the worker's next sync forward to the expected end of a running
-   member, so that the capacity can be used again soon after the end. */
+/* Makes the worker's next sync earlier if a running member is expected to end
+   before it, so that the capacity can be used again soon after the end. */
 static void
 sync_at_expected_end (const struct sched *s, struct worker *w,
                       const struct member *m)
@@ -253,7 +253,7 @@
     }
 }
 
-/* Marks a member as running because a worker's report lists it as running.  A
+/* Marks a member as running, since its worker's report lists it as running.  A
    member that is being stopped stays in state MEMBER_STOP. */
 static void
 set_member_running (struct sched *s, struct member *m)
@@ -404,7 +404,7 @@
     }
 }
 
-/* Updates the worker's state because it has answered a sync. */
+/* Updates the state of a worker that has answered a sync. */
 static void
 set_worker_answered (struct sched *s, struct worker *w)
 {
--- a/core/sched.h
+++ b/core/sched.h
@@ -47,8 +47,8 @@
   /* The task leases of a worker that has not answered a sync for this long are
      no longer renewed. */
   WORKER_EXPIRING_MS = 10000,
-  /* A scheduler whose own lease has lapsed continues to renew the leases of
-     its tasks for this long. */
+  /* A scheduler whose lease of the domain has lapsed continues to renew the
+     leases of its tasks for this long. */
   LAPSED_RENEW_MS = 60000,
   /* A task is not retried after this many attempts in which a run of the task
      was reported as failed. */
@@ -110,7 +110,8 @@
   int end;      /* enum member_end, valid in state MEMBER_ENDED */
   /* True once a report has listed the member as running. */
   bool was_running;
-  /* Time of the expected end by the declared run time; 0: not known. */
+  /* When the member is expected to end, by the task's declared run time; 0:
+     not known. */
   int64_t expected_end_ms;
   int64_t sent_seq; /* number of the sync with the member's start; 0: none */
   /* Number of the latest sync whose report lists the member; 0: none. */
@@ -149,7 +150,7 @@
   int lane;  /* enum queue_lane */
   bool idempotent;
   /* True if the task is written to the journal.  A task that is not recorded
-     is lost when another instance becomes the holder. */
+     is lost when another instance takes over the domain. */
   bool recorded;
   /* True once the accept record is durable, and always for a task that is not
      recorded. */
@@ -187,7 +188,7 @@
   /* Array of n_members members, owned; NULL unless the task is placed. */
   struct member *members;
   int64_t n_members; /* 0 unless the task is placed */
-  /* calls that wait for the task's end or for its slot */
+  /* Calls that wait for the task's end or for its slot. */
   struct waiter_list waiters;
 };
 RB_HEAD (task_tree, task);
@@ -240,8 +241,8 @@
   struct clb_res op_granted;
   int64_t next_op_ms; /* no operation on the grant row before this time */
   /* Latest time at which used changed or a waiting task was not placed because
-     the grant is too small.  The team is idle in this domain once this time is
-     long past. */
+     the grant is too small.  The team is idle in this domain if this was long
+     ago. */
   int64_t idle_since_ms;
   struct task_list queue[CLASS_N];
   int64_t waiting; /* number of tasks in all of the team's queues */
@@ -359,7 +360,7 @@
 struct sched
 {
   char domain[CLB_NAME_MAX];
-  /* id of this instance, which holds the domain's lease */
+  /* Id of this instance, which holds the domain's lease. */
   char me[CLB_ID_MAX];
   int64_t boot; /* boot of this instance */
   int64_t epoch;
@@ -374,7 +375,8 @@
   bool conf_fresh; /* true if the configuration is known to be current */
   /* When may_start became false; 0 while it is true. */
   int64_t lapsed_since_ms;
-  /* True while the domain is being handed over; nothing new is placed then. */
+  /* True while the domain is being handed over to another instance; no task is
+     placed meanwhile. */
   bool stopping;
   /* True if free capacity or a queue changed since the last placement
      round. */
@@ -412,8 +414,9 @@
   /* Token of the outstanding write of this domain's want row, or 0. */
   uint64_t want_write_token;
   /* Time of the next read of all domains' want rows. */
-  int64_t next_want_ms;
-  int64_t want_read_ms; /* when the latest read of the want rows was sent */
+  int64_t next_want_read_ms;
+  int64_t
+      want_read_sent_ms; /* when the latest read of the want rows was sent */
   /* Text of this domain's want row as last written; NULL: the row was not
      written yet, or the write has failed.  Owned. */
   char *want_row_text;
@@ -506,9 +509,9 @@
 /**
  * sched_event() - Record a decision and publish it to watchers.
  * @reason: enum clb_reason
- * @id: task that it is about, or empty
+ * @id: id of the task that the decision is about, or empty
  * @team: name of the task's team, or empty
- * @where: worker, executor or instance that it is about, or empty
+ * @where: id of the worker, executor or instance concerned, or empty
  * @detail: number of candidates considered for a placement, number of tasks
  *          preempted for %WHY_PREEMPTING, else 0
  */
@@ -700,7 +703,7 @@
  * Return: the operation, owned by the queue of outgoing messages.
  */
 struct store_op *journal_store_op (struct sched *s, int kind, uint64_t *token);
-/** load_read() - Send the read that sched::load_step says comes next. */
+/** load_read() - Send the read for the present step, sched::load_step. */
 void load_read (struct sched *s);
 /** load_reply() - Handle the answer to a read that load_read() sent. */
 void load_reply (struct sched *s, const struct store_rep *rep);
--- a/core/task.c
+++ b/core/task.c
@@ -333,7 +333,7 @@
 /* struct tally - counts of a placed task's members by how they ended */
 struct tally
 {
-  /* numbers of ended members, by enum member_end */
+  /* Numbers of ended members, by enum member_end. */
   int64_t by_end[MEMBER_END_LOST + 1];
   int64_t n_not_ended; /* number of members that have not ended */
 };
