--- a/core/place.h
+++ b/core/place.h
@@ -33,7 +33,7 @@
 /**
  * struct worker - a worker or a service executor
  *
- * The struct holds what is known of it and what is placed on it.
+ * The struct holds what is known of the worker and what is placed on it.
  */
 struct worker
 {
--- a/core/sched.h
+++ b/core/sched.h
@@ -239,7 +239,8 @@
   int op_kind;       /* enum store_kind of the outstanding store operation */
   /* This domain's grant after the outstanding write, if the write succeeds. */
   struct clb_res op_granted;
-  int64_t next_op_ms; /* no operation on the grant row before this time */
+  /* The grant row is neither read nor written before this time. */
+  int64_t next_op_ms;
   /* Latest time at which used changed or a waiting task was not placed because
      the grant is too small.  The team is idle in this domain if this was long
      ago. */
@@ -313,7 +314,7 @@
   int snap_step;     /* enum snap_step, in journal.c */
   /* Token of the outstanding write for the snapshot, or 0. */
   uint64_t snap_token;
-  /* Text of a snapshot that is made and not yet sent, or NULL; owned. */
+  /* Text of a snapshot whose write was not sent yet, or NULL; owned. */
   char *snap_text;
   /* Last journal row that the snapshot in progress covers. */
   int64_t snap_last_seq;
@@ -367,8 +368,8 @@
   int phase;          /* enum sched_phase */
   int64_t now_ms;     /* time of the input that is being handled */
   int64_t started_ms; /* when the scheduler was created */
-  /* True if this instance's lease of the domain is valid.  It is set before
-     each input. */
+  /* True if this instance's lease of the domain is valid.  The node sets the
+     field before each input. */
   bool may_start;
   /* True if the table service answered this instance's latest operation. */
   bool store_up;
@@ -436,7 +437,7 @@
  * @me: id of this instance
  * @boot: boot of this instance
  * @epoch: epoch of the domain's lease
- * @epoch_row_ver: version of the epoch row, the condition of every write
+ * @epoch_row_ver: version of the epoch row; writes fail once it has changed
  * @now_ms: current time
  * @conf: configuration in force
  * @out: queue for outgoing messages
@@ -473,7 +474,7 @@
  * sched_used_slots() - Reserve slots that an entry instance still uses.
  * @held: the slots, as the entry instance has reported them
  *
- * A slot is skipped if its task is known already or its executor is not.
+ * A slot is skipped if its task is known already or its executor is unknown.
  */
 void sched_used_slots (struct sched *s, const struct held_list *held);
 /**
@@ -710,7 +711,7 @@
 
 /**
  * journal_init() - Initialise the journal's write side.
- * @epoch_row_ver: version of the epoch row, the condition of every write
+ * @epoch_row_ver: version of the epoch row; writes fail once it has changed
  */
 void journal_init (struct sched *s, int64_t epoch_row_ver);
 /** journal_free() - Free what the journal's write side owns. */
@@ -746,7 +747,9 @@
 
 /* recon.c */
 
-/** recon_tick() - Update the workers' states and send the syncs due. */
+/**
+ * recon_tick() - Update the workers' states and send the syncs that are due.
+ */
 void recon_tick (struct sched *s);
 /**
  * recon_report() - Handle a worker's answer to a sync.
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -95,8 +95,8 @@
   return true;
 }
 
-/* Returns whether a task on the worker is being preempted already.  Until it
-   has ended, no other task on the worker is preempted. */
+/* Returns whether a task on the worker is being preempted already.  Until that
+   task has ended, no other task on the worker is preempted. */
 static bool
 preempt_in_progress (const struct worker *w)
 {
