--- a/core/escrow.c
+++ b/core/escrow.c
@@ -4,8 +4,9 @@
  * that the team may use in the domain.  One table row for each team, its grant
  * row, holds the grants of all domains.  The grants do not add up to more than
  * the limit, so a domain that keeps the team's use within its own grant need
- * not coordinate with the other domains.  If they do because the limit was
- * lowered, no task of the team is started until they fit again.
+ * not coordinate with the other domains.  If the grants exceed the limit
+ * because it was lowered, no task of the team is started until they fit into
+ * it again.
  *
  * A domain raises its grant while the team's tasks wait for it and the limit
  * and the other domains' grants allow it, and gives up what the team does not
