--- a/core/calls.c
+++ b/core/calls.c
@@ -1,4 +1,7 @@
-/* What entry instances ask of a domain's scheduler. */
+/*
+ * Calls from entry instances: submit, status, cancel and why for tasks,
+ * acquire and release for the slots of service requests.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -7,14 +10,18 @@
 
 enum
 {
-  ASKER_MAX_MS = 600000, /* longest wait for a task's end */
+  /* Maximum time that a status call waits for the task's end. */
+  STATUS_WAIT_MAX_MS = 600000,
 };
 
+/* Replies to a call with an error.  @err is an enum clb_err, @reason an enum
+   clb_reason. */
 static void
-reply_err (struct sched *s, const char *entry, int64_t no, int err, int reason)
+reply_err (struct sched *s, const char *entry, int64_t call_seq, int err,
+           int reason)
 {
   struct reply r = {
-    .call_seq = no,
+    .call_seq = call_seq,
     .err = err,
     .reason = reason,
     .retry_ms = clb_err_http (err) == 503 ? RETRY_HINT_MS : 0,
@@ -23,20 +30,23 @@
   sched_reply (s, entry, &r);
 }
 
+/* Returns whether the call describes the same work as the task. */
 static bool
-same_request (const struct task *t, const struct call *c)
+same_spec (const struct task *t, const struct call *c)
 {
-  char *a = codec_text (&spec_desc, &t->spec);
-  char *b = codec_text (&spec_desc, &c->spec);
-  bool same = strcmp (a, b) == 0;
+  char *task_text = codec_text (&spec_desc, &t->spec);
+  char *call_text = codec_text (&spec_desc, &c->spec);
+  bool specs_equal = strcmp (task_text, call_text) == 0;
 
-  free (a);
-  free (b);
-  return same;
+  free (task_text);
+  free (call_text);
+  return specs_equal;
 }
 
+/* Finds the recorded task with the call's team and request id.  Returns NULL
+   if there is none. */
 static struct task *
-find_request (struct sched *s, const struct call *c)
+find_task_by_request (struct sched *s, const struct call *c)
 {
   struct task key = { .team = sched_team (s, c->team) };
 
@@ -44,6 +54,8 @@
   return RB_FIND (request_tree, &s->requests, &key);
 }
 
+/* Creates a task with id @id from the call's description.  It is neither
+   queued nor journaled. */
 static struct task *
 task_from_call (struct sched *s, const char *id, const struct call *c)
 {
@@ -56,11 +68,13 @@
   return t;
 }
 
+/* Replies to a call for new work whose request id already belongs to task
+   @t. */
 static void
-answer_known (struct sched *s, const char *entry, const struct call *c,
-              struct task *t)
+reply_duplicate (struct sched *s, const char *entry, const struct call *c,
+                 struct task *t)
 {
-  if (!same_request (t, c))
+  if (!same_spec (t, c))
     {
       reply_err (s, entry, c->seq, CLB_EDUP, WHY_DUPLICATE);
       return;
@@ -70,7 +84,7 @@
   r.reason = WHY_DUPLICATE;
   if (c->verb == CALL_ACQUIRE)
     r.err = CLB_EDONE;
-  /* Its accept may still be on the way to the table. */
+  /* An accept that is not durable may yet fail, so the reply waits for it. */
   if (t->accept_durable)
     sched_reply (s, entry, &r);
   else
@@ -81,12 +95,15 @@
     }
 }
 
+/* Returns the enum clb_err with which a call for new work must be refused; 0
+   if it may be accepted. */
 static int
-call_refused (struct sched *s, const struct call *c)
+refusal_err (struct sched *s, const struct call *c)
 {
   struct team *team = sched_team (s, c->team);
 
-  /* What needs a record could only be left waiting. */
+  /* Recorded work cannot be accepted until the table service answers again,
+     since its accept must be written to the journal. */
   if (!s->store_up && (c->verb == CALL_SUBMIT || !c->idempotent))
     return CLB_EUNAVAIL;
   if (journal_full (s) || s->n_tasks >= TASKS_MAX)
@@ -96,8 +113,9 @@
   return 0;
 }
 
+/* Creates a recorded task with id @id for the call and journals its accept. */
 static struct task *
-accept_recorded (struct sched *s, const char *id, const struct call *c)
+accept_recorded_task (struct sched *s, const char *id, const struct call *c)
 {
   struct task *t = task_from_call (s, id, c);
 
@@ -110,71 +128,78 @@
   return t;
 }
 
-/* True when the call has its answer: its request is known, or refused. */
+/* Replies to a call for new work if its request is known or must be refused.
+   @known is the task accepted for the request; NULL: none.  Returns whether a
+   reply was sent, in which case no task must be created. */
 static bool
-answered_at_once (struct sched *s, const char *entry, const struct call *c,
-                  struct task *known)
+reply_if_known_or_refused (struct sched *s, const char *entry,
+                           const struct call *c, struct task *known)
 {
   int err;
 
   if (known)
     {
-      answer_known (s, entry, c, known);
+      reply_duplicate (s, entry, c, known);
       return true;
     }
-  err = call_refused (s, c);
+  err = refusal_err (s, c);
   if (err)
     reply_err (s, entry, c->seq, err, WHY_NO_ROOM);
   return err != 0;
 }
 
+/* Handles a call that submits a task.  The reply is sent once the accept is
+   durable. */
 static void
-call_submit (struct sched *s, const char *entry, const struct call *c)
+handle_submit (struct sched *s, const char *entry, const struct call *c)
 {
   char id[CLB_ID_MAX];
   struct task *t;
 
-  if (answered_at_once (s, entry, c, find_request (s, c)))
+  if (reply_if_known_or_refused (s, entry, c, find_task_by_request (s, c)))
     return;
   snprintf (id, sizeof id, "%s.%lld.%lld", s->domain, (long long)s->epoch,
-            (long long)++s->next_id);
-  t = accept_recorded (s, id, c);
+            (long long)++s->last_id);
+  t = accept_recorded_task (s, id, c);
   if (c->spec.deadline_ms > 0)
     t->expires_ms = s->now_ms + c->spec.deadline_ms;
   task_reply_durable (s, t, entry, c->seq);
 }
 
+/* Adds the call to those that wait for the task's end or, for a service
+   request, for its slot. */
 static void
-add_asker (struct sched *s, struct task *t, const char *entry,
-           const struct call *c)
+add_waiter (struct sched *s, struct task *t, const char *entry,
+            const struct call *c)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
-  /* The same call sent again. */
-  TAILQ_FOREACH (a, &t->waiters, link)
-    if (a->call_seq == c->seq && strcmp (a->entry, entry) == 0)
+  /* An entry instance may repeat a call that already waits. */
+  TAILQ_FOREACH (waiter, &t->waiters, link)
+    if (waiter->call_seq == c->seq && strcmp (waiter->entry, entry) == 0)
       return;
-  a = calloc (1, sizeof *a);
-  if (!a)
+  waiter = calloc (1, sizeof *waiter);
+  if (!waiter)
     abort ();
-  clb_copy (a->entry, entry, sizeof a->entry);
-  a->call_seq = c->seq;
-  a->stamp = c->sent_ms;
-  a->expires_ms
-      = s->now_ms + (c->wait_ms < ASKER_MAX_MS ? c->wait_ms : ASKER_MAX_MS);
-  TAILQ_INSERT_TAIL (&t->waiters, a, link);
+  clb_copy (waiter->entry, entry, sizeof waiter->entry);
+  waiter->call_seq = c->seq;
+  waiter->call_sent_ms = c->sent_ms;
+  waiter->expires_ms
+      = s->now_ms
+        + (c->wait_ms < STATUS_WAIT_MAX_MS ? c->wait_ms : STATUS_WAIT_MAX_MS);
+  TAILQ_INSERT_TAIL (&t->waiters, waiter, link);
 }
 
 void
-service_reply (struct sched *s, struct task *t, const char *entry, int64_t no,
-               int64_t stamp)
+service_reply (struct sched *s, struct task *t, const char *entry,
+               int64_t call_seq, int64_t call_sent_ms)
 {
   const struct worker *w = t->members[0].worker;
-  struct reply r = task_reply (t, no);
+  struct reply r = task_reply (t, call_seq);
 
   clb_copy (r.executor, w->inst.id, sizeof r.executor);
   clb_copy (r.addr, w->inst.addr, sizeof r.addr);
-  r.call_sent_ms = stamp;
+  r.call_sent_ms = call_sent_ms;
   if (!t->recorded)
     {
       sched_reply (s, entry, &r);
@@ -185,38 +210,41 @@
   e->reply = r;
 }
 
-/* The same call again, after a change of holder or a lost answer. */
+/* Handles an acquire call whose task @t exists already.  An entry instance
+   repeats such a call if the domain's lease has a new holder or the reply was
+   lost. */
 static void
-acquire_again (struct sched *s, const char *entry, const struct call *c,
-               struct task *t)
+handle_repeated_acquire (struct sched *s, const char *entry,
+                         const struct call *c, struct task *t)
 {
   if (task_state_final (t->state))
     reply_err (s, entry, c->seq, CLB_EDONE, t->reason);
   else if (t->n_members > 0 && t->members[0].worker)
     service_reply (s, t, entry, c->seq, c->sent_ms);
   else if (TAILQ_EMPTY (&t->waiters))
-    add_asker (s, t, entry, c);
+    add_waiter (s, t, entry, c);
   else
-    TAILQ_FIRST (&t->waiters)->stamp = c->sent_ms;
+    TAILQ_FIRST (&t->waiters)->call_sent_ms = c->sent_ms;
 }
 
-/* A service request asks for a slot; the answer comes when one is free. */
+/* Handles a call that acquires a slot for a service request.  The reply is
+   sent once a slot is free. */
 static void
-call_acquire (struct sched *s, const char *entry, const struct call *c)
+handle_acquire (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
 
   if (t)
     {
-      acquire_again (s, entry, c, t);
+      handle_repeated_acquire (s, entry, c, t);
       return;
     }
   if (!c->idempotent)
-    t = find_request (s, c);
-  if (answered_at_once (s, entry, c, t))
+    t = find_task_by_request (s, c);
+  if (reply_if_known_or_refused (s, entry, c, t))
     return;
   if (!c->idempotent)
-    t = accept_recorded (s, c->id, c);
+    t = accept_recorded_task (s, c->id, c);
   else
     {
       t = task_from_call (s, c->id, c);
@@ -224,10 +252,9 @@
       task_enqueue (s, t);
     }
   t->expires_ms = s->now_ms + c->wait_ms;
-  add_asker (s, t, entry, c);
+  add_waiter (s, t, entry, c);
 }
 
-/* The entry instance says how its service request ended. */
 void
 service_release (struct sched *s, struct task *t, int state)
 {
@@ -241,16 +268,18 @@
     end = MEMBER_END_LOST;
   if (t->n_members == 0)
     {
-      task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+      task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
       return;
     }
   for (int64_t i = 0; i < t->n_members; i++)
-    member_ended (s, &t->members[i], end);
+    member_finish (s, &t->members[i], end);
   task_evaluate (s, t);
 }
 
+/* Handles a call that releases the slot of a service request and says how the
+   request has ended. */
 static void
-call_release (struct sched *s, const char *entry, const struct call *c)
+handle_release (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
   struct effect *e;
@@ -264,9 +293,11 @@
   e->reply.call_seq = c->seq;
 }
 
+/* Handles a call that cancels task @t.  The reply is sent once the open group
+   is durable. */
 static void
-call_cancel (struct sched *s, const char *entry, const struct call *c,
-             struct task *t)
+handle_cancel (struct sched *s, const char *entry, const struct call *c,
+               struct task *t)
 {
   if (task_state_final (t->state) || t->cancelled)
     {
@@ -281,7 +312,7 @@
   t->cancelled = true;
   task_journal (s, t, REC_CANCEL);
   if (t->n_members == 0)
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else
     {
       t->state = TASK_STOPPING;
@@ -291,9 +322,10 @@
   task_reply_durable (s, t, entry, c->seq);
 }
 
+/* Handles a call for the recorded decisions about task @t. */
 static void
-call_why (struct sched *s, const char *entry, const struct call *c,
-          const struct task *t)
+handle_why (struct sched *s, const char *entry, const struct call *c,
+            const struct task *t)
 {
   struct reply r = task_reply_now (t, c->seq);
 
@@ -301,9 +333,13 @@
   sched_reply (s, entry, &r);
 }
 
-/* An operator's call names no team; a call without a key is marked. */
+/* Returns whether the call may see the task.  A call that was made without a
+   key is marked open_only and may see the tasks of open queues.  An operator's
+   call names no team and may see every task.  Any other call may see the tasks
+   of its team. */
 static bool
-may_ask (const struct sched *s, const struct call *c, const struct task *t)
+may_see_task (const struct sched *s, const struct call *c,
+              const struct task *t)
 {
   const struct conf_queue *q = conf_queue (s->conf, t->spec.queue);
 
@@ -312,19 +348,20 @@
   return !*c->team || strcmp (t->team->name, c->team) == 0;
 }
 
+/* Handles a call about an existing task, that is status, cancel or why. */
 static void
-call_about (struct sched *s, const char *entry, const struct call *c)
+handle_task_call (struct sched *s, const char *entry, const struct call *c)
 {
   struct task *t = sched_task (s, c->id);
 
-  if (!t || !may_ask (s, c, t))
+  if (!t || !may_see_task (s, c, t))
     reply_err (s, entry, c->seq, CLB_ENOTFOUND, WHY_NONE);
   else if (c->verb == CALL_CANCEL)
-    call_cancel (s, entry, c, t);
+    handle_cancel (s, entry, c, t);
   else if (c->verb == CALL_WHY)
-    call_why (s, entry, c, t);
+    handle_why (s, entry, c, t);
   else if (c->wait_ms > 0 && !task_state_final (t->state))
-    add_asker (s, t, entry, c);
+    add_waiter (s, t, entry, c);
   else if (c->wait_ms > 0 && !t->end_durable)
     task_reply_durable (s, t, entry, c->seq);
   else
@@ -335,12 +372,13 @@
 }
 
 void
-sched_call (struct sched *s, const char *entry, const struct call *c)
+sched_handle_call (struct sched *s, const char *entry, const struct call *c)
 {
   bool new_work = c->verb == CALL_SUBMIT || c->verb == CALL_ACQUIRE;
 
-  /* What a lapsed holder knows may be out of date; one that hands over leaves
-     new work to its successor. */
+  /* If this instance's lease of the domain has lapsed, its state may be out of
+     date.  While the domain is handed over, new work is left to the
+     successor. */
   if (s->phase != SCHED_READY || !s->may_start || (s->stopping && new_work))
     {
       reply_err (s, entry, c->seq, CLB_ENOHOLDER, WHY_NONE);
@@ -349,38 +387,38 @@
   switch (c->verb)
     {
     case CALL_SUBMIT:
-      call_submit (s, entry, c);
+      handle_submit (s, entry, c);
       break;
     case CALL_ACQUIRE:
-      call_acquire (s, entry, c);
+      handle_acquire (s, entry, c);
       break;
     case CALL_RELEASE:
-      call_release (s, entry, c);
+      handle_release (s, entry, c);
       break;
     default:
-      call_about (s, entry, c);
+      handle_task_call (s, entry, c);
       break;
     }
 }
 
-/* Service slots across a change of holder or entry instance. */
+/* Service slots that an earlier holder of the domain's lease granted. */
 
 void
 sched_used_slots (struct sched *s, const struct held_list *held)
 {
   for (size_t i = 0; i < held->n_items; i++)
     {
-      const struct held_slot *h = &held->items[i];
-      struct worker *w = pool_worker (&s->pool, h->executor);
-      if (sched_task (s, h->id) || !w)
+      const struct held_slot *slot = &held->items[i];
+      struct worker *w = pool_find_worker (&s->pool, slot->executor);
+      if (sched_task (s, slot->id) || !w)
         continue;
-      struct task *t = task_new (s, h->id, h->team);
+      struct task *t = task_new (s, slot->id, slot->team);
       t->lane = LANE_SERVICE;
       t->idempotent = true;
       t->accept_durable = true;
       t->spec.members = 1;
       t->spec.need.slots = 1;
-      t->spec.duration_ms = h->run_ms;
+      t->spec.duration_ms = slot->run_ms;
       clb_res_add (&w->used, &t->spec.need, 1);
       task_place (s, t, &w);
       t->state = TASK_RUNNING;
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -1,7 +1,17 @@
 /*
- * Upper limits by escrow: each team's limit is split among the domains in one
- * table row.  The parts never add up to more than the limit, so a domain that
- * stays within its own part needs to ask nobody.
+ * Division of the teams' limits among the failure domains (escrow).  Each team
+ * has a limit for the whole fleet.  A domain's grant is the part of this limit
+ * that the team may use in the domain.  One table row for each team, its grant
+ * row, holds the grants of all domains.  The grants do not add up to more than
+ * the limit, so a domain that keeps the team's use within its own grant need
+ * not coordinate with the other domains.  If the grants exceed the limit
+ * because it was lowered, no task of the team is started until they fit into
+ * it again.
+ *
+ * A domain raises its grant while the team's tasks wait for it and the limit
+ * and the other domains' grants allow it, and gives up what the team does not
+ * use.  The domain's want row names the teams for which its grant is too
+ * small; the other domains read it.
  */
 #include "sched.h"
 
@@ -11,22 +21,36 @@
 
 enum
 {
-  READ_PERIOD_MS = 1000, /* while parts exceed the limit, or are short */
-  GIVE_PERIOD_MS = 500,  /* between looks at what others want */
-  IDLE_MS = 3000,        /* unused part kept this long */
-  WANT_PERIOD_MS = 1000, /* between looks at what other domains want */
-  WANT_TIMEOUT_MS = 3000,
-  WAITING_COUNTED = 256, /* waiting tasks that a look goes through */
+  /* Time between two reads of a team's grant row while the domains' grants add
+     up to more than the team's limit, this domain's grant is too small or the
+     row was written under a newer configuration; also the delay after a failed
+     operation on the row. */
+  GRANT_READ_PERIOD_MS = 1000,
+  /* Time between two decisions about one team's grant in this domain. */
+  GRANT_ADJUST_PERIOD_MS = 500,
+  /* Unused capacity of a grant is kept for this long. */
+  UNUSED_GRANT_KEEP_MS = 3000,
+  /* Time between two reads of all domains' want rows. */
+  WANT_ROWS_READ_PERIOD_MS = 1000,
+  /* If a read of the want rows is not answered within this time, the next one
+     may be sent. */
+  WANT_ROWS_READ_TIMEOUT_MS = 3000,
+  /* Maximum number of a team's waiting tasks that are counted as its
+     demand. */
+  DEMAND_TASKS_MAX = 256,
 };
 
+/* Writes the key of the team's grant row to @out. */
 static void
 grant_key (const struct team *team, char out[ROW_KEY_SIZE])
 {
   snprintf (out, ROW_KEY_SIZE, "grant/%s", team->name);
 }
 
+/* Finds a domain's grant in a grant row.  If the row has none, a grant of zero
+   is added.  The grant is owned by the row. */
 static struct grant *
-row_part (struct grant_row *row, const char *domain)
+find_or_add_grant (struct grant_row *row, const char *domain)
 {
   for (size_t i = 0; i < row->n_grants; i++)
     if (strcmp (row->grants[i].domain, domain) == 0)
@@ -35,34 +59,39 @@
       = realloc (row->grants, (row->n_grants + 1) * sizeof *row->grants);
   if (!row->grants)
     abort ();
-  struct grant *g = &row->grants[row->n_grants++];
-  memset (g, 0, sizeof *g);
-  clb_copy (g->domain, domain, sizeof g->domain);
-  return g;
+  struct grant *grant = &row->grants[row->n_grants++];
+  memset (grant, 0, sizeof *grant);
+  clb_copy (grant->domain, domain, sizeof grant->domain);
+  return grant;
 }
 
+/* Returns the sum of the other domains' grants.  Sets
+   *@others_want_larger_grant to true if any of these domains wants a larger
+   grant, else to false. */
 static struct clb_res
-others_sum (const struct sched *s, const struct team *team, bool *want)
+sum_other_grants (const struct sched *s, const struct team *team,
+                  bool *others_want_larger_grant)
 {
   struct clb_res sum = { 0 };
 
-  *want = false;
+  *others_want_larger_grant = false;
   for (size_t i = 0; i < team->row.n_grants; i++)
     {
-      const struct grant *g = &team->row.grants[i];
-      if (strcmp (g->domain, s->domain) == 0)
+      const struct grant *grant = &team->row.grants[i];
+      if (strcmp (grant->domain, s->domain) == 0)
         continue;
-      clb_res_add (&sum, &g->amount, 1);
-      *want |= g->wants_more;
+      clb_res_add (&sum, &grant->amount, 1);
+      *others_want_larger_grant |= grant->wants_more;
     }
   return sum;
 }
 
+/* Returns whether the sum of all domains' grants exceeds the team's limit. */
 static bool
 over_limit (const struct sched *s, const struct team *team)
 {
-  bool want;
-  struct clb_res sum = others_sum (s, team, &want);
+  bool others_want_larger_grant;
+  struct clb_res sum = sum_other_grants (s, team, &others_want_larger_grant);
 
   clb_res_add (&sum, &team->granted, 1);
   return !clb_res_fits (&sum, &team->limit);
@@ -77,37 +106,40 @@
   clb_res_add (&total, need, n);
   if (!team->frozen && clb_res_fits (&total, &team->granted))
     return true;
-  team->wants_more = true;
+  team->wants_larger_grant = true;
   team->idle_since_ms = s->now_ms;
   return false;
 }
 
-/* What the team would use if all its waiting work started. */
+/* Returns the capacity that the team would use in this domain if its waiting
+   tasks started.  At most DEMAND_TASKS_MAX of them are counted. */
 static struct clb_res
-wanted_part (const struct team *team)
+team_demand (const struct team *team)
 {
   struct clb_res sum = team->used;
   struct task *t;
-  int counted = 0;
+  int n_counted = 0;
 
   for (int class = 0; class < CLASS_N; class ++)
     TAILQ_FOREACH (t, &team->queue[class], queued)
       {
-        if (counted++ >= WAITING_COUNTED)
+        if (n_counted++ >= DEMAND_TASKS_MAX)
           return sum;
         clb_res_add (&sum, &t->spec.need, t->spec.members);
       }
   return sum;
 }
 
+/* Returns the grant that each domain has if the team's limit is split
+   evenly. */
 static struct clb_res
-base_part (const struct sched *s, const struct team *team)
+even_grant (const struct sched *s, const struct team *team)
 {
-  struct clb_res part;
+  struct clb_res even;
 
   for (int k = 0; k < RES_N; k++)
-    clb_res_set (&part, k, clb_res_get (&team->limit, k) / s->n_domains);
-  return part;
+    clb_res_set (&even, k, clb_res_get (&team->limit, k) / s->n_domains);
+  return even;
 }
 
 static int64_t
@@ -122,50 +154,60 @@
   return a < b ? a : b;
 }
 
-/* As much of what is wanted as the limit and the others' parts allow. */
+/* Returns the amount to which this domain's grant can be raised.  If another
+   domain wants a larger grant, it is the team's demand, at most an even split
+   of the limit; else it is the demand or an even split, whichever is larger.
+   It is also at most what the other domains' grants leave of the limit, but
+   never less than the present grant. */
 static struct clb_res
-raised_part (const struct sched *s, const struct team *team)
+raised_grant (const struct sched *s, const struct team *team)
 {
-  bool want;
-  struct clb_res others = others_sum (s, team, &want);
-  struct clb_res base = base_part (s, team);
-  struct clb_res part;
+  bool others_want_larger_grant;
+  struct clb_res others
+      = sum_other_grants (s, team, &others_want_larger_grant);
+  struct clb_res even = even_grant (s, team);
+  struct clb_res new_grant;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t have = clb_res_get (&team->granted, k);
-      int64_t aim = clb_res_get (&team->demand, k);
-      /* Beyond its even part a domain goes only while nobody else waits. */
-      if (want)
-        aim = min64 (aim, clb_res_get (&base, k));
+      int64_t granted = clb_res_get (&team->granted, k);
+      int64_t target = clb_res_get (&team->demand, k);
+      /* A domain's grant may exceed an even split of the limit only while no
+         other domain wants a larger grant. */
+      if (others_want_larger_grant)
+        target = min64 (target, clb_res_get (&even, k));
       else
-        aim = max64 (aim, clb_res_get (&base, k));
+        target = max64 (target, clb_res_get (&even, k));
       int64_t left = clb_res_get (&team->limit, k) - clb_res_get (&others, k);
-      clb_res_set (&part, k, max64 (have, min64 (aim, left)));
+      clb_res_set (&new_grant, k, max64 (granted, min64 (target, left)));
     }
-  return part;
+  return new_grant;
 }
 
-/* What stays when unused parts go: never below what runs. */
+/* Returns what is left of this domain's grant after unused capacity is given
+   up.  If @down_to_used is true, all unused capacity is given up, else only
+   what exceeds an even split of the limit. */
 static struct clb_res
-lowered_part (const struct sched *s, const struct team *team, bool to_used)
+lowered_grant (const struct sched *s, const struct team *team,
+               bool down_to_used)
 {
-  struct clb_res base = base_part (s, team);
-  struct clb_res part;
+  struct clb_res even = even_grant (s, team);
+  struct clb_res new_grant;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t keep = to_used ? 0 : clb_res_get (&base, k);
+      int64_t keep = down_to_used ? 0 : clb_res_get (&even, k);
       keep = max64 (keep, clb_res_get (&team->used, k));
-      clb_res_set (&part, k, min64 (keep, clb_res_get (&team->granted, k)));
+      clb_res_set (&new_grant, k,
+                   min64 (keep, clb_res_get (&team->granted, k)));
     }
-  return part;
+  return new_grant;
 }
 
-/* The team is acted on again @wait_ms after now, and not before the
- * answer. */
+/* Sends a read of the team's grant row.  The next decision about the team is
+   made once the answer has arrived and @wait_ms have passed. */
 static void
-read_row (struct sched *s, struct team *team, int64_t wait_ms)
+read_grant_row (struct sched *s, struct team *team, int64_t wait_ms)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   char key[ROW_KEY_SIZE];
@@ -177,81 +219,88 @@
   team->next_op_ms = s->now_ms + wait_ms;
 }
 
+/* Sends a write of the team's grant row in which this domain's grant is
+   @new_grant.  @wants_larger_grant is true if the domain wants a larger
+   grant. */
 static void
-write_part (struct sched *s, struct team *team, const struct clb_res *part,
-            bool want)
+write_grant_row (struct sched *s, struct team *team,
+                 const struct clb_res *new_grant, bool wants_larger_grant)
 {
   struct out *o = out_new (s->out, OUT_STORE);
   struct store_op *op = &o->u.store.op;
-  struct grant *g = row_part (&team->row, s->domain);
+  struct grant *own_grant = find_or_add_grant (&team->row, s->domain);
   char key[ROW_KEY_SIZE];
 
-  g->amount = *part;
-  g->wants_more = want;
-  team->want_written = want;
+  own_grant->amount = *new_grant;
+  own_grant->wants_more = wants_larger_grant;
+  team->row_wants_larger_grant = wants_larger_grant;
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
   o->u.store.token = team->op_token = ++*s->tokens;
   op->kind = team->op_kind = STORE_TXN;
-  store_cond (op, s->journal.epoch_key, s->journal.epoch_ver);
+  store_cond (op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_cond (op, key, team->row_ver);
   store_put (op, key, text);
-  team->op_granted = *part;
-  /* What is being given up may not be used any more, whatever the answer. */
+  team->op_granted = *new_grant;
+  /* The capacity that is given up must not be used from now on, since the
+     write may take effect whatever its answer is. */
   for (int k = 0; k < RES_N; k++)
     clb_res_set (
         &team->granted, k,
-        min64 (clb_res_get (&team->granted, k), clb_res_get (part, k)));
-  team->next_op_ms = s->now_ms + GIVE_PERIOD_MS;
+        min64 (clb_res_get (&team->granted, k), clb_res_get (new_grant, k)));
+  team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
 }
 
-/* Takes over a row; reading alone never raises what may be used. */
+/* Replaces the team's copy of its grant row.  @row is the row as read; NULL:
+   the table has no such row.  team::granted does not change, since only a
+   write by this domain can raise it. */
 static void
-take_row (struct sched *s, struct team *team, const struct row *row)
+set_grant_row (struct sched *s, struct team *team, const struct row *row)
 {
   struct codec_err ce;
 
   codec_free (&grant_row_desc, &team->row);
   team->row_ver = row ? row->ver : 0;
-  team->row_known = true;
+  team->row_is_current = true;
   if (row && row->value
       && codec_parse (&grant_row_desc, row->value, strlen (row->value),
                       CODEC_LENIENT, &team->row, &ce))
     {
       s->stats.damaged_rows++;
-      team->row_known = false;
+      team->row_is_current = false;
     }
 }
 
 void
-escrow_row (struct sched *s, const struct row *row)
+escrow_load_row (struct sched *s, const struct row *row)
 {
   const char *name = strrchr (row->key, '/');
 
   if (!name)
     return;
   struct team *team = sched_team (s, name + 1);
-  take_row (s, team, row);
-  /* The epoch is new: no earlier write of this domain is under way. */
-  team->granted = row_part (&team->row, s->domain)->amount;
+  set_grant_row (s, team, row);
+  /* The epoch is new, so no earlier write of this domain is in progress, and
+     the domain's grant may be taken from the row. */
+  team->granted = find_or_add_grant (&team->row, s->domain)->amount;
 }
 
 void
-escrow_conf (struct sched *s)
+escrow_apply_limits (struct sched *s)
 {
   struct team *team;
 
   RB_FOREACH (team, team_tree, &s->teams)
     {
-      bool rose = team->limit.cores >= team->last_limit.cores
-                  && team->limit.mem_mb >= team->last_limit.mem_mb
-                  && team->limit.accels >= team->last_limit.accels
-                  && team->limit.slots >= team->last_limit.slots;
-      if (!rose || over_limit (s, team))
+      bool not_lowered = team->limit.cores >= team->last_limit.cores
+                         && team->limit.mem_mb >= team->last_limit.mem_mb
+                         && team->limit.accels >= team->last_limit.accels
+                         && team->limit.slots >= team->last_limit.slots;
+      if (!not_lowered || over_limit (s, team))
         {
           team->frozen = true;
-          team->row_known = false;
+          team->row_is_current = false;
           team->rewrite_due = true;
         }
       team->last_limit = team->limit;
@@ -259,8 +308,9 @@
     }
 }
 
+/* Finds the team whose outstanding store operation has the token, or NULL. */
 static struct team *
-team_of_op (struct sched *s, uint64_t token)
+team_by_token (struct sched *s, uint64_t token)
 {
   struct team *team;
 
@@ -270,8 +320,10 @@
   return NULL;
 }
 
+/* Handles the answer to a successful write of the team's grant row. */
 static void
-wrote (struct sched *s, struct team *team, const struct store_rep *rep)
+handle_grant_written (struct sched *s, struct team *team,
+                      const struct store_rep *rep)
 {
   bool raised = !clb_res_fits (&team->op_granted, &team->granted);
   char key[ROW_KEY_SIZE];
@@ -286,10 +338,13 @@
   s->dirty = true;
 }
 
-/* One small row a domain tells the others which grant rows to look at. */
+/* Want rows.  Each domain has one want row, which names the teams that want a
+   larger grant in that domain.  The other domains then read the grant rows of
+   these teams. */
 
+/* Returns this domain's want row as JSON text, which the caller frees. */
 static char *
-want_text (struct sched *s)
+make_want_row_text (struct sched *s)
 {
   struct want_row row = { .n_teams = 0 };
   struct team *team;
@@ -299,21 +354,22 @@
   if (!row.teams)
     abort ();
   RB_FOREACH (team, team_tree, &s->teams)
-    if (team->want_written && row.n_teams < CONF_TEAMS_MAX)
+    if (team->row_wants_larger_grant && row.n_teams < CONF_TEAMS_MAX)
       clb_copy (row.teams[row.n_teams++].team, team->name, CLB_NAME_MAX);
   text = codec_text (&want_row_desc, &row);
   free (row.teams);
   return text;
 }
 
+/* Sends a write of this domain's want row if its text has changed. */
 static void
-want_write (struct sched *s)
+write_want_row (struct sched *s)
 {
-  char *text = want_text (s);
+  char *text = make_want_row_text (s);
   char key[ROW_KEY_SIZE];
   struct out *o;
 
-  if (s->want_written && strcmp (s->want_written, text) == 0)
+  if (s->want_row_text && strcmp (s->want_row_text, text) == 0)
     {
       free (text);
       return;
@@ -322,49 +378,55 @@
   snprintf (key, sizeof key, "want/%s", s->domain);
   o->u.store.token = s->want_write_token = ++*s->tokens;
   o->u.store.op.kind = STORE_TXN;
-  store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_ver);
+  store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_put (&o->u.store.op, key, text);
-  free (s->want_written);
-  s->want_written = text;
+  free (s->want_row_text);
+  s->want_row_text = text;
 }
 
+/* Sends a read of the want rows of all domains. */
 static void
-want_read (struct sched *s)
+read_want_rows (struct sched *s)
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
   o->u.store.token = s->want_read_token = ++*s->tokens;
   o->u.store.op.kind = STORE_LIST;
   o->u.store.op.key = strdup ("want/");
-  s->want_read_ms = s->now_ms;
+  s->want_read_sent_ms = s->now_ms;
 }
 
+/* Handles a want row: marks the grant rows of the teams that it names to be
+   read again.  This domain's own want row is ignored. */
 static void
-want_row (struct sched *s, const struct row *row)
+apply_want_row (struct sched *s, const struct row *row)
 {
   const char *domain = strrchr (row->key, '/');
-  struct want_row wr;
+  struct want_row wants;
   struct codec_err ce;
 
   if (!domain || strcmp (domain + 1, s->domain) == 0 || !row->value
       || codec_parse (&want_row_desc, row->value, strlen (row->value),
-                      CODEC_LENIENT, &wr, &ce))
+                      CODEC_LENIENT, &wants, &ce))
     return;
-  for (size_t i = 0; i < wr.n_teams; i++)
-    sched_team (s, wr.teams[i].team)->row_known = false;
-  codec_free (&want_row_desc, &wr);
+  for (size_t i = 0; i < wants.n_teams; i++)
+    sched_team (s, wants.teams[i].team)->row_is_current = false;
+  codec_free (&want_row_desc, &wants);
 }
 
+/* Handles the answer to an operation on want rows.  Returns false if @token
+   belongs to no such operation. */
 static bool
-want_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+handle_want_reply (struct sched *s, uint64_t token,
+                   const struct store_rep *rep)
 {
   if (token == s->want_write_token)
     {
       s->want_write_token = 0;
       if (rep->err)
         {
-          free (s->want_written);
-          s->want_written = NULL;
+          free (s->want_row_text);
+          s->want_row_text = NULL;
         }
       return true;
     }
@@ -372,43 +434,46 @@
     return false;
   s->want_read_token = 0;
   for (size_t i = 0; rep->err == 0 && i < rep->n_rows; i++)
-    want_row (s, &rep->rows[i]);
+    apply_want_row (s, &rep->rows[i]);
   return true;
 }
 
+/* Sends a read of all want rows every WANT_ROWS_READ_PERIOD_MS, and with it a
+   write of this domain's want row if the row has changed. */
 static void
-want_tick (struct sched *s)
+want_rows_tick (struct sched *s)
 {
-  if (s->now_ms - s->want_read_ms > WANT_TIMEOUT_MS)
+  if (s->now_ms - s->want_read_sent_ms > WANT_ROWS_READ_TIMEOUT_MS)
     s->want_read_token = 0;
-  if (s->now_ms < s->next_want_ms || s->want_read_token)
+  if (s->now_ms < s->next_want_read_ms || s->want_read_token)
     return;
-  s->next_want_ms = s->now_ms + WANT_PERIOD_MS;
-  want_read (s);
+  s->next_want_read_ms = s->now_ms + WANT_ROWS_READ_PERIOD_MS;
+  read_want_rows (s);
   if (!s->want_write_token)
-    want_write (s);
+    write_want_row (s);
 }
 
 bool
-escrow_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+escrow_handle_store_reply (struct sched *s, uint64_t token,
+                           const struct store_rep *rep)
 {
-  struct team *team = token ? team_of_op (s, token) : NULL;
-  bool write;
+  struct team *team = token ? team_by_token (s, token) : NULL;
+  bool is_write;
   char key[ROW_KEY_SIZE];
 
   if (!team)
-    return token && want_store (s, token, rep);
-  write = team->op_kind == STORE_TXN;
+    return token && handle_want_reply (s, token, rep);
+  is_write = team->op_kind == STORE_TXN;
   team->op_token = 0;
   grant_key (team, key);
-  if (rep->err == 0 && write)
-    wrote (s, team, rep);
+  if (rep->err == 0 && is_write)
+    handle_grant_written (s, team, rep);
   else if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-    take_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
+    set_grant_row (s, team, rep->n_rows ? &rep->rows[0] : NULL);
   else
     {
-      team->row_known = false;
-      team->next_op_ms = s->now_ms + READ_PERIOD_MS;
+      team->row_is_current = false;
+      team->next_op_ms = s->now_ms + GRANT_READ_PERIOD_MS;
     }
   for (size_t i = 0; rep->err == CLB_ECONFLICT && i < rep->n_rows; i++)
     {
@@ -416,109 +481,132 @@
         s->phase = SCHED_SUPERSEDED;
       if (strcmp (rep->rows[i].key, key) != 0)
         continue;
-      take_row (s, team, &rep->rows[i]);
+      set_grant_row (s, team, &rep->rows[i]);
       team->next_op_ms = s->now_ms;
     }
   return true;
 }
 
+/* Returns whether the two amounts are equal in every dimension. */
 static bool
-same_res (const struct clb_res *a, const struct clb_res *b)
+res_equal (const struct clb_res *a, const struct clb_res *b)
 {
   return clb_res_fits (a, b) && clb_res_fits (b, a);
 }
 
+/* Lowers this domain's grant for a team of which all domains' grants together
+   exceed the limit.  The grant is lowered to an even split of the limit or, if
+   that changes nothing, to what is in use.  If nothing can be given up, the
+   grant row is read again later. */
 static void
-shrink (struct sched *s, struct team *team)
+lower_over_limit (struct sched *s, struct team *team)
 {
-  struct clb_res part;
+  struct clb_res new_grant;
 
   team->frozen = true;
   sched_withdraw (s, team);
-  part = lowered_part (s, team, false);
-  if (same_res (&part, &team->granted))
-    part = lowered_part (s, team, true);
-  if (same_res (&part, &team->granted))
+  new_grant = lowered_grant (s, team, false);
+  if (res_equal (&new_grant, &team->granted))
+    new_grant = lowered_grant (s, team, true);
+  if (res_equal (&new_grant, &team->granted))
     {
-      read_row (s, team, READ_PERIOD_MS);
+      read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
-  write_part (s, team, &part, false);
+  write_grant_row (s, team, &new_grant, false);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
 }
 
+/* Raises this domain's grant if the team's demand needs it.  If the grant
+   cannot be raised and tasks wait for it, the grant row is read again
+   later. */
 static void
-raise_part (struct sched *s, struct team *team)
+raise_grant (struct sched *s, struct team *team)
 {
-  struct clb_res part = raised_part (s, team);
-  struct grant *mine = row_part (&team->row, s->domain);
-  bool short_of = team->wants_more && !clb_res_fits (&team->demand, &part);
+  struct clb_res new_grant = raised_grant (s, team);
+  struct grant *own_grant = find_or_add_grant (&team->row, s->domain);
+  bool wants_larger_grant
+      = team->wants_larger_grant && !clb_res_fits (&team->demand, &new_grant);
 
-  if (!same_res (&part, &team->granted) || mine->wants_more != short_of)
-    write_part (s, team, &part, short_of);
-  else if (team->wants_more)
-    read_row (s, team, READ_PERIOD_MS);
+  if (!res_equal (&new_grant, &team->granted)
+      || own_grant->wants_more != wants_larger_grant)
+    write_grant_row (s, team, &new_grant, wants_larger_grant);
+  else if (team->wants_larger_grant)
+    read_grant_row (s, team, GRANT_READ_PERIOD_MS);
 }
 
-/* Gives up what is unused, or what is above the even part while others wait.
-   False when there is nothing to give. */
+/* Gives up capacity of this domain's grant that the team does not use.  If the
+   team is idle in this domain (@idle) or another domain wants a larger grant,
+   what exceeds an even split of the limit is given up.  If the team is idle
+   and another domain wants a larger grant, all unused capacity is given up.
+   Returns false if the grant stays as it is. */
 static bool
-give_back (struct sched *s, struct team *team, bool idle)
+give_up_unused (struct sched *s, struct team *team, bool idle)
 {
-  bool want;
-  struct clb_res part;
+  bool others_want_larger_grant;
+  struct clb_res new_grant;
 
-  others_sum (s, team, &want);
-  if (!idle && !want)
+  sum_other_grants (s, team, &others_want_larger_grant);
+  if (!idle && !others_want_larger_grant)
     return false;
-  part = lowered_part (s, team, want && idle);
-  if (same_res (&part, &team->granted))
+  new_grant = lowered_grant (s, team, others_want_larger_grant && idle);
+  if (res_equal (&new_grant, &team->granted))
     return false;
-  write_part (s, team, &part, team->wants_more);
+  write_grant_row (s, team, &new_grant, team->wants_larger_grant);
   sched_event (s, WHY_GRANT_LOWERED, "", team->name, "", 0);
   return true;
 }
 
+/* Raises or lowers this domain's grant for a team, or leaves it as it is, and
+   sends the write if there is one.  The team's copy of the grant row must be
+   current. */
 static void
-team_act (struct sched *s, struct team *team)
+adjust_grant (struct sched *s, struct team *team)
 {
-  bool idle = s->now_ms - team->idle_since_ms >= IDLE_MS && !team->wants_more;
-  bool want;
+  bool idle = s->now_ms - team->idle_since_ms >= UNUSED_GRANT_KEEP_MS
+              && !team->wants_larger_grant;
+  bool others_want_larger_grant;
 
-  others_sum (s, team, &want);
-  team->demand = wanted_part (team);
+  sum_other_grants (s, team, &others_want_larger_grant);
+  team->demand = team_demand (team);
   team->frozen = over_limit (s, team);
   if (team->frozen)
-    shrink (s, team);
+    lower_over_limit (s, team);
   else if (team->rewrite_due)
     {
-      /* Domains that go by an older limit may not raise past this row. */
-      write_part (s, team, &team->granted, team->wants_more);
+      /* The row now names the newer configuration.  Domains that still have an
+         older one do not change their grants, so they cannot raise them by the
+         outdated limit. */
+      write_grant_row (s, team, &team->granted, team->wants_larger_grant);
       team->rewrite_due = false;
     }
-  else if (!give_back (s, team, idle) && (team->wants_more || !want))
-    raise_part (s, team);
+  else if (!give_up_unused (s, team, idle)
+           && (team->wants_larger_grant || !others_want_larger_grant))
+    raise_grant (s, team);
 }
 
+/* Makes the next decision about a team's grant in this domain if it is due.
+   If the copy of the team's grant row is not current or was written under a
+   newer configuration, the row is read first. */
 static void
-team_tick (struct sched *s, struct team *team)
+decide_grant_if_due (struct sched *s, struct team *team)
 {
   if (team->op_token || s->now_ms < team->next_op_ms)
     return;
-  if (team->row_known && team->row.conf_version > s->conf->version)
+  if (team->row_is_current && team->row.conf_version > s->conf->version)
     {
-      read_row (s, team, READ_PERIOD_MS);
+      read_grant_row (s, team, GRANT_READ_PERIOD_MS);
       return;
     }
-  if (!team->row_known)
+  if (!team->row_is_current)
     {
-      read_row (s, team, 0);
+      read_grant_row (s, team, 0);
       return;
     }
-  team_act (s, team);
+  adjust_grant (s, team);
   if (!team->op_token)
-    team->next_op_ms = s->now_ms + GIVE_PERIOD_MS;
-  team->wants_more = false;
+    team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
+  team->wants_larger_grant = false;
   s->dirty |= team->waiting > 0;
 }
 
@@ -527,7 +615,7 @@
 {
   struct team *team;
 
-  want_tick (s);
+  want_rows_tick (s);
   RB_FOREACH (team, team_tree, &s->teams)
-    team_tick (s, team);
+    decide_grant_if_due (s, team);
 }
--- a/core/load.c
+++ b/core/load.c
@@ -1,17 +1,21 @@
-/* Reading a domain's journal back: snapshot, rows, grants. */
+/*
+ * Recovery at the start of an epoch: reads the domain's latest snapshot, the
+ * journal rows after it and the teams' grants, and restores tasks and teams.
+ */
 #include "sched.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+/** enum load_step - what is read next while loading */
 enum load_step
 {
-  LOAD_SNAP_ROW,
-  LOAD_SNAP_OBJ,
-  LOAD_ROWS,
-  LOAD_GRANTS,
-  LOAD_DONE,
+  LOAD_SNAP_ROW,     /* the snapshot row, which names the latest snapshot */
+  LOAD_SNAP_OBJ,     /* the object that holds the snapshot */
+  LOAD_JOURNAL_ROWS, /* the journal rows after the snapshot */
+  LOAD_GRANTS,       /* the grant rows of all teams */
+  LOAD_DONE,         /* nothing: loading is complete */
 };
 
 static const struct fld snap_fields[] = {
@@ -37,7 +41,7 @@
       op = journal_store_op (s, STORE_OBJ_GET, &s->load_token);
       clb_copy (key, s->load_after, sizeof key);
       break;
-    case LOAD_ROWS:
+    case LOAD_JOURNAL_ROWS:
       op = journal_store_op (s, STORE_LIST, &s->load_token);
       snprintf (key, sizeof key, "journal/%s/", s->domain);
       op->after = s->load_after ? strdup (s->load_after) : NULL;
@@ -49,9 +53,12 @@
       break;
     }
   op->key = strdup (key);
-  s->load_retry_ms = 0;
+  s->load_retry_at_ms = 0;
 }
 
+/* Replay of records: each function applies one record. */
+
+/* Creates the task of an accept record and queues it. */
 static void
 replay_accept (struct sched *s, const struct rec *r)
 {
@@ -75,10 +82,12 @@
   task_enqueue (s, t);
 }
 
+/* Finds the worker of a recorded place.  A worker that has not been listed yet
+   is created.  @lane is the enum queue_lane of the placed task. */
 static struct worker *
-replay_worker (struct sched *s, const struct place *p, int lane)
+find_or_add_worker (struct sched *s, const struct place *p, int lane)
 {
-  struct worker *w = pool_worker (&s->pool, p->worker);
+  struct worker *w = pool_find_worker (&s->pool, p->worker);
   struct inst in
       = { .kind = lane == LANE_SERVICE ? INST_EXECUTOR : INST_WORKER };
 
@@ -91,6 +100,9 @@
   return w;
 }
 
+/* Places the task on the recorded workers.  Its members are marked as sent,
+   since the earlier holder of the domain's lease may have sent their
+   starts. */
 static void
 replay_intent (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -105,7 +117,7 @@
     abort ();
   for (size_t i = 0; i < r->n_places; i++)
     {
-      picked[i] = replay_worker (s, &r->places[i], t->lane);
+      picked[i] = find_or_add_worker (s, &r->places[i], t->lane);
       clb_res_add (&picked[i]->used, &t->spec.need, 1);
     }
   task_place (s, t, picked);
@@ -119,6 +131,7 @@
   free (picked);
 }
 
+/* Ends the task with the recorded state. */
 static void
 replay_end (struct sched *s, struct task *t, const struct rec *r)
 {
@@ -173,7 +186,8 @@
     }
 }
 
-/* 0, or %CLB_EPARSE when the text is not a journal row. */
+/* Applies all records of a journal row's or a snapshot's text.  Returns 0, or
+   an enum clb_err if the text cannot be parsed. */
 static int
 replay_text (struct sched *s, const char *text)
 {
@@ -191,14 +205,16 @@
   return 0;
 }
 
+/* Handles the answer to the read of the snapshot row.  If the row is absent or
+   cannot be parsed, the journal is read from its first row. */
 static void
-load_snap_row (struct sched *s, const struct store_rep *rep)
+handle_snap_row (struct sched *s, const struct store_rep *rep)
 {
   struct snap_row snap;
   struct codec_err ce;
   const char *text = rep->n_rows ? rep->rows[0].value : NULL;
 
-  s->load_step = LOAD_ROWS;
+  s->load_step = LOAD_JOURNAL_ROWS;
   s->journal.first_seq = 1;
   if (!text
       || codec_parse (&snap_row_desc, text, strlen (text), CODEC_LENIENT,
@@ -207,12 +223,13 @@
   s->load_step = LOAD_SNAP_OBJ;
   s->load_after = strdup (snap.object);
   s->journal.snap_seq = snap.seq;
-  s->journal.seq = snap.seq + 1;
+  s->journal.commit_seq = snap.seq + 1;
   s->journal.first_seq = snap.first_seq;
 }
 
+/* Handles the answer to the read of the snapshot's object. */
 static void
-load_snap_obj (struct sched *s, const struct store_rep *rep)
+handle_snap_obj (struct sched *s, const struct store_rep *rep)
 {
   char key[ROW_KEY_SIZE];
 
@@ -222,12 +239,13 @@
   journal_row_key (s, s->journal.snap_seq, key);
   free (s->load_after);
   s->load_after = strdup (key);
-  s->load_step = LOAD_ROWS;
+  s->load_step = LOAD_JOURNAL_ROWS;
 }
 
-/* Remembers where a list goes on; true while there is more. */
+/* Sets sched::load_after to the last key in the answer if the list has more
+   rows, else to NULL.  Returns whether the list has more rows. */
 static bool
-load_more (struct sched *s, const struct store_rep *rep)
+set_list_position (struct sched *s, const struct store_rep *rep)
 {
   free (s->load_after);
   s->load_after = NULL;
@@ -237,33 +255,36 @@
   return true;
 }
 
+/* Handles the answer to a read of journal rows. */
 static void
-load_rows (struct sched *s, const struct store_rep *rep)
+handle_journal_rows (struct sched *s, const struct store_rep *rep)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     {
       const struct row *row = &rep->rows[i];
-      const char *num = strrchr (row->key, '/');
-      if (!row->value || !num)
+      const char *seq_text = strrchr (row->key, '/');
+      if (!row->value || !seq_text)
         continue;
       if (replay_text (s, row->value))
         s->stats.damaged_rows++;
-      s->journal.seq = strtoll (num + 1, NULL, 10) + 1;
+      s->journal.commit_seq = strtoll (seq_text + 1, NULL, 10) + 1;
     }
-  if (!load_more (s, rep))
+  if (!set_list_position (s, rep))
     s->load_step = LOAD_GRANTS;
 }
 
+/* Handles the answer to a read of grant rows.  Once all grant rows are read,
+   the scheduler is ready. */
 static void
-load_grants (struct sched *s, const struct store_rep *rep)
+handle_grant_rows (struct sched *s, const struct store_rep *rep)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
-    escrow_row (s, &rep->rows[i]);
-  if (load_more (s, rep))
+    escrow_load_row (s, &rep->rows[i]);
+  if (set_list_position (s, rep))
     return;
   s->load_step = LOAD_DONE;
   s->phase = SCHED_READY;
-  escrow_conf (s);
+  escrow_apply_limits (s);
   sched_event (s, WHY_TOOK_OVER, "", "", s->me, 0);
 }
 
@@ -273,22 +294,22 @@
   s->load_token = 0;
   if (rep->err && rep->err != CLB_ENOTFOUND)
     {
-      s->load_retry_ms = s->now_ms + JOURNAL_RETRY_MS;
+      s->load_retry_at_ms = s->now_ms + JOURNAL_RETRY_MS;
       return;
     }
   switch (s->load_step)
     {
     case LOAD_SNAP_ROW:
-      load_snap_row (s, rep);
+      handle_snap_row (s, rep);
       break;
     case LOAD_SNAP_OBJ:
-      load_snap_obj (s, rep);
+      handle_snap_obj (s, rep);
       break;
-    case LOAD_ROWS:
-      load_rows (s, rep);
+    case LOAD_JOURNAL_ROWS:
+      handle_journal_rows (s, rep);
       break;
     default:
-      load_grants (s, rep);
+      handle_grant_rows (s, rep);
       break;
     }
 }
--- a/core/place.c
+++ b/core/place.c
@@ -1,3 +1,7 @@
+/*
+ * The pool of workers and the choice of workers for a task by scores: the
+ * worker with the lowest score is chosen.
+ */
 #include "place.h"
 
 #include <stdlib.h>
@@ -5,9 +9,16 @@
 
 enum
 {
-  SCORE_ONE = 1024,         /* a whole worker left over */
-  SCORE_ACCEL_WASTE = 8192, /* accelerators that the task cannot use */
-  SCORE_SAME_RACK = 16384,  /* another member's rack, unwished */
+  /* Added to a worker's score for each resource, times the fraction of the
+     worker's capacity that would stay free. */
+  SCORE_PER_DIMENSION = 1024,
+  /* Added to the score of a worker that has free accelerators if the task
+     needs none. */
+  SCORE_ACCEL_WASTE = 8192,
+  /* Added to a worker's score for each other member of the task on the same
+     rack, if the task is to be spread. */
+  SCORE_SAME_RACK = 16384,
+  /* Added to the score of the worker that is to be avoided. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -46,7 +57,7 @@
 }
 
 struct worker *
-pool_worker (struct pool *pool, const char *id)
+pool_find_worker (struct pool *pool, const char *id)
 {
   struct worker key;
 
@@ -57,7 +68,7 @@
 struct worker *
 pool_add (struct pool *pool, const struct inst *inst)
 {
-  struct worker *w = pool_worker (pool, inst->id);
+  struct worker *w = pool_find_worker (pool, inst->id);
 
   if (!w)
     {
@@ -80,19 +91,23 @@
          && now_ms >= w->quarantine_until_ms;
 }
 
+/* Returns the worker's capacity that is not reserved. */
 static struct clb_res
-free_room (const struct worker *w)
+free_capacity (const struct worker *w)
 {
-  struct clb_res room = w->inst.capacity;
+  struct clb_res available = w->inst.capacity;
 
-  clb_res_add (&room, &w->used, -1);
-  return room;
+  clb_res_add (&available, &w->used, -1);
+  return available;
 }
 
-/* What would be left over, summed over the dimensions: less is tighter. */
+/* Returns a score for the capacity that would stay free on the worker if the
+   member were placed there, summed over all resources.  The lower the score,
+   the tighter the fit.  @available is the worker's free capacity without the
+   member. */
 static int64_t
-leftover (const struct worker *w, const struct clb_res *room,
-          const struct clb_res *need)
+leftover_score (const struct worker *w, const struct clb_res *available,
+                const struct clb_res *need)
 {
   int64_t score = 0;
 
@@ -100,14 +115,15 @@
     {
       int64_t size = clb_res_get (&w->inst.capacity, k);
       if (size > 0)
-        score += (clb_res_get (room, k) - clb_res_get (need, k)) * SCORE_ONE
-                 / size;
+        score += (clb_res_get (available, k) - clb_res_get (need, k))
+                 * SCORE_PER_DIMENSION / size;
     }
-  if (room->accels > 0 && need->accels == 0)
+  if (available->accels > 0 && need->accels == 0)
     score += SCORE_ACCEL_WASTE;
   return score;
 }
 
+/* Returns how many of the @n workers in the array @picked are on the rack. */
 static int
 members_on_rack (const char *rack, struct worker *const *picked, int64_t n)
 {
@@ -118,15 +134,18 @@
   return found;
 }
 
-/* Services go where most room is left, so that one loss takes few of them. */
+/* Returns true if the worker with the most free capacity is preferred for the
+   task, false if the worker with the tightest fit is.  Service requests go to
+   the executor with the most free capacity, so that the loss of one executor
+   affects few of them. */
 static bool
-wants_level (const struct spec *spec)
+prefers_most_free (const struct spec *spec)
 {
   return spec->need.slots > 0 || spec->spread;
 }
 
-/* struct search - one choice of workers */
-struct search
+/* struct pick_state - arguments and state of one call of pool_pick() */
+struct pick_state
 {
   struct pool *pool;
   const struct spec *spec;
@@ -134,22 +153,26 @@
   int64_t now_ms;
   struct worker **picked;
   int64_t n_picked;
-  int64_t looked_at;
+  int64_t n_candidates;
 };
 
+/* Returns whether the worker is of the kind that the task needs: an executor
+   if the task needs slots, else a worker. */
 static bool
-right_kind (const struct worker *w, const struct spec *spec)
+worker_kind_matches (const struct worker *w, const struct spec *spec)
 {
   return (w->inst.kind == INST_EXECUTOR) == (spec->need.slots > 0);
 }
 
+/* Returns the score of a worker that has free capacity @available for the next
+   member.  The worker with the lowest score is chosen. */
 static int64_t
-score_of (const struct search *s, const struct worker *w,
-          const struct clb_res *room)
+worker_score (const struct pick_state *s, const struct worker *w,
+              const struct clb_res *available)
 {
-  int64_t score = leftover (w, room, &s->spec->need);
+  int64_t score = leftover_score (w, available, &s->spec->need);
 
-  if (wants_level (s->spec))
+  if (prefers_most_free (s->spec))
     score = -score;
   if (s->spec->spread)
     score += SCORE_SAME_RACK
@@ -159,8 +182,11 @@
   return score;
 }
 
+/* Chooses the worker with the lowest score for one member.  @rack is the rack
+   that it must be on; NULL: any rack.  Returns NULL if no worker has enough
+   free capacity. */
 static struct worker *
-pick_one (struct search *s, const char *rack)
+pick_worker (struct pick_state *s, const char *rack)
 {
   struct worker *w;
   struct worker *best = NULL;
@@ -168,15 +194,15 @@
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      if (!pool_usable (w, s->now_ms) || !right_kind (w, s->spec))
+      if (!pool_usable (w, s->now_ms) || !worker_kind_matches (w, s->spec))
         continue;
       if (rack && strcmp (rack, w->inst.rack) != 0)
         continue;
-      s->looked_at++;
-      struct clb_res room = free_room (w);
-      if (!clb_res_fits (&s->spec->need, &room))
+      s->n_candidates++;
+      struct clb_res available = free_capacity (w);
+      if (!clb_res_fits (&s->spec->need, &available))
         continue;
-      int64_t score = score_of (s, w, &room);
+      int64_t score = worker_score (s, w, &available);
       if (!best || score < best_score)
         {
           best = w;
@@ -186,23 +212,28 @@
   return best;
 }
 
+/* Releases the capacity reserved on all workers picked so far and forgets
+   these workers. */
 static void
-unreserve (struct search *s)
+unreserve_picked (struct pick_state *s)
 {
   for (int64_t i = 0; i < s->n_picked; i++)
     clb_res_add (&s->picked[i]->used, &s->spec->need, -1);
   s->n_picked = 0;
 }
 
+/* Chooses a worker for each member and reserves its capacity.  @rack is the
+   rack that the workers must be on; NULL: any rack.  Returns false, with
+   nothing reserved, if a member does not fit. */
 static bool
-pick_all (struct search *s, const char *rack)
+pick_all_members (struct pick_state *s, const char *rack)
 {
   while (s->n_picked < s->spec->members)
     {
-      struct worker *w = pick_one (s, rack);
+      struct worker *w = pick_worker (s, rack);
       if (!w)
         {
-          unreserve (s);
+          unreserve_picked (s);
           return false;
         }
       s->picked[s->n_picked++] = w;
@@ -211,39 +242,45 @@
   return true;
 }
 
+/* Chooses workers for all members on the first rack that can hold them, and
+   reserves their capacity.  Returns false, with nothing reserved, if no rack
+   can. */
 static bool
-pick_same_rack (struct search *s)
+pick_same_rack (struct pick_state *s)
 {
   struct worker *w;
-  const char *last = NULL;
+  const char *last_rack = NULL;
 
   RB_FOREACH (w, worker_tree, &s->pool->workers)
     {
-      /* Workers of a rack mostly follow each other by name. */
-      if (last && strcmp (last, w->inst.rack) == 0)
+      /* Workers are in the order of their ids.  The ids of one rack's workers
+         mostly follow each other, so most racks are tried only once. */
+      if (last_rack && strcmp (last_rack, w->inst.rack) == 0)
         continue;
-      last = w->inst.rack;
-      if (pick_all (s, last))
+      last_rack = w->inst.rack;
+      if (pick_all_members (s, last_rack))
         return true;
     }
   return false;
 }
 
-/* Whether the workers could hold all members if nothing else ran. */
+/* Returns whether the listed workers could hold all members if nothing else
+   ran on them. */
 static bool
 could_ever_fit (struct pool *pool, const struct spec *spec)
 {
   struct worker *w;
-  int64_t held = 0;
+  int64_t n_fit = 0;
 
   RB_FOREACH (w, worker_tree, &pool->workers)
     {
-      struct clb_res room = w->inst.capacity;
-      if (!w->listed || !right_kind (w, spec))
+      struct clb_res available = w->inst.capacity;
+      if (!w->listed || !worker_kind_matches (w, spec))
         continue;
-      for (; held < spec->members && clb_res_fits (&spec->need, &room); held++)
-        clb_res_add (&room, &spec->need, -1);
-      if (held >= spec->members)
+      for (; n_fit < spec->members && clb_res_fits (&spec->need, &available);
+           n_fit++)
+        clb_res_add (&available, &spec->need, -1);
+      if (n_fit >= spec->members)
         return true;
     }
   return false;
@@ -251,24 +288,25 @@
 
 int
 pool_pick (struct pool *pool, const struct spec *spec, const char *avoid,
-           int64_t now_ms, struct worker **picked, int64_t *looked_at)
+           int64_t now_ms, struct worker **picked, int64_t *n_candidates)
 {
-  struct search s = { .pool = pool,
-                      .spec = spec,
-                      .avoid = avoid,
-                      .now_ms = now_ms,
-                      .picked = picked };
+  struct pick_state s = { .pool = pool,
+                          .spec = spec,
+                          .avoid = avoid,
+                          .now_ms = now_ms,
+                          .picked = picked };
   bool found = spec->same_rack && spec->members > 1 && pick_same_rack (&s);
 
-  found = found || pick_all (&s, NULL);
-  *looked_at = s.looked_at;
+  found = found || pick_all_members (&s, NULL);
+  *n_candidates = s.n_candidates;
   if (found)
     return spec->spread ? WHY_SPREAD : WHY_BEST_FIT;
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
+/* Adds @r to @sum, except for resources of which @r is negative. */
 static void
-add_at_least_zero (struct clb_res *sum, const struct clb_res *r)
+add_positive (struct clb_res *sum, const struct clb_res *r)
 {
   for (int k = 0; k < RES_N; k++)
     if (clb_res_get (r, k) > 0)
@@ -285,12 +323,14 @@
     {
       if (!pool_usable (w, now_ms))
         continue;
-      struct clb_res room = free_room (w);
-      add_at_least_zero (&sum.room, &room);
-      add_at_least_zero (&sum.size, &w->inst.capacity);
+      struct clb_res available = free_capacity (w);
+      add_positive (&sum.free_capacity, &available);
+      add_positive (&sum.total_capacity, &w->inst.capacity);
       for (int k = 0; k < RES_N; k++)
-        if (clb_res_get (&w->inst.capacity, k) > clb_res_get (&sum.largest, k))
-          clb_res_set (&sum.largest, k, clb_res_get (&w->inst.capacity, k));
+        if (clb_res_get (&w->inst.capacity, k)
+            > clb_res_get (&sum.largest_worker, k))
+          clb_res_set (&sum.largest_worker, k,
+                       clb_res_get (&w->inst.capacity, k));
     }
   return sum;
 }
--- a/core/queue.c
+++ b/core/queue.c
@@ -1,4 +1,8 @@
-/* Which waiting work starts next: class by class, by dominant share. */
+/*
+ * The order in which waiting tasks are placed: class by class, and within a
+ * class by dominant resource fairness, that is from the team with the lowest
+ * weighted dominant share.
+ */
 #include "sched.h"
 
 #include <stdlib.h>
@@ -6,50 +10,65 @@
 
 enum
 {
-  BACKFILL_MAX = 16,      /* blocked tasks passed over per team and class */
-  BLOCKED_MAX = 16,       /* sizes remembered as not fitting in a round */
-  NEVER_FITS_MS = 120000, /* larger than every worker this long: ended */
-  SHARE_ONE = 1 << 20,    /* a whole fleet, in share arithmetic */
+  /* Number of tasks at the head of each of a team's queues that are tried.  A
+     task among them that can start is placed before those ahead of it that
+     cannot. */
+  BACKFILL_TASKS_MAX = 16,
+  /* Maximum number of sizes that a placement round remembers as not
+     fitting. */
+  BLOCKED_SIZES_MAX = 16,
+  /* A task that no worker is large enough for is ended after this time. */
+  NEVER_FITS_MS = 120000,
+  /* Fixed-point value that stands for a share of 1, the domain's whole
+     capacity. */
+  SHARE_ONE = 1 << 20,
 };
 
-/* struct round - what one round of placement has found not to fit */
-struct round
+/* struct placement_round - sizes that did not fit in this placement round */
+struct placement_round
 {
-  struct clb_res blocked[BLOCKED_MAX];
+  struct clb_res blocked_sizes[BLOCKED_SIZES_MAX];
   int n_blocked;
 };
 
+/* Returns whether the task is known not to fit in this round, because another
+   task that needs no more of any resource did not fit. */
 static bool
-round_blocks (const struct round *r, const struct spec *spec)
+known_not_to_fit (const struct placement_round *r, const struct spec *spec)
 {
   for (int i = 0; i < r->n_blocked; i++)
-    if (clb_res_fits (&r->blocked[i], &spec->need))
+    if (clb_res_fits (&r->blocked_sizes[i], &spec->need))
       return true;
   return false;
 }
 
+/* Remembers the size of a task that did not fit in this placement round.  The
+   size of a gang is not remembered. */
 static void
-round_block (struct round *r, const struct spec *spec)
+remember_blocked_size (struct placement_round *r, const struct spec *spec)
 {
-  if (r->n_blocked < BLOCKED_MAX && spec->members == 1)
-    r->blocked[r->n_blocked++] = spec->need;
+  if (r->n_blocked < BLOCKED_SIZES_MAX && spec->members == 1)
+    r->blocked_sizes[r->n_blocked++] = spec->need;
 }
 
+/* Replies to the acquire call of a service request that has got a slot. */
 static void
-answer_acquired (struct sched *s, struct task *t)
+reply_acquired (struct sched *s, struct task *t)
 {
-  struct waiter *a = TAILQ_FIRST (&t->waiters);
+  struct waiter *waiter = TAILQ_FIRST (&t->waiters);
 
-  if (!a)
+  if (!waiter)
     return;
-  TAILQ_REMOVE (&t->waiters, a, link);
-  service_reply (s, t, a->entry, a->call_seq, a->stamp);
-  free (a);
+  TAILQ_REMOVE (&t->waiters, waiter, link);
+  service_reply (s, t, waiter->entry, waiter->call_seq, waiter->call_sent_ms);
+  free (waiter);
 }
 
 const int64_t wait_bucket_ms[WAIT_BUCKETS]
     = { 10, 100, 500, 1000, 3600, 10000, 60000, 600000, INT64_MAX };
 
+/* Adds the time from the task's accept to its placement to the wait
+   histogram. */
 static void
 count_wait (struct sched *s, const struct task *t)
 {
@@ -62,9 +81,11 @@
   s->stats.wait_sum_ms[t->class] += (uint64_t)ms;
 }
 
+/* Creates the task's members on the picked workers and journals the intent.
+   @reason is an enum clb_reason. */
 static void
-task_start (struct sched *s, struct task *t, struct worker **picked,
-            int reason, int64_t looked_at)
+place_on_workers (struct sched *s, struct task *t, struct worker **picked,
+                  int reason, int64_t n_candidates)
 {
   task_dequeue (t);
   task_place (s, t, picked);
@@ -73,45 +94,50 @@
   if (t->attempt == 0)
     count_wait (s, t);
   for (int64_t i = 0; i < t->n_members; i++)
-    task_event (s, t, reason, t->members[i].worker_id, looked_at);
+    task_event (s, t, reason, t->members[i].worker_id, n_candidates);
   task_journal (s, t, REC_INTENT);
   if (t->lane == LANE_SERVICE)
     {
       t->expires_ms = task_slot_expiry_ms (s, t);
       t->intent_durable = true;
-      answer_acquired (s, t);
+      reply_acquired (s, t);
       return;
     }
   struct effect *e = journal_effect (s, EFFECT_INTENT, t->id);
   e->attempt = t->attempt;
 }
 
+/* Records why a task is not placed, unless the reason is the same as before.
+   @reason is an enum clb_reason. */
 static void
-note_blocked (struct sched *s, struct task *t, int reason, int64_t looked_at)
+set_wait_reason (struct sched *s, struct task *t, int reason,
+                 int64_t n_candidates)
 {
   if (t->reason == reason)
     return;
   t->reason = reason;
-  task_event (s, t, reason, "", looked_at);
+  task_event (s, t, reason, "", n_candidates);
 }
 
-/* A task that no worker could hold is told so, after a while in which larger
-   ones might have come. */
+/* Ends a task once no worker has been large enough for it for NEVER_FITS_MS.
+   The task is not ended at once, since a larger worker may be listed
+   meanwhile. */
 static void
-note_never_fits (struct sched *s, struct task *t)
+end_if_never_fits (struct sched *s, struct task *t)
 {
   if (t->no_fit_since_ms == 0)
     t->no_fit_since_ms = s->now_ms;
   else if (s->now_ms - t->no_fit_since_ms >= NEVER_FITS_MS
            && s->now_ms - s->started_ms >= NEVER_FITS_MS)
-    task_ended (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
+    task_finish (s, t, TASK_FAILED, WHY_NO_WORKER_FITS);
 }
 
+/* Places the task if it can start now.  Returns whether it was placed. */
 static bool
-try_place (struct sched *s, struct round *r, struct task *t)
+try_place (struct sched *s, struct placement_round *r, struct task *t)
 {
   struct worker **picked;
-  int64_t looked_at;
+  int64_t n_candidates;
 
   if (t->not_before_ms > s->now_ms || !t->accept_durable)
     return false;
@@ -119,72 +145,79 @@
     return false;
   if (!escrow_allows (s, t->team, &t->spec.need, t->spec.members))
     {
-      note_blocked (s, t, WHY_TEAM_LIMIT, 0);
+      set_wait_reason (s, t, WHY_TEAM_LIMIT, 0);
       return false;
     }
-  if (round_blocks (r, &t->spec))
+  if (known_not_to_fit (r, &t->spec))
     return false;
   picked = calloc ((size_t)t->spec.members, sizeof *picked);
   if (!picked)
     abort ();
   int reason = pool_pick (&s->pool, &t->spec, t->failed_on, s->now_ms, picked,
-                          &looked_at);
+                          &n_candidates);
   if (reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS)
     {
-      round_block (r, &t->spec);
-      note_blocked (s, t, reason, looked_at);
+      remember_blocked_size (r, &t->spec);
+      set_wait_reason (s, t, reason, n_candidates);
       if (reason == WHY_NO_WORKER_FITS)
-        note_never_fits (s, t);
+        end_if_never_fits (s, t);
       else
         t->no_fit_since_ms = 0;
       if (reason == WHY_NO_ROOM && t->class == CLASS_URGENT)
         urgent_preempt (s, t);
     }
   else
-    task_start (s, t, picked, reason, looked_at);
+    place_on_workers (s, t, picked, reason, n_candidates);
   free (picked);
   return reason != WHY_NO_ROOM && reason != WHY_NO_WORKER_FITS;
 }
 
-/* Places the first task of the queue that can start now. */
+/* Places the first task that can start now among the BACKFILL_TASKS_MAX tasks
+   at the head of the team's queue for @class, an enum task_class.  Returns
+   false if none of them can start. */
 static bool
-place_from (struct sched *s, struct round *r, struct team *team, int class)
+place_first_startable (struct sched *s, struct placement_round *r,
+                       struct team *team, int class)
 {
   struct task *t;
   struct task *next;
-  int passed = 0;
+  int tried = 0;
 
   for (t = TAILQ_FIRST (&team->queue[class]); t; t = next)
     {
       next = TAILQ_NEXT (t, queued);
       if (try_place (s, r, t))
         return true;
-      if (++passed >= BACKFILL_MAX)
+      if (++tried >= BACKFILL_TASKS_MAX)
         return false;
     }
   return false;
 }
 
-/* A team's largest part of any resource, by its weight. */
+/* Returns a team's dominant share, that is its largest share of any resource
+   in @total, divided by the team's weight.  SHARE_ONE stands for all of
+   @total. */
 static int64_t
-team_share (const struct team *team, const struct clb_res *fleet)
+weighted_dominant_share (const struct team *team, const struct clb_res *total)
 {
   int64_t share = 0;
 
   for (int k = 0; k < RES_N; k++)
     {
-      int64_t all = clb_res_get (fleet, k);
-      if (all <= 0)
+      int64_t amount = clb_res_get (total, k);
+      if (amount <= 0)
         continue;
-      int64_t part = clb_res_get (&team->used, k) * SHARE_ONE / all;
-      if (part > share)
-        share = part;
+      int64_t resource_share
+          = clb_res_get (&team->used, k) * SHARE_ONE / amount;
+      if (resource_share > share)
+        share = resource_share;
     }
   return share / team->weight;
 }
 
+/* Returns the capacity of all listed workers and executors of the domain. */
 static struct clb_res
-fleet_size (struct sched *s)
+total_capacity (struct sched *s)
 {
   struct worker *w;
   struct clb_res sum = { 0 };
@@ -195,35 +228,40 @@
   return sum;
 }
 
+/* Places all waiting tasks of class @class, an enum task_class, that can
+   start.  The next task is always one of the team with the lowest dominant
+   share among the teams that have such a task.  @total is the domain's whole
+   capacity. */
 static void
-place_class (struct sched *s, struct round *r, const struct clb_res *fleet,
-             int class)
+place_class_tasks (struct sched *s, struct placement_round *r,
+                   const struct clb_res *total, int class)
 {
   struct team *team;
-  struct team *open[CONF_TEAMS_MAX];
-  int n = 0;
+  struct team *teams[CONF_TEAMS_MAX];
+  int n_teams = 0;
 
   RB_FOREACH (team, team_tree, &s->teams)
-    if (!TAILQ_EMPTY (&team->queue[class]) && n < CONF_TEAMS_MAX)
-      open[n++] = team;
-  while (n > 0)
+    if (!TAILQ_EMPTY (&team->queue[class]) && n_teams < CONF_TEAMS_MAX)
+      teams[n_teams++] = team;
+  while (n_teams > 0)
     {
       int best = 0;
-      for (int i = 1; i < n; i++)
-        if (team_share (open[i], fleet) < team_share (open[best], fleet))
+      for (int i = 1; i < n_teams; i++)
+        if (weighted_dominant_share (teams[i], total)
+            < weighted_dominant_share (teams[best], total))
           best = i;
-      if (!place_from (s, r, open[best], class))
-        open[best] = open[--n];
+      if (!place_first_startable (s, r, teams[best], class))
+        teams[best] = teams[--n_teams];
     }
 }
 
 void
 place_round (struct sched *s)
 {
-  struct round r = { .n_blocked = 0 };
-  struct clb_res fleet = fleet_size (s);
+  struct placement_round r = { .n_blocked = 0 };
+  struct clb_res total = total_capacity (s);
 
   s->dirty = false;
   for (int class = 0; class < CLASS_N; class ++)
-    place_class (s, &r, &fleet, class);
+    place_class_tasks (s, &r, &total, class);
 }
--- a/core/sched.c
+++ b/core/sched.c
@@ -1,3 +1,6 @@
+/*
+ * The scheduler object: creation, configuration, decision events and timers.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -6,8 +9,11 @@
 
 enum
 {
-  EXPIRE_PERIOD_MS = 50, /* between looks at the deadlines */
-  ENDED_KEPT = 6000,     /* ended tasks that can still be asked about */
+  /* Time between two checks of all tasks' time limits. */
+  EXPIRE_CHECK_PERIOD_MS = 50,
+  /* If more tasks than this are in memory, the oldest ended tasks are
+     forgotten, and status calls no longer find them. */
+  TASKS_RETAINED = 6000,
 };
 
 static int
@@ -36,7 +42,7 @@
 
 struct sched *
 sched_new (const char *domain, const char *me, int64_t boot, int64_t epoch,
-           int64_t epoch_ver, int64_t now_ms, const struct conf *conf,
+           int64_t epoch_row_ver, int64_t now_ms, const struct conf *conf,
            struct outq *out, uint64_t *tokens)
 {
   struct sched *s = calloc (1, sizeof *s);
@@ -62,7 +68,7 @@
   RB_INIT (&s->requests);
   RB_INIT (&s->teams);
   TAILQ_INIT (&s->ended);
-  journal_init (s, epoch_ver);
+  journal_init (s, epoch_row_ver);
   sched_conf (s, conf);
   return s;
 }
@@ -86,7 +92,7 @@
   pool_clear (&s->pool);
   journal_free (s);
   free (s->load_after);
-  free (s->want_written);
+  free (s->want_row_text);
   free (s->events);
   free (s);
 }
@@ -127,7 +133,7 @@
       team->weight = conf->teams[i].weight;
       team->limit = conf->teams[i].limit;
     }
-  escrow_conf (s);
+  escrow_apply_limits (s);
   s->dirty = true;
 }
 
@@ -142,7 +148,7 @@
 
 void
 sched_event (struct sched *s, int reason, const char *id, const char *team,
-             const char *where, int64_t looked_at)
+             const char *where, int64_t detail)
 {
   struct event *e = &s->events[s->event_seq % EVENTS_MAX];
 
@@ -150,7 +156,7 @@
   e->seq = ++s->event_seq;
   e->time_ms = s->now_ms;
   e->reason = reason;
-  e->detail = looked_at;
+  e->detail = detail;
   clb_copy (e->id, id, sizeof e->id);
   clb_copy (e->team, team, sizeof e->team);
   clb_copy (e->where, where, sizeof e->where);
@@ -164,9 +170,9 @@
   json_auto_t *list = json_array ();
   int64_t first = s->event_seq > EVENTS_MAX ? s->event_seq - EVENTS_MAX : 0;
 
-  for (int64_t n = first; n < s->event_seq; n++)
+  for (int64_t k = first; k < s->event_seq; k++)
     {
-      const struct event *e = &s->events[n % EVENTS_MAX];
+      const struct event *e = &s->events[k % EVENTS_MAX];
       if (strcmp (e->id, id) != 0)
         continue;
       json_t *item = codec_write (&event_desc, e);
@@ -195,36 +201,42 @@
 
 /* Timers. */
 
+/* Replies to the calls that wait for the task's end and whose waiting time is
+   over.  Calls that wait for a service slot get their reply when the request
+   expires, so they are left alone here. */
 static void
-expire_askers (struct sched *s, struct task *t)
+expire_waiters (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
   struct waiter *next;
 
-  for (a = TAILQ_FIRST (&t->waiters); a; a = next)
+  for (waiter = TAILQ_FIRST (&t->waiters); waiter; waiter = next)
     {
-      next = TAILQ_NEXT (a, link);
-      if (a->expires_ms > s->now_ms || t->lane == LANE_SERVICE)
+      next = TAILQ_NEXT (waiter, link);
+      if (waiter->expires_ms > s->now_ms || t->lane == LANE_SERVICE)
         continue;
-      TAILQ_REMOVE (&t->waiters, a, link);
-      task_reply_durable (s, t, a->entry, a->call_seq);
-      free (a);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      task_reply_durable (s, t, waiter->entry, waiter->call_seq);
+      free (waiter);
     }
 }
 
-/* A pending task whose time is over, or a slot that nobody gave back. */
+/* Cancels a pending task whose time limit has passed, or frees the slot of a
+   service request that was not released in time. */
 static void
 expire_task (struct sched *s, struct task *t)
 {
   if (!t->accept_durable)
-    return; /* told when its accept is known */
+    /* The task expires at a later check, once its accept is durable. */
+    return;
   t->expires_ms = 0;
   if (t->in_queue)
-    task_ended (s, t, TASK_CANCELLED, WHY_DEADLINE);
+    task_finish (s, t, TASK_CANCELLED, WHY_DEADLINE);
   else if (t->lane == LANE_SERVICE)
     service_release (s, t, TASK_UNKNOWN);
 }
 
+/* Checks the time limits of all tasks, every EXPIRE_CHECK_PERIOD_MS. */
 static void
 expire_tasks (struct sched *s)
 {
@@ -233,11 +245,11 @@
 
   if (s->now_ms < s->next_expire_ms)
     return;
-  s->next_expire_ms = s->now_ms + EXPIRE_PERIOD_MS;
+  s->next_expire_ms = s->now_ms + EXPIRE_CHECK_PERIOD_MS;
   RB_FOREACH_SAFE (t, task_tree, &s->tasks, next)
     {
       if (!TAILQ_EMPTY (&t->waiters))
-        expire_askers (s, t);
+        expire_waiters (s, t);
       if (t->not_before_ms && t->not_before_ms <= s->now_ms)
         {
           t->not_before_ms = 0;
@@ -249,12 +261,14 @@
     }
 }
 
+/* Forgets the oldest ended task if more than TASKS_RETAINED tasks are in
+   memory.  Each call forgets one at most. */
 static void
-forget_ended (struct sched *s)
+forget_oldest_ended (struct sched *s)
 {
   struct task *t = TAILQ_FIRST (&s->ended);
 
-  if (s->n_tasks <= ENDED_KEPT || !t || journal_full (s))
+  if (s->n_tasks <= TASKS_RETAINED || !t || journal_full (s))
     return;
   TAILQ_REMOVE (&s->ended, t, ended);
   t->in_ended = false;
@@ -264,47 +278,49 @@
 
 void
 sched_instances (struct sched *s, const struct inst_list *list,
-                 int64_t asked_ms)
+                 int64_t requested_ms)
 {
   struct worker *w;
-  char seen[CLB_DOMAINS_MAX][CLB_NAME_MAX];
-  int n_seen = 0;
+  char domains[CLB_DOMAINS_MAX][CLB_NAME_MAX];
+  int n_domains = 0;
 
   RB_FOREACH (w, worker_tree, &s->pool.workers)
     w->listed = false;
   for (size_t i = 0; i < list->n_items; i++)
     {
-      const struct inst *in = &list->items[i];
-      int d = 0;
-      while (d < n_seen && strcmp (seen[d], in->domain) != 0)
-        d++;
-      if (d == n_seen && n_seen < CLB_DOMAINS_MAX)
-        clb_copy (seen[n_seen++], in->domain, CLB_NAME_MAX);
-      if (in->kind == INST_ENTRY || strcmp (in->domain, s->domain) != 0)
+      const struct inst *inst = &list->items[i];
+      int k = 0;
+      while (k < n_domains && strcmp (domains[k], inst->domain) != 0)
+        k++;
+      if (k == n_domains && n_domains < CLB_DOMAINS_MAX)
+        clb_copy (domains[n_domains++], inst->domain, CLB_NAME_MAX);
+      if (inst->kind == INST_ENTRY || strcmp (inst->domain, s->domain) != 0)
         continue;
-      w = pool_add (&s->pool, in);
+      w = pool_add (&s->pool, inst);
       w->listed = true;
-      w->leaving = in->leaving;
-      w->sync_due |= in->leaving;
+      w->leaving = inst->leaving;
+      w->sync_due |= inst->leaving;
       if (w->last_contact_ms == 0)
         w->last_contact_ms = s->now_ms;
     }
-  s->list_ms = asked_ms;
-  s->n_domains = n_seen > 0 ? n_seen : 1;
+  s->list_ms = requested_ms;
+  s->n_domains = n_domains > 0 ? n_domains : 1;
   s->dirty = true;
 }
 
 bool
-sched_store (struct sched *s, uint64_t token, const struct store_rep *rep)
+sched_handle_store_reply (struct sched *s, uint64_t token,
+                          const struct store_rep *rep)
 {
-  return journal_store (s, token, rep) || escrow_store (s, token, rep);
+  return journal_handle_store_reply (s, token, rep)
+         || escrow_handle_store_reply (s, token, rep);
 }
 
 void
-sched_sync (struct sched *s, const char *worker, int64_t seq,
-            const struct sync_rep *rep)
+sched_handle_sync_reply (struct sched *s, const char *worker, int64_t seq,
+                         const struct sync_rep *rep)
 {
-  struct worker *w = pool_worker (&s->pool, worker);
+  struct worker *w = pool_find_worker (&s->pool, worker);
 
   if (w)
     recon_report (s, w, seq, rep);
@@ -313,7 +329,7 @@
 bool
 sched_idle (const struct sched *s)
 {
-  return !s->journal.committing && s->journal.open.row.n_recs == 0;
+  return !s->journal.commit_in_progress && s->journal.open.row.n_recs == 0;
 }
 
 void
@@ -322,7 +338,7 @@
   if (s->phase == SCHED_READY)
     {
       expire_tasks (s);
-      forget_ended (s);
+      forget_oldest_ended (s);
       escrow_tick (s);
       if (s->dirty && s->may_start && !s->stopping && !journal_full (s))
         place_round (s);
--- a/core/task.c
+++ b/core/task.c
@@ -1,4 +1,7 @@
-/* One task's life: placed, cleared member by member, retried or ended. */
+/*
+ * The life cycle of a task: it is queued, placed on workers and started; its
+ * members end one by one; then the task is retried or ends for good.
+ */
 #include "sched.h"
 
 #include <stdio.h>
@@ -7,15 +10,18 @@
 
 enum
 {
-  BACKOFF_BASE_MS = 500, /* before the second attempt */
+  /* Delay before the attempt that follows the first failure.  It doubles with
+     each further failure. */
+  BACKOFF_BASE_MS = 500,
+  /* The delay is doubled only while it is shorter than this. */
   BACKOFF_MAX_MS = 60000,
 };
 
 void
 task_event (struct sched *s, const struct task *t, int reason,
-            const char *where, int64_t looked_at)
+            const char *where, int64_t detail)
 {
-  sched_event (s, reason, t->id, t->team->name, where, looked_at);
+  sched_event (s, reason, t->id, t->team->name, where, detail);
 }
 
 struct task *
@@ -37,7 +43,7 @@
 void
 task_free (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
   task_dequeue (t);
   task_unplace (s, t);
@@ -45,10 +51,10 @@
     TAILQ_REMOVE (&s->ended, t, ended);
   if (RB_FIND (request_tree, &s->requests, t) == t)
     RB_REMOVE (request_tree, &s->requests, t);
-  while ((a = TAILQ_FIRST (&t->waiters)))
+  while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->waiters, a, link);
-      free (a);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      free (waiter);
     }
   RB_REMOVE (task_tree, &s->tasks, t);
   s->n_tasks--;
@@ -76,19 +82,19 @@
 }
 
 struct reply
-task_reply (const struct task *t, int64_t no)
+task_reply (const struct task *t, int64_t call_seq)
 {
-  struct reply r = { .call_seq = no, .state = t->state, .reason = t->reason };
+  struct reply r
+      = { .call_seq = call_seq, .state = t->state, .reason = t->reason };
 
   clb_copy (r.id, t->id, sizeof r.id);
   return r;
 }
 
-/* What may be told at once: an end that is not recorded is not yet told. */
 struct reply
-task_reply_now (const struct task *t, int64_t no)
+task_reply_now (const struct task *t, int64_t call_seq)
 {
-  struct reply r = task_reply (t, no);
+  struct reply r = task_reply (t, call_seq);
 
   if (t->recorded && task_state_final (t->state) && !t->end_durable)
     {
@@ -98,22 +104,20 @@
   return r;
 }
 
-/* When a slot that nobody gives back is free again. */
 int64_t
 task_slot_expiry_ms (const struct sched *s, const struct task *t)
 {
   return s->now_ms + t->spec.duration_ms + SERVICE_GRACE_MS;
 }
 
-/* Answers once the open group is durable. */
 void
 task_reply_durable (struct sched *s, const struct task *t, const char *entry,
-                    int64_t no)
+                    int64_t call_seq)
 {
   struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
 
   clb_copy (e->entry, entry, sizeof e->entry);
-  e->reply = task_reply (t, no);
+  e->reply = task_reply (t, call_seq);
 }
 
 struct rec
@@ -194,7 +198,7 @@
 }
 
 void
-member_ended (struct sched *s, struct member *m, int end)
+member_finish (struct sched *s, struct member *m, int end)
 {
   if (m->state == MEMBER_ENDED)
     return;
@@ -214,7 +218,7 @@
 task_unplace (struct sched *s, struct task *t)
 {
   for (int64_t i = 0; i < t->n_members; i++)
-    member_ended (s, &t->members[i], MEMBER_END_NOT_STARTED);
+    member_finish (s, &t->members[i], MEMBER_END_NOT_STARTED);
   free (t->members);
   t->members = NULL;
   t->n_members = 0;
@@ -227,7 +231,7 @@
     {
       struct member *m = &t->members[i];
       if (m->state == MEMBER_INTENT)
-        member_ended (s, m, MEMBER_END_NOT_STARTED);
+        member_finish (s, m, MEMBER_END_NOT_STARTED);
       else if (m->state != MEMBER_ENDED)
         m->state = MEMBER_STOP;
       if (m->worker)
@@ -238,12 +242,12 @@
 void
 task_answer_waiters (struct sched *s, struct task *t)
 {
-  struct waiter *a;
+  struct waiter *waiter;
 
-  while ((a = TAILQ_FIRST (&t->waiters)))
+  while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      TAILQ_REMOVE (&t->waiters, a, link);
-      struct reply r = task_reply (t, a->call_seq);
+      TAILQ_REMOVE (&t->waiters, waiter, link);
+      struct reply r = task_reply (t, waiter->call_seq);
       if (t->lane == LANE_SERVICE)
         {
           r.err = t->reason == WHY_DEADLINE ? CLB_ETIMEOUT : CLB_ECANCELLED;
@@ -252,17 +256,17 @@
       if (t->recorded)
         {
           struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
-          clb_copy (e->entry, a->entry, sizeof e->entry);
+          clb_copy (e->entry, waiter->entry, sizeof e->entry);
           e->reply = r;
         }
       else
-        sched_reply (s, a->entry, &r);
-      free (a);
+        sched_reply (s, waiter->entry, &r);
+      free (waiter);
     }
 }
 
 void
-task_ended (struct sched *s, struct task *t, int state, int reason)
+task_finish (struct sched *s, struct task *t, int state, int reason)
 {
   t->state = state;
   t->reason = reason;
@@ -281,6 +285,7 @@
   t->in_ended = true;
 }
 
+/* Returns the delay before the next attempt in ms; 0 if no run has failed. */
 static int64_t
 backoff_ms (const struct task *t)
 {
@@ -291,6 +296,8 @@
   return t->failures == 0 ? 0 : ms;
 }
 
+/* Puts a placed task back into its team's queue for another attempt.  @reason,
+   an enum clb_reason, says why. */
 static void
 task_retry (struct sched *s, struct task *t, int reason)
 {
@@ -323,59 +330,68 @@
       task_retry (s, t, WHY_TEAM_LIMIT);
 }
 
-/* struct tally - how a placed task's members ended */
+/* struct tally - counts of a placed task's members by how they ended */
 struct tally
 {
-  int64_t of[MEMBER_END_LOST + 1];
-  int64_t open; /* not yet clear */
+  /* Numbers of ended members, by enum member_end. */
+  int64_t by_end[MEMBER_END_LOST + 1];
+  int64_t n_not_ended; /* number of members that have not ended */
 };
 
+/* Counts the task's members by how they ended. */
 static struct tally
 tally_members (const struct task *t)
 {
-  struct tally n = { 0 };
+  struct tally tally = { 0 };
 
   for (int64_t i = 0; i < t->n_members; i++)
     if (t->members[i].state == MEMBER_ENDED)
-      n.of[t->members[i].end]++;
+      tally.by_end[t->members[i].end]++;
     else
-      n.open++;
-  return n;
+      tally.n_not_ended++;
+  return tally;
 }
 
+/* Returns the enum clb_reason for an attempt in which at least one member's
+   end was not MEMBER_END_OK. */
 static int
-failure_reason (const struct tally *n)
+failure_reason (const struct tally *tally)
 {
-  if (n->of[MEMBER_END_FAILED])
+  if (tally->by_end[MEMBER_END_FAILED])
     return WHY_ENDED_FAILED;
-  if (n->of[MEMBER_END_LOST])
+  if (tally->by_end[MEMBER_END_LOST])
     return WHY_WORKER_LOST;
-  if (n->of[MEMBER_END_REFUSED])
+  if (tally->by_end[MEMBER_END_REFUSED])
     return WHY_WORKER_REFUSED;
-  return n->of[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED : WHY_START_UNSEEN;
+  return tally->by_end[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED
+                                           : WHY_START_UNSEEN;
 }
 
-/* A service request is never tried again here: its entry instance asks. */
+/* Ends a service request if the end of at least one member was not
+   MEMBER_END_OK.  The scheduler never retries a service request: its entry
+   instance makes a new request if another attempt is wanted. */
 static void
-settle_service (struct sched *s, struct task *t, const struct tally *n)
+end_service (struct sched *s, struct task *t, const struct tally *tally)
 {
-  if (n->of[MEMBER_END_FAILED])
-    task_ended (s, t, TASK_FAILED, WHY_ENDED_FAILED);
-  else if (n->of[MEMBER_END_LOST])
-    task_ended (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
+  if (tally->by_end[MEMBER_END_FAILED])
+    task_finish (s, t, TASK_FAILED, WHY_ENDED_FAILED);
+  else if (tally->by_end[MEMBER_END_LOST])
+    task_finish (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
   else
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
 }
 
-/* Every member is clear and at least one did not end well. */
+/* Ends or retries a task whose members have all ended, at least one of them
+   with another end than MEMBER_END_OK. */
 static void
-settle_failed (struct sched *s, struct task *t, const struct tally *n)
+end_or_retry (struct sched *s, struct task *t, const struct tally *tally)
 {
-  bool ran = n->of[MEMBER_END_OK] || n->of[MEMBER_END_FAILED]
-             || n->of[MEMBER_END_STOPPED] || n->of[MEMBER_END_LOST];
-  int reason = failure_reason (n);
+  bool may_have_run
+      = tally->by_end[MEMBER_END_OK] || tally->by_end[MEMBER_END_FAILED]
+        || tally->by_end[MEMBER_END_STOPPED] || tally->by_end[MEMBER_END_LOST];
+  int reason = failure_reason (tally);
 
-  if (n->of[MEMBER_END_FAILED])
+  if (tally->by_end[MEMBER_END_FAILED])
     t->failures++;
   if (t->being_preempted)
     {
@@ -383,17 +399,17 @@
       reason = WHY_PREEMPTED;
     }
   if (t->lane == LANE_SERVICE)
-    settle_service (s, t, n);
-  else if (t->cancelled && (!n->of[MEMBER_END_LOST] || t->idempotent))
-    task_ended (s, t, TASK_CANCELLED, WHY_CANCELLED);
-  else if (!ran)
+    end_service (s, t, tally);
+  else if (t->cancelled && (!tally->by_end[MEMBER_END_LOST] || t->idempotent))
+    task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
+  else if (!may_have_run)
     task_retry (s, t, reason);
-  else if (!t->idempotent && n->of[MEMBER_END_FAILED] == 0)
-    task_ended (s, t, TASK_UNKNOWN, reason);
+  else if (!t->idempotent && tally->by_end[MEMBER_END_FAILED] == 0)
+    task_finish (s, t, TASK_UNKNOWN, reason);
   else if (!t->idempotent)
-    task_ended (s, t, TASK_FAILED, reason);
+    task_finish (s, t, TASK_FAILED, reason);
   else if (t->failures >= TASK_FAILURES_MAX)
-    task_ended (s, t, TASK_FAILED, WHY_TOO_MANY_FAILURES);
+    task_finish (s, t, TASK_FAILED, WHY_TOO_MANY_FAILURES);
   else
     task_retry (s, t, reason);
 }
@@ -401,19 +417,20 @@
 void
 task_evaluate (struct sched *s, struct task *t)
 {
-  struct tally n = tally_members (t);
+  struct tally tally = tally_members (t);
 
   if (t->end_decided || t->n_members == 0)
     return;
-  if (n.of[MEMBER_END_OK] == t->n_members)
+  if (tally.by_end[MEMBER_END_OK] == t->n_members)
     {
-      task_ended (s, t, TASK_DONE, WHY_ENDED_OK);
+      task_finish (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
-  /* A gang runs whole or not at all. */
-  if (n.of[MEMBER_END_OK] + n.open < t->n_members)
+  /* A gang runs as a whole or not at all: if the end of one member is not
+     MEMBER_END_OK, the other members are stopped. */
+  if (tally.by_end[MEMBER_END_OK] + tally.n_not_ended < t->n_members)
     task_stop_members (s, t);
-  n = tally_members (t);
-  if (n.open == 0)
-    settle_failed (s, t, &n);
+  tally = tally_members (t);
+  if (tally.n_not_ended == 0)
+    end_or_retry (s, t, &tally);
 }
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -1,48 +1,62 @@
-/* Room for urgent work on a full fleet: the cheapest running work is stopped
-   and runs again later.  Work that may not run twice is never stopped. */
+/*
+ * Preemption: when no worker has enough free capacity for an urgent task,
+ * running tasks that are the cheapest to repeat are stopped and run again
+ * later.  A task that may not run twice is never stopped.
+ */
 #include "sched.h"
 
 enum
 {
-  MAKE_ROOM_MS = 3000, /* between two tries for the same task */
-  GIVE_WAY_MAX = 3,    /* times that one task is stopped */
-  VICTIMS_MAX = 16,    /* on one worker, for one task */
+  /* Minimum time between two preemptions in favour of the same task. */
+  PREEMPT_INTERVAL_MS = 3000,
+  /* Maximum number of times that one task is preempted. */
+  PREEMPTIONS_MAX = 3,
+  /* Maximum number of tasks that are preempted at once. */
+  VICTIMS_MAX = 16,
 };
 
-/* struct plan - what would be stopped on one worker, and what it costs */
-struct plan
+/* struct preempt_plan - tasks to preempt on one worker, and the cost of it */
+struct preempt_plan
 {
   struct task *victims[VICTIMS_MAX];
-  int n;
+  int n_victims; /* number of victims */
+  /* Sum of preempt_cost() of all victims, in core milliseconds. */
   int64_t cost;
 };
 
+/* Returns whether the task may be preempted. */
 static bool
-may_give_way (const struct task *t)
+preemptible (const struct task *t)
 {
   return t->idempotent && t->class > CLASS_URGENT && t->n_members == 1
          && t->lane == LANE_TASK && t->state == TASK_RUNNING && !t->cancelled
-         && t->n_preemptions < GIVE_WAY_MAX;
+         && t->n_preemptions < PREEMPTIONS_MAX;
 }
 
-/* Work that would be done again, in core milliseconds. */
+/* Returns the work that would have to be repeated if the task were preempted,
+   in core milliseconds. */
 static int64_t
-cost_of (const struct sched *s, const struct task *t)
+preempt_cost (const struct sched *s, const struct task *t)
 {
   return (s->now_ms - t->placed_ms) * t->spec.need.cores;
 }
 
+/* Returns whether the plan has the task among the tasks to preempt. */
 static bool
-chosen (const struct plan *p, const struct task *t)
+is_planned_victim (const struct preempt_plan *p, const struct task *t)
 {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_victims; i++)
     if (p->victims[i] == t)
       return true;
   return false;
 }
 
+/* Returns a task on the worker that may be preempted and is not in the plan
+   yet.  Of several such tasks it is the one with the lowest preempt_cost();
+   NULL if there is none. */
 static struct task *
-cheapest (const struct sched *s, const struct worker *w, const struct plan *p)
+cheapest_victim (const struct sched *s, const struct worker *w,
+                 const struct preempt_plan *p)
 {
   struct member *m;
   struct task *best = NULL;
@@ -50,38 +64,41 @@
   TAILQ_FOREACH (m, &w->members, on_worker)
     {
       struct task *t = m->task;
-      if (!may_give_way (t) || chosen (p, t))
+      if (!preemptible (t) || is_planned_victim (p, t))
         continue;
-      if (!best || cost_of (s, t) < cost_of (s, best))
+      if (!best || preempt_cost (s, t) < preempt_cost (s, best))
         best = t;
     }
   return best;
 }
 
-/* False when even stopping all that may be stopped leaves too little. */
+/* Fills @p with tasks whose preemption frees capacity @need on the worker.
+   Returns false if so much cannot be freed. */
 static bool
-plan_worker (const struct sched *s, const struct worker *w,
-             const struct clb_res *need, struct plan *p)
+plan_preemption (const struct sched *s, const struct worker *w,
+                 const struct clb_res *need, struct preempt_plan *p)
 {
-  struct clb_res room = w->inst.capacity;
+  struct clb_res available = w->inst.capacity;
 
-  clb_res_add (&room, &w->used, -1);
-  *p = (struct plan){ .n = 0 };
-  while (!clb_res_fits (need, &room))
+  clb_res_add (&available, &w->used, -1);
+  *p = (struct preempt_plan){ .n_victims = 0 };
+  while (!clb_res_fits (need, &available))
     {
-      struct task *t = p->n < VICTIMS_MAX ? cheapest (s, w, p) : NULL;
+      struct task *t
+          = p->n_victims < VICTIMS_MAX ? cheapest_victim (s, w, p) : NULL;
       if (!t)
         return false;
-      p->victims[p->n++] = t;
-      p->cost += cost_of (s, t);
-      clb_res_add (&room, &t->spec.need, 1);
+      p->victims[p->n_victims++] = t;
+      p->cost += preempt_cost (s, t);
+      clb_res_add (&available, &t->spec.need, 1);
     }
   return true;
 }
 
-/* Whether room is already being made there: no second plan on top of it. */
+/* Returns whether a task on the worker is being preempted already.  Until that
+   task has ended, no other task on the worker is preempted. */
 static bool
-being_cleared (const struct worker *w)
+preempt_in_progress (const struct worker *w)
 {
   struct member *m;
 
@@ -91,35 +108,38 @@
   return false;
 }
 
+/* Stops all tasks of the plan, so that @t can be placed. */
 static void
-carry_out (struct sched *s, struct task *t, const struct plan *p)
+preempt_victims (struct sched *s, struct task *t, const struct preempt_plan *p)
 {
-  for (int i = 0; i < p->n; i++)
+  for (int i = 0; i < p->n_victims; i++)
     {
-      struct task *v = p->victims[i];
-      v->being_preempted = true;
-      v->n_preemptions++;
-      v->state = TASK_STOPPING;
-      task_stop_members (s, v);
+      struct task *victim = p->victims[i];
+      victim->being_preempted = true;
+      victim->n_preemptions++;
+      victim->state = TASK_STOPPING;
+      task_stop_members (s, victim);
     }
-  sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n);
+  sched_event (s, WHY_PREEMPTING, t->id, t->team->name, "", p->n_victims);
 }
 
 void
 urgent_preempt (struct sched *s, struct task *t)
 {
   struct worker *w;
-  struct plan p;
-  struct plan best = { .n = 0 };
+  struct preempt_plan p;
+  struct preempt_plan best = { .n_victims = 0 };
   bool found = false;
 
   if (t->spec.members != 1 || t->lane != LANE_TASK
-      || (t->last_preempt_ms && s->now_ms - t->last_preempt_ms < MAKE_ROOM_MS))
+      || (t->last_preempt_ms
+          && s->now_ms - t->last_preempt_ms < PREEMPT_INTERVAL_MS))
     return;
   RB_FOREACH (w, worker_tree, &s->pool.workers)
     {
       if (!pool_usable (w, s->now_ms) || w->inst.kind != INST_WORKER
-          || being_cleared (w) || !plan_worker (s, w, &t->spec.need, &p))
+          || preempt_in_progress (w)
+          || !plan_preemption (s, w, &t->spec.need, &p))
         continue;
       if (!found || p.cost < best.cost)
         best = p;
@@ -128,5 +148,5 @@
   if (!found)
     return;
   t->last_preempt_ms = s->now_ms;
-  carry_out (s, t, &best);
+  preempt_victims (s, t, &best);
 }
