--- a/core/apply.c
+++ b/core/apply.c
@@ -1,4 +1,8 @@
-/* Manifests: checked, written, made current, or found to have been. */
+/*
+ * New manifests: checks the text, writes it as an object, and then writes the
+ * head row that names it, on condition that the head row has not changed.  If
+ * the answer to that write is lost, reads the head row to find the outcome.
+ */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,10 +11,13 @@
 
 enum
 {
-  CALL_RETRY_MS = 1000, /* a call without a reply is sent again */
+  /* A store operation without an answer is followed up after this time. */
+  STORE_RETRY_MS = 1000,
+  /* Timeout of a new manifest. */
   APPLY_WAIT_MS = 10000,
 };
 
+/* Writes the manifest's text as an object named by its hash. */
 static void
 apply_object (struct node *n, struct pending *p)
 {
@@ -26,6 +33,7 @@
   o->u.store.op.value = strdup (p->manifest);
 }
 
+/* Writes the head row. */
 static void
 apply_head (struct node *n, struct pending *p)
 {
@@ -41,6 +49,7 @@
   free (text);
 }
 
+/* Reads the head row. */
 static void
 apply_check (struct node *n, struct pending *p)
 {
@@ -53,6 +62,7 @@
   o->u.store.op.key = strdup ("head");
 }
 
+/* The manifest is in force: @ver is the row version of its head row. */
 static void
 apply_done (struct node *n, struct pending *p, int64_t ver)
 {
@@ -72,6 +82,7 @@
   entry_pending_free (n, p);
 }
 
+/* Another change is in force: @version is its configuration version. */
 static void
 apply_conflict (struct node *n, struct pending *p, int64_t version)
 {
@@ -84,7 +95,8 @@
   entry_pending_free (n, p);
 }
 
-/* What the head row says of this change. */
+/* Determines from the head row @row, NULL if absent, what became of this
+   change. */
 static void
 apply_seen (struct node *n, struct pending *p, const struct row *row)
 {
@@ -102,10 +114,11 @@
   else if (head.version == p->head.version || !p->may_have_applied)
     apply_conflict (n, p, head.version);
   else
-    entry_finish_err (n, p, CLB_EUNKNOWN,
-                      0); /* perhaps ours came in between */
+    /* This change may have been in force before a later one. */
+    entry_finish_err (n, p, CLB_EUNKNOWN, 0);
 }
 
+/* Handles the answer to a write of the head row. */
 static void
 apply_head_answer (struct node *n, struct pending *p,
                    const struct store_rep *rep)
@@ -136,7 +149,7 @@
     case STEP_APPLY_OBJECT:
       if (rep->err == 0)
         apply_head (n, p);
-      break; /* else tried again: it is named by its content */
+      break; /* an error is retried, since the object's name is its hash */
     case STEP_APPLY_HEAD:
       apply_head_answer (n, p, rep);
       break;
@@ -148,7 +161,8 @@
   return true;
 }
 
-/* Until a manifest is accepted one key from the settings may apply. */
+/* Checks that a key may change the configuration: an operator's key, or the
+   first key of the settings until a manifest is accepted. */
 static int
 may_apply (struct node *n, const struct request *rq)
 {
@@ -166,7 +180,8 @@
   return err ? err : *team ? CLB_EDENIED : 0;
 }
 
-/* The change's id out of the query; false without a good one. */
+/* Sets @out to the change's id from the query string; false if it is missing
+   or not valid. */
 static bool
 read_change (const char *query, char out[CLB_ID_MAX])
 {
@@ -248,11 +263,12 @@
   entry_answer_json (n, rq->http_call, 200, json, 0);
 }
 
-/* An operation without an answer is tried again, or found out about. */
+/* A write of the object is repeated.  A write of the head row may have taken
+   effect, so the row is read first. */
 void
 apply_tick (struct node *n, struct pending *p)
 {
-  if (n->now_ms - p->sent_ms < CALL_RETRY_MS)
+  if (n->now_ms - p->sent_ms < STORE_RETRY_MS)
     return;
   if (p->step == STEP_APPLY_OBJECT)
     {
--- a/core/clb.c
+++ b/core/clb.c
@@ -1,12 +1,14 @@
+/* Names and texts of errors, reasons and states; resource vectors. */
 #include "clb.h"
 
 #include <string.h>
 
+/* struct err_info - how an error is reported to callers */
 struct err_info
 {
   const char *name;
   enum clb_outcome outcome;
-  int http;
+  int http; /* status */
 };
 
 /* Indexed by the negated error number. */
@@ -37,50 +39,64 @@
   [-CLB_EREACH] = { "backend-unreachable", CLB_NOT_RUN, 503 },
 };
 
+/* struct reason_info - how a reason is reported */
 struct reason_info
 {
-  const char *name;
-  const char *text;
+  const char *name; /* stable code */
+  const char *text; /* for people */
 };
 
 static const struct reason_info reason_table[WHY_N] = {
   [WHY_NONE] = { "none", "no reason recorded" },
   [WHY_ACCEPTED] = { "accepted", "recorded in the domain's journal" },
-  [WHY_DUPLICATE] = { "duplicate", "a request with this id was found" },
-  [WHY_BEST_FIT] = { "best-fit", "placed where least room is left over" },
-  [WHY_SPREAD] = { "spread", "placed away from its other members" },
-  [WHY_NO_ROOM] = { "no-room", "no worker has room now" },
+  [WHY_DUPLICATE] = { "duplicate", "a request with this id exists" },
+  [WHY_BEST_FIT]
+  = { "best-fit", "placed on the worker with the least capacity left over" },
+  [WHY_SPREAD] = { "spread", "placed with its members on different racks" },
+  [WHY_NO_ROOM] = { "no-room", "no worker has enough free capacity" },
   [WHY_TEAM_LIMIT] = { "team-limit", "the team is at its upper limit" },
-  [WHY_NO_WORKER_FITS] = { "no-worker-fits", "larger than every worker" },
-  [WHY_STARTED] = { "started", "the worker reports it running" },
+  [WHY_NO_WORKER_FITS]
+  = { "no-worker-fits", "the need exceeds every worker's whole capacity" },
+  [WHY_STARTED] = { "started", "the worker reports that it is running" },
   [WHY_ENDED_OK] = { "ended", "the worker reports success" },
   [WHY_ENDED_FAILED] = { "ended-failed", "the worker reports failure" },
   [WHY_WORKER_REFUSED] = { "worker-refused", "the worker refused the start" },
-  [WHY_WORKER_LOST] = { "worker-lost", "no contact past the task lease" },
+  [WHY_WORKER_LOST]
+  = { "worker-lost",
+      "no contact with the worker until the task's lease expired" },
   [WHY_WORKER_REBOOTED] = { "worker-rebooted", "the worker restarted" },
   [WHY_WORKER_QUARANTINED]
-  = { "worker-quarantined", "too many starts failed there in a row" },
+  = { "worker-quarantined", "too many tasks failed on the worker in a row" },
   [WHY_WORKER_BACK] = { "worker-back", "the worker may be used again" },
   [WHY_START_UNSEEN]
-  = { "start-unseen", "the worker proved that it never had the start" },
+  = { "start-unseen",
+      "the worker confirmed that it never received the start" },
   [WHY_TOO_MANY_FAILURES]
-  = { "too-many-failures", "failed on several workers" },
-  [WHY_CANCELLED] = { "cancelled", "its owner cancelled it" },
-  [WHY_TOOK_OVER] = { "took-over", "took the domain's lease" },
-  [WHY_LEASE_LOST] = { "lease-lost", "another instance took the lease" },
-  [WHY_HANDED_OVER] = { "handed-over", "gave the lease back" },
+  = { "too-many-failures", "too many attempts failed" },
+  [WHY_CANCELLED] = { "cancelled", "cancelled by its owner" },
+  [WHY_TOOK_OVER]
+  = { "took-over", "this instance acquired the domain's lease" },
+  [WHY_LEASE_LOST]
+  = { "lease-lost", "another instance acquired the domain's lease" },
+  [WHY_HANDED_OVER]
+  = { "handed-over", "this instance released the domain's lease" },
   [WHY_STORE_DOWN] = { "store-down", "the table service does not answer" },
   [WHY_STORE_BACK] = { "store-back", "the table service answers again" },
-  [WHY_EXTENDED] = { "extended", "went on under its peers' promises" },
+  [WHY_EXTENDED]
+  = { "extended", "the peers' promises extend the domain's lease" },
   [WHY_CONFIG] = { "config", "a newer configuration is in force" },
-  [WHY_GRANT_RAISED] = { "grant-raised", "the domain took more of a limit" },
-  [WHY_GRANT_LOWERED] = { "grant-lowered", "the domain gave up unused limit" },
+  [WHY_GRANT_RAISED]
+  = { "grant-raised", "the domain's part of the team's limit was raised" },
+  [WHY_GRANT_LOWERED]
+  = { "grant-lowered", "the domain's part of the team's limit was lowered" },
   [WHY_DEADLINE] = { "deadline", "its deadline passed before it started" },
-  [WHY_ENTRY_LOST] = { "entry-lost", "the entry instance serving it is gone" },
+  [WHY_ENTRY_LOST]
+  = { "entry-lost", "the entry instance of the request is gone" },
   [WHY_GANG_MEMBER_FAILED]
   = { "member-failed", "another member of the gang failed" },
-  [WHY_PREEMPTED] = { "gave-way", "stopped to make room for urgent work" },
-  [WHY_PREEMPTING] = { "makes-room", "the cheapest others are being stopped" },
+  [WHY_PREEMPTED] = { "gave-way", "preempted by urgent work" },
+  [WHY_PREEMPTING]
+  = { "makes-room", "tasks of lower classes are being preempted for it" },
 };
 
 const char *const task_state_names[TASK_STATE_N + 1]
--- a/core/clb.h
+++ b/core/clb.h
@@ -1,6 +1,6 @@
 /**
  * DOC: Basic types shared by every module: resource vectors, error numbers,
- * task states and reasons.  Nothing here does input or output.
+ * task states and reasons of decisions.  Nothing here does input or output.
  */
 #ifndef CLB_H
 #define CLB_H
@@ -12,78 +12,87 @@
 
 enum
 {
-  CLB_ID_MAX = 96,      /* bytes of a task, request or instance id with NUL */
-  CLB_NAME_MAX = 48,    /* bytes of a team, queue or domain name with NUL */
-  CLB_ADDR_MAX = 64,    /* bytes of "ip:port" with NUL */
-  RETRY_HINT_MS = 1000, /* when a refused caller may come back */
-  CLB_DOMAINS_MAX = 8,  /* failure domains in one cell */
+  /* Size of a task, request or instance id, in bytes including the NUL. */
+  CLB_ID_MAX = 96,
+  /* Size of a team, queue or domain name, in bytes including the NUL. */
+  CLB_NAME_MAX = 48,
+  /* Size of an "ip:port" address, in bytes including the NUL. */
+  CLB_ADDR_MAX = 64,
+  /* Delay after which a refused caller is told to retry. */
+  RETRY_HINT_MS = 1000,
+  /* Largest number of failure domains in one fleet. */
+  CLB_DOMAINS_MAX = 8,
 };
 
-/* A pointer declared with it is freed when its scope ends. */
+/* Marks a pointer variable whose target is freed when the scope ends. */
 #define clb_auto __attribute__ ((cleanup (clb_free_at)))
 
+/** clb_free_at() - Free the pointer stored at @pointer; for clb_auto. */
 static inline void
 clb_free_at (void *pointer)
 {
   free (*(void **)pointer);
 }
 
+/* Number of elements of an array. */
 #define CLB_COUNT(array) (sizeof (array) / sizeof ((array)[0]))
 
 /**
- * enum clb_err - every failure has one of these numbers
+ * enum clb_err - error numbers
  *
- * Functions return 0 or one of these.  clb_err_name() gives the stable word
- * that callers see, clb_err_outcome() what became of the request.
+ * Functions return 0 or one of these negative numbers.  clb_err_name() gives
+ * the stable name that callers see, clb_err_outcome() tells whether the
+ * refused request may have run, and clb_err_http() gives the HTTP status.
  */
 enum clb_err
 {
   CLB_OK = 0,
-  CLB_EPARSE = -1, /* text is not JSON, or msgpack is damaged */
-  CLB_EFIELD = -2, /* unknown, missing, doubled or mistyped field */
-  CLB_ERANGE = -3, /* value outside its range */
-  CLB_EREF = -4,   /* names a team or queue that does not exist */
-  CLB_EDUP = -5,   /* two entries with one name */
+  CLB_EPARSE = -1, /* the text is not JSON, or the msgpack is damaged */
+  CLB_EFIELD = -2, /* a field is unknown, missing, duplicate or mistyped */
+  CLB_ERANGE = -3, /* a value is outside its range */
+  CLB_EREF = -4,   /* the named team or queue does not exist */
+  CLB_EDUP = -5,   /* two entries have the same name, or two different
+                      requests the same id */
   CLB_ENOMEM = -6,
-  CLB_ECONFLICT = -7,  /* another writer was first */
+  CLB_ECONFLICT = -7,  /* another writer changed the row first */
   CLB_EUNAVAIL = -8,   /* the platform refused or was not reached */
-  CLB_EUNKNOWN = -9,   /* sent, but the outcome cannot be learned */
-  CLB_EKEY = -10,      /* no key, or one that is not granted */
-  CLB_EDENIED = -11,   /* the key may not do this */
-  CLB_ESTALE = -12,    /* configuration not proved fresh */
-  CLB_EFULL = -13,     /* queue or journal backlog is full */
-  CLB_ENOHOLDER = -14, /* no scheduler holds the domain */
+  CLB_EUNKNOWN = -9,   /* the request was sent, its outcome is not known */
+  CLB_EKEY = -10,      /* the key is missing, unknown or wrong */
+  CLB_EDENIED = -11,   /* the key does not permit this request */
+  CLB_ESTALE = -12,    /* the configuration is not verified as current */
+  CLB_EFULL = -13,     /* a queue or the journal's backlog is full */
+  CLB_ENOHOLDER = -14, /* no instance holds the domain's lease */
   CLB_ENOTFOUND = -15,
-  CLB_ETIMEOUT = -16,  /* no room before the deadline */
-  CLB_ENOFIT = -17,    /* larger than any worker or limit */
+  CLB_ETIMEOUT = -16,  /* no capacity became free before the deadline */
+  CLB_ENOFIT = -17,    /* the need exceeds every worker or the team's limit */
   CLB_ESTOPPING = -18, /* this instance is shutting down */
-  CLB_ETOOBIG = -19,   /* body or header over its limit */
+  CLB_ETOOBIG = -19,   /* a body or header exceeds its size limit */
   CLB_EDONE = -20,     /* a non-idempotent request with this id exists */
-  CLB_ELEASE = -21,    /* lease lapsed before the work could start */
+  CLB_ELEASE = -21,    /* the lease expired before the work could start */
   CLB_ECANCELLED = -22,
-  CLB_EREACH = -23, /* no backend server could be reached */
-  CLB_ERR_LAST = -24
+  CLB_EREACH = -23,  /* no backend server could be reached */
+  CLB_ERR_LAST = -24 /* one below the last error number */
 };
 
-/** enum clb_outcome - what a refusal says about the request */
+/** enum clb_outcome - whether a request that got an error has run */
 enum clb_outcome
 {
-  CLB_NOT_RUN, /* nothing ran and nothing will */
-  CLB_UNKNOWN, /* it may have run */
-  CLB_RAN,     /* it ran */
+  CLB_NOT_RUN, /* the request has not run and will not run */
+  CLB_UNKNOWN, /* the request may have run */
+  CLB_RAN,     /* the request ran */
 };
 
-/** enum clb_res_kind - the dimensions in which instances are filled */
+/** enum clb_res_kind - the dimensions of a resource vector */
 enum clb_res_kind
 {
   RES_CORES,
   RES_MEM_MB,
   RES_ACCELS,
-  RES_SLOTS, /* of a service executor */
+  RES_SLOTS, /* request slots of a service executor */
   RES_N
 };
 
-/** struct clb_res - an amount in each dimension */
+/** struct clb_res - resource vector: an amount in each dimension */
 struct clb_res
 {
   int64_t cores;
@@ -92,87 +101,105 @@
   int64_t slots;
 };
 
+/** enum task_state - state of a task; task_state_names[] has the names */
 enum task_state
 {
-  TASK_PENDING,  /* recorded, waiting for room */
-  TASK_STARTING, /* intent recorded, not yet seen at the worker */
+  TASK_PENDING,  /* waiting for capacity */
+  TASK_STARTING, /* placed, not yet reported running by the worker */
   TASK_RUNNING,
-  TASK_STOPPING, /* cancelled or retried, workers not yet clear of it */
+  TASK_STOPPING, /* to be cancelled or retried, still running on workers */
   TASK_DONE,
   TASK_FAILED,
   TASK_CANCELLED,
-  TASK_UNKNOWN, /* may have run, cannot be learned */
+  TASK_UNKNOWN, /* may have run, its outcome cannot be determined */
   TASK_STATE_N
 };
 
+/** enum task_class - priority class, highest first */
 enum task_class
 {
-  CLASS_URGENT,
-  CLASS_WATCHED, /* somebody sits waiting */
+  CLASS_URGENT,  /* may preempt idempotent tasks of lower classes */
+  CLASS_WATCHED, /* a person is waiting for the result */
   CLASS_NORMAL,
-  CLASS_PATIENT,
+  CLASS_PATIENT, /* may wait longest */
   CLASS_N
 };
 
-/** enum clb_reason - why a decision was taken, one counter each */
+/**
+ * enum clb_reason - why a decision was taken
+ *
+ * Each reason has a counter.  clb_reason_name() gives its stable code,
+ * clb_reason_text() an explanation for people.  Journal records hold the
+ * number, so new reasons are added at the end.
+ */
 enum clb_reason
 {
   WHY_NONE,
   WHY_ACCEPTED,
-  WHY_DUPLICATE,
-  WHY_BEST_FIT, /* placed on the tightest worker that holds it */
-  WHY_SPREAD,
-  WHY_NO_ROOM,
+  WHY_DUPLICATE, /* a request with the same id exists */
+  WHY_BEST_FIT,  /* placed on the worker that it leaves least free */
+  WHY_SPREAD,    /* placed with its members on different racks */
+  WHY_NO_ROOM,   /* no worker has enough free capacity */
   WHY_TEAM_LIMIT,
-  WHY_NO_WORKER_FITS,
+  WHY_NO_WORKER_FITS, /* larger than every worker's whole capacity */
   WHY_STARTED,
   WHY_ENDED_OK,
   WHY_ENDED_FAILED,
   WHY_WORKER_REFUSED,
-  WHY_WORKER_LOST,
+  WHY_WORKER_LOST, /* no contact until the task's lease expired */
   WHY_WORKER_REBOOTED,
   WHY_WORKER_QUARANTINED,
-  WHY_WORKER_BACK,
-  WHY_START_UNSEEN, /* start sent, worker proved never to have had it */
+  WHY_WORKER_BACK,  /* reachable again, or released from quarantine */
+  WHY_START_UNSEEN, /* the worker confirmed that it never got the start */
   WHY_TOO_MANY_FAILURES,
   WHY_CANCELLED,
-  WHY_TOOK_OVER,
-  WHY_LEASE_LOST,
-  WHY_HANDED_OVER,
-  WHY_STORE_DOWN,
-  WHY_STORE_BACK,
-  WHY_EXTENDED, /* holder went on under its peers' promises */
-  WHY_CONFIG,
+  WHY_TOOK_OVER,   /* this instance acquired the domain's lease */
+  WHY_LEASE_LOST,  /* another instance holds the domain's lease now */
+  WHY_HANDED_OVER, /* this instance released the domain's lease */
+  WHY_STORE_DOWN,  /* the table service became unreachable */
+  WHY_STORE_BACK,  /* the table service is reachable again */
+  WHY_EXTENDED,    /* the lease was extended by the peers' promises */
+  WHY_CONFIG,      /* a newer configuration is in force */
   WHY_GRANT_RAISED,
   WHY_GRANT_LOWERED,
   WHY_DEADLINE,
-  WHY_ENTRY_LOST,
+  WHY_ENTRY_LOST, /* the entry instance of a service request is gone */
   WHY_GANG_MEMBER_FAILED,
-  WHY_PREEMPTED,  /* stopped to make room for urgent work */
-  WHY_PREEMPTING, /* urgent work has others stopped */
+  WHY_PREEMPTED,  /* preempted by urgent work */
+  WHY_PREEMPTING, /* urgent work preempts other tasks */
   WHY_N
 };
 
+/** clb_err_name() - Stable name of @err; an unknown number is EUNKNOWN's. */
 const char *clb_err_name (int err);
+/** clb_err_outcome() - Whether a request that got @err may have run. */
 enum clb_outcome clb_err_outcome (int err);
+/** clb_outcome_name() - Stable name of @outcome in answers. */
 const char *clb_outcome_name (enum clb_outcome outcome);
+/** clb_err_http() - HTTP status of an answer with @err. */
 int clb_err_http (int err);
+/** clb_reason_name() - Stable code of @reason, "none" if out of range. */
 const char *clb_reason_name (int64_t reason);
+/** clb_reason_text() - Explanation of @reason for people. */
 const char *clb_reason_text (int64_t reason);
 
+/* Stable names by enumerator; each array ends with NULL. */
 extern const char *const task_state_names[TASK_STATE_N + 1];
 extern const char *const task_class_names[CLASS_N + 1];
 
-/** task_state_final() - Whether a task in @state never changes again. */
+/** task_state_final() - Whether @state is an end state. */
 bool task_state_final (int state);
 
+/** clb_res_get() - The amount of @kind in @r. */
 int64_t clb_res_get (const struct clb_res *r, enum clb_res_kind kind);
+/** clb_res_set() - Set the amount of @kind in @r. */
 void clb_res_set (struct clb_res *r, enum clb_res_kind kind, int64_t amount);
+/** clb_res_add() - Add @times times @r to @to; a negative @times subtracts. */
 void clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t times);
 /** clb_res_fits() - Whether @need is within @room in every dimension. */
 bool clb_res_fits (const struct clb_res *need, const struct clb_res *room);
 
-/** clb_copy() - Copies @src to @dst of @size bytes, cut at the end. */
+/** clb_copy() - Copy @src to @dst, truncated to @size bytes with the NUL. */
 void clb_copy (char *dst, const char *src, size_t size);
 
 #endif
--- a/core/codec.c
+++ b/core/codec.c
@@ -1,3 +1,4 @@
+/* Struct codec: JSON and msgpack by field tables. */
 #include "codec.h"
 
 #include <msgpack.h>
@@ -7,9 +8,10 @@
 
 enum
 {
-  JSON_DEPTH_MAX = 8, /* nesting accepted from a peer */
+  JSON_DEPTH_MAX = 8, /* deepest nesting in msgpack */
 };
 
+/* Reports error @err of field @name in the object at @path in @ce. */
 static int
 fail (struct codec_err *ce, int err, const char *path, const char *name)
 {
@@ -99,6 +101,8 @@
   return *out ? 0 : CLB_ENOMEM;
 }
 
+/* Reads an array.  The length is updated before each item, so that
+   codec_free() frees what was read when a later item fails. */
 static int
 read_vec (const struct fld *f, const json_t *v, enum codec_mode mode,
           char *base, struct codec_err *ce, const char *path)
@@ -169,6 +173,7 @@
   return err ? fail (ce, err, path, f->name) : 0;
 }
 
+/* Whether the struct has a field @name. */
 static bool
 known_field (const struct desc *d, const char *name)
 {
@@ -265,7 +270,7 @@
   return array;
 }
 
-/* NULL where the field holds its zero value. */
+/* The JSON value of a field; NULL if the field is to be left out. */
 static json_t *
 write_fld (const struct fld *f, const char *base)
 {
@@ -398,6 +403,7 @@
     }
 }
 
+/* Converts a msgpack object to JSON; NULL if it is not valid. */
 static json_t *
 unpack_json (const msgpack_object *o, int depth)
 {
@@ -464,7 +470,7 @@
   return *buf ? 0 : CLB_ENOMEM;
 }
 
-/* Big-endian number of @n bytes. */
+/* Reads a big-endian number of @n bytes. */
 static uint64_t
 read_count (const unsigned char *p, size_t n)
 {
@@ -475,14 +481,16 @@
   return v;
 }
 
-/* struct token - one msgpack head: what follows it */
+/* struct token - one msgpack token: a type byte with the length after it */
 struct token
 {
-  size_t head;    /* bytes of the head itself */
-  uint64_t bytes; /* of a string or number behind it */
-  uint64_t items; /* objects inside an array or map */
+  size_t head;    /* bytes of the token itself */
+  uint64_t bytes; /* of the string or number that follows */
+  uint64_t items; /* number of objects that follow, in an array or map */
 };
 
+/* Reads the token at @p; false if it is not valid or claims more than the
+   @left bytes can hold. */
 static bool
 read_token (const unsigned char *p, size_t left, struct token *t)
 {
@@ -510,17 +518,18 @@
       t->items = c <= 0xdb ? 0 : c <= 0xdd ? count : 2 * count;
     }
   else if (c >= 0xc1 && c <= 0xd8 && c != 0xc2 && c != 0xc3)
-    return false; /* kinds that no message of ours has */
+    return false; /* types that no message uses */
   return t->head + t->bytes <= left && t->items <= left;
 }
 
-/* The library makes room for as many items as a head claims, before it looks
-   whether they are there. */
+/* Whether the bytes hold one complete object.  The msgpack library allocates
+   as many items as a token claims before it checks that they are there, so
+   damaged bytes could make it allocate without limit. */
 static bool
-claims_hold (const char *buf, size_t len)
+is_complete (const char *buf, size_t len)
 {
   const unsigned char *p = (const unsigned char *)buf;
-  uint64_t open = 1;
+  uint64_t open = 1; /* objects that must still follow */
   struct token t;
 
   while (open > 0)
@@ -545,7 +554,7 @@
 
   memset (out, 0, d->size);
   msgpack_unpacked_init (&up);
-  if (claims_hold (buf, len)
+  if (is_complete (buf, len)
       && msgpack_unpack_next (&up, buf, len, NULL) == MSGPACK_UNPACK_SUCCESS)
     json = unpack_json (&up.data, 0);
   msgpack_unpacked_destroy (&up);
--- a/core/codec.h
+++ b/core/codec.h
@@ -1,7 +1,9 @@
 /**
- * DOC: Struct codec.  A table of fields describes a struct once; the same
- * table reads it from JSON (with typed errors that name the field), writes it
- * to JSON, and carries it as msgpack between instances.
+ * DOC: Struct codec.
+ *
+ * A table of fields describes a struct.  From this table the struct is read
+ * from JSON (with errors that name the field), written as JSON, and encoded
+ * and decoded as msgpack for messages between instances.
  */
 #ifndef CODEC_H
 #define CODEC_H
@@ -10,54 +12,61 @@
 
 #include "clb.h"
 
+/** enum fld_kind - C type of a field and how it is encoded */
 enum fld_kind
 {
-  FLD_I64,  /* int64_t within min..max */
-  FLD_F64,  /* double within min..max; whole numbers are taken too */
-  FLD_SET,  /* uint64_t of bits, written as an array of numbers 0 to 63 */
+  FLD_I64,  /* int64_t from min to max */
+  FLD_F64,  /* double from min to max; the JSON value may be an integer */
+  FLD_SET,  /* uint64_t of bits, encoded as an array of bit numbers 0 to 63 */
   FLD_BOOL, /* bool */
   FLD_STR,  /* char array of size bytes */
   FLD_TEXT, /* char *, owned by the struct */
-  FLD_ENUM, /* int, one of names */
+  FLD_ENUM, /* int, encoded as one of names */
   FLD_OBJ,  /* struct described by sub */
-  FLD_VEC,  /* owned array of structs described by sub, counted at off2 */
+  FLD_VEC,  /* owned array of structs described by sub; its length is a size_t
+               at off2 */
 };
 
 struct desc;
 
-/** struct fld - one field; text and vectors are freed by codec_free() */
+/** struct fld - description of one field of a struct */
 struct fld
 {
-  const char *name;
+  const char *name; /* in JSON and msgpack */
   enum fld_kind kind;
-  size_t off;
-  size_t size; /* of the char array */
-  size_t off2; /* of the size_t count of a vector */
-  int64_t min;
-  int64_t max; /* of the value, the text's bytes, or the vector's count */
-  bool required;
-  const struct desc *sub;
-  const char *const *names;
+  size_t off;  /* offset of the member */
+  size_t size; /* of FLD_STR: bytes of the array */
+  size_t off2; /* of FLD_VEC: offset of the member with the length */
+  int64_t min; /* of FLD_I64 and FLD_F64: smallest value */
+  /* Of FLD_I64 and FLD_F64 the largest value, of FLD_TEXT the largest number
+     of bytes, of FLD_VEC the largest length. */
+  int64_t max;
+  bool required;            /* reading fails if the field is absent */
+  const struct desc *sub;   /* of FLD_OBJ and FLD_VEC */
+  const char *const *names; /* of FLD_ENUM, by value; ends with NULL */
 };
 
+/** struct desc - description of a struct */
 struct desc
 {
-  const char *name;
-  size_t size;
+  const char *name; /* for error messages */
+  size_t size;      /* sizeof the struct */
   const struct fld *fields;
   size_t n_fields;
 };
 
-/* Fails to compile unless the member is as wide as an int64_t. */
+/* Offset of member f.  Fails to compile unless f is as wide as int64_t. */
 #define FLD_OFF64(s, f)                                                       \
   (offsetof (s, f)                                                            \
    + 0 * sizeof (char[sizeof (((s *)0)->f) == sizeof (int64_t) ? 1 : -1]))
+/* Initializers of struct fld for member f of type s.  The macros without _AS
+   use the member's name as the field's name. */
 #define FLD_INT(s, f, lo, hi)                                                 \
   {                                                                           \
     .name = #f, .kind = FLD_I64, .off = FLD_OFF64 (s, f), .min = (lo),        \
     .max = (hi)                                                               \
   }
-/* The same kinds, where the name on the wire is not the member's. */
+/* As above, with a field name that differs from the member's name. */
 #define FLD_INT_AS(wire, s, f, lo, hi)                                        \
   {                                                                           \
     .name = (wire), .kind = FLD_I64, .off = FLD_OFF64 (s, f), .min = (lo),    \
@@ -125,28 +134,30 @@
     .name = #f, .kind = FLD_VEC, .off = offsetof (s, f),                      \
     .off2 = offsetof (s, n), .sub = (d), .max = (limit)                       \
   }
+/* Defines var as the description of type, with the fields in table. */
 #define DESC(var, type, table)                                                \
   const struct desc var = { #type, sizeof (type), table, CLB_COUNT (table) }
 
-/** struct codec_err - which field was wrong, as "teams[2].share" */
+/** struct codec_err - why reading failed */
 struct codec_err
 {
-  int err;
-  char path[128];
+  int err;        /* enum clb_err */
+  char path[128]; /* the wrong field, such as "teams[2].weight" */
 };
 
+/** enum codec_mode - how unknown fields are handled */
 enum codec_mode
 {
-  CODEC_STRICT,  /* unknown fields are errors: callers and operators */
-  CODEC_LENIENT, /* unknown fields are passed over: newer peers */
+  CODEC_STRICT,  /* unknown fields are errors; for callers and operators */
+  CODEC_LENIENT, /* unknown fields are ignored; for peers of a newer version */
 };
 
 /**
  * codec_read() - Fill a struct from a JSON object.
  * @d: the struct's description
  * @json: borrowed
- * @mode: what becomes of unknown fields
- * @out: zeroed first; fields that are absent keep zero
+ * @mode: how unknown fields are handled
+ * @out: set to zero first, so absent fields are zero; freed with codec_free()
  * @ce: names the field on failure
  *
  * Return: 0, %CLB_EFIELD, %CLB_ERANGE or %CLB_ENOMEM.  After a failure @out
@@ -155,23 +166,46 @@
 int codec_read (const struct desc *d, const json_t *json, enum codec_mode mode,
                 void *out, struct codec_err *ce);
 
-/** codec_parse() - codec_read() from text; %CLB_EPARSE with line and column */
+/**
+ * codec_parse() - Fill a struct from JSON text, as codec_read().
+ *
+ * Return: as codec_read(), or %CLB_EPARSE with line and column in @ce.
+ */
 int codec_parse (const struct desc *d, const char *text, size_t len,
                  enum codec_mode mode, void *out, struct codec_err *ce);
 
-/** codec_write() - A new JSON object; zero fields are left out. */
+/**
+ * codec_write() - Convert a struct to a JSON object.
+ *
+ * Return: a new object without the fields that are zero or empty, except
+ * enumerations and nested structs.
+ */
 json_t *codec_write (const struct desc *d, const void *in);
 
-/** codec_text() - codec_write() as compact text that the caller frees. */
+/**
+ * codec_text() - Convert a struct to compact JSON text, as codec_write().
+ *
+ * Return: the text, which the caller frees.
+ */
 char *codec_text (const struct desc *d, const void *in);
 
-/** codec_free() - Free what the struct owns and zero it. */
+/** codec_free() - Free what the struct @s owns and set it to zero. */
 void codec_free (const struct desc *d, void *s);
 
-/** codec_pack() - As msgpack; the caller frees *@buf.  0 or %CLB_ENOMEM. */
+/**
+ * codec_pack() - Encode a struct as msgpack.
+ * @buf: set to the encoded bytes, which the caller frees
+ * @len: set to their number
+ *
+ * Return: 0 or %CLB_ENOMEM.
+ */
 int codec_pack (const struct desc *d, const void *in, char **buf, size_t *len);
 
-/** codec_unpack() - From msgpack; damaged bytes give %CLB_EPARSE. */
+/**
+ * codec_unpack() - Decode a struct from msgpack; ignores unknown fields.
+ *
+ * Return: as codec_read(), or %CLB_EPARSE if the bytes are damaged.
+ */
 int codec_unpack (const struct desc *d, const char *buf, size_t len, void *out,
                   struct codec_err *ce);
 
--- a/core/conf.c
+++ b/core/conf.c
@@ -1,3 +1,4 @@
+/* Parsing and checking of manifests; verification of keys. */
 #include "conf.h"
 
 #include <openssl/crypto.h>
@@ -7,11 +8,11 @@
 
 enum
 {
-  AMOUNT_MAX = 1000000000, /* of any resource in a limit */
+  AMOUNT_MAX = 1000000000, /* of any resource */
   WEIGHT_MAX = 1000000,
-  WAITING_MAX = 1000000,
-  WAIT_MS_MAX = 60000,
-  RUN_MS_MAX = 600000,
+  WAITING_MAX = 1000000, /* of conf_queue::max_waiting */
+  WAIT_MS_MAX = 60000,   /* of conf_queue::max_wait_ms */
+  RUN_MS_MAX = 600000,   /* of conf_queue::max_run_ms */
   SHA256_BYTES = 32,
 };
 
@@ -62,6 +63,7 @@
 };
 DESC (conf_desc, struct conf, conf_fields);
 
+/* Reports error @err at @list[@i].@field in @ce. */
 static int
 fail (struct codec_err *ce, int err, const char *list, size_t i,
       const char *field)
@@ -71,7 +73,8 @@
   return err;
 }
 
-/* A name is also part of table keys and paths, so its bytes are few. */
+/* Whether a name is valid.  Names become parts of row keys and URL paths, so
+   only these characters are valid. */
 static bool
 name_ok (const char *name)
 {
@@ -190,6 +193,7 @@
   return NULL;
 }
 
+/* Sets @out to the SHA-256 of @a followed by @b, in hex. */
 static void
 hex_digest (const char *a, size_t a_len, const char *b, size_t b_len,
             char out[CONF_HASH_HEX])
--- a/core/entry.c
+++ b/core/entry.c
@@ -1,4 +1,5 @@
-/* Callers' requests: checked here, sent to a domain's holder, answered. */
+/* Callers' requests: checks them, calls the lease holder of a domain, and
+   answers them from its reply. */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,12 +8,20 @@
 
 enum
 {
-  CALL_RETRY_MS = 1000,    /* a call without a reply is sent again */
-  PENDING_TICK_MS = 20,    /* between looks at the deadlines */
-  ABOUT_WAIT_MS = 5000,    /* for status, cancel and why */
-  RELEASE_WAIT_MS = 60000, /* a holder is told of an end this long */
-  RELEASE_STOP_MS = 10000, /* likewise by an instance that is stopping */
-  LONG_WAIT_MAX_MS = 300000,
+  /* A call without a reply is sent again after this time. */
+  CALL_RETRY_MS = 1000,
+  /* Period in which deadlines and retries are checked. */
+  PENDING_TICK_MS = 20,
+  /* Timeout of a status, cancel or why request, on top of its
+     old_leases_end_ms. */
+  TASK_CALL_WAIT_MS = 5000,
+  /* Time for which the end of a service request is reported to a holder that
+     does not confirm it. */
+  RELEASE_WAIT_MS = 60000,
+  /* The same time, counted from the beginning of a shutdown. */
+  RELEASE_STOP_MS = 10000,
+  /* Largest old_leases_end_ms of a request. */
+  WAIT_MAX_MS = 300000,
 };
 
 int
@@ -33,35 +42,37 @@
 /* Answers. */
 
 void
-entry_answer (struct node *n, uint64_t call, int status, char *body,
+entry_answer (struct node *n, uint64_t http_call, int status, char *body,
               int64_t retry_ms)
 {
   struct out *o;
 
-  if (!call)
+  if (!http_call)
     {
       free (body);
       return;
     }
   o = out_new (&n->out, OUT_ANSWER);
-  o->u.answer.call = call;
+  o->u.answer.call = http_call;
   o->u.answer.status = status;
   o->u.answer.body = body;
   o->u.answer.retry_ms = retry_ms;
 }
 
 void
-entry_answer_json (struct node *n, uint64_t call, int status, json_t *json,
-                   int64_t retry_ms)
+entry_answer_json (struct node *n, uint64_t http_call, int status,
+                   json_t *json, int64_t retry_ms)
 {
-  entry_answer (n, call, status, json_dumps (json, JSON_COMPACT), retry_ms);
+  entry_answer (n, http_call, status, json_dumps (json, JSON_COMPACT),
+                retry_ms);
   json_decref (json);
 }
 
-/* Every refusal names its outcome, its reason and when to come back. */
+/* Every error answer has the error's name, whether the request may have run,
+   and the delay for a retry. */
 void
-entry_answer_err (struct node *n, uint64_t call, int err, const char *field,
-                  const char *id, int64_t retry_ms)
+entry_answer_err (struct node *n, uint64_t http_call, int err,
+                  const char *field, const char *id, int64_t retry_ms)
 {
   json_t *json = json_object ();
 
@@ -75,17 +86,18 @@
     json_object_set_new (json, "id", json_string (id));
   if (retry_ms)
     json_object_set_new (json, "retry_after_ms", json_integer (retry_ms));
-  entry_answer_json (n, call, clb_err_http (err), json, retry_ms);
+  entry_answer_json (n, http_call, clb_err_http (err), json, retry_ms);
 }
 
 void
-entry_refuse (struct node *n, uint64_t call, int err, const char *field)
+entry_refuse (struct node *n, uint64_t http_call, int err, const char *field)
 {
   int64_t retry = clb_err_http (err) == 503 ? RETRY_HINT_MS : 0;
 
-  entry_answer_err (n, call, err, field, NULL, retry);
+  entry_answer_err (n, http_call, err, field, NULL, retry);
 }
 
+/* The body of an answer about a task. */
 static json_t *
 reply_json (const struct reply *r)
 {
@@ -101,21 +113,21 @@
   return json;
 }
 
-/* Requests in hand. */
+/* Pending requests. */
 
 struct pending *
-entry_pending_new (struct node *n, uint64_t caller, int verb)
+entry_pending_new (struct node *n, uint64_t http_call, int verb)
 {
   struct pending *p = calloc (1, sizeof *p);
 
   if (!p)
     abort ();
-  p->http_call = caller;
+  p->http_call = http_call;
   p->call.verb = verb;
   p->call.seq = ++n->last_call_seq;
   p->arrival_ms = n->now_ms;
   RB_INSERT (pending_tree, &n->pending, p);
-  if (caller)
+  if (http_call)
     RB_INSERT (caller_tree, &n->callers, p);
   n->n_pending++;
   return p;
@@ -159,23 +171,24 @@
   return false;
 }
 
+/* The pending request whose call has number @seq, or NULL. */
 static struct pending *
-pending_by_no (struct node *n, int64_t no)
+pending_by_seq (struct node *n, int64_t seq)
 {
-  struct pending key = { .call = { .seq = no } };
+  struct pending key = { .call = { .seq = seq } };
 
   return RB_FIND (pending_tree, &n->pending, &key);
 }
 
 struct pending *
-entry_pending_by_http_call (struct node *n, uint64_t caller)
+entry_pending_by_http_call (struct node *n, uint64_t http_call)
 {
-  struct pending key = { .http_call = caller };
+  struct pending key = { .http_call = http_call };
 
-  return caller ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
+  return http_call ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
 
-/* Sends the call to the domain's holder, if one is known. */
+/* Sends the call, again if it was sent before. */
 void
 entry_pending_send (struct node *n, struct pending *p)
 {
@@ -200,21 +213,23 @@
   entry_pending_free (n, p);
 }
 
-/* The holder must hear how it ended even when the caller has its answer. */
+/* The holder must be told how the request ended even though the caller has
+   its answer: it frees the slot. */
 void
-entry_pending_release (struct node *n, struct pending *p, int state, bool bad)
+entry_pending_release (struct node *n, struct pending *p, int state,
+                       bool executor_failed)
 {
   entry_pending_detach (n, p);
   p->step = STEP_RELEASING;
   p->holder[0] = '\0';
   p->call.verb = CALL_RELEASE;
   p->call.state = state;
-  p->call.bad_server = bad;
+  p->call.bad_server = executor_failed;
   p->deadline_ms = n->now_ms + RELEASE_WAIT_MS;
   entry_pending_send (n, p);
 }
 
-/* Who is asking. */
+/* Authorization. */
 
 int
 node_authorize (struct node *n, int64_t now_ms, const char *bearer,
@@ -250,17 +265,18 @@
   return err;
 }
 
-/* Which domain. */
+/* Choice of a domain. */
 
-/* enum domain_fit - how well a domain suits some work */
+/* enum domain_fit - whether a domain has the capacity for some work */
 enum domain_fit
 {
   FIT_NO_HOLDER,
-  FIT_NEVER, /* larger than what it has */
-  FIT_LATER,
+  FIT_NEVER, /* the need exceeds the whole capacity or every worker's */
+  FIT_LATER, /* the need exceeds the free capacity */
   FIT_NOW,
 };
 
+/* Returns enum domain_fit of @domain for @spec, by the holder's last hello. */
 static int
 domain_fit (struct node *n, const char *domain, const struct spec *spec)
 {
@@ -281,7 +297,7 @@
   return clb_res_fits (&need, &sum.room) ? FIT_NOW : FIT_LATER;
 }
 
-/* The domain that suits best, this one before others; NULL without any. */
+/* Among domains with the same fit, prefers this instance's own. */
 const char *
 entry_pick_domain (struct node *n, const struct spec *spec)
 {
@@ -301,7 +317,7 @@
 
 /* Tasks. */
 
-/* Ids become parts of table keys, so their bytes are few. */
+/* Ids become parts of row keys, so only these characters are valid. */
 bool
 entry_id_ok (const char *id)
 {
@@ -313,6 +329,7 @@
                 == len;
 }
 
+/* Checks a task request; sets @field to the wrong field on failure. */
 static int
 check_spec (struct node *n, struct spec *spec, const char *team,
             const char **field)
@@ -339,6 +356,7 @@
   return 0;
 }
 
+/* Handles a task request. */
 static void
 submit (struct node *n, const struct request *rq)
 {
@@ -399,9 +417,10 @@
   return at ? strtoll (at + strlen (name), NULL, 10) : 0;
 }
 
-/* Status, cancel and why: the id begins with the domain's name. */
+/* Handles a status, cancel or why request.  @id is the task's id, which begins
+   with its domain's name, and perhaps a query string. */
 static void
-about (struct node *n, const struct request *rq, int verb, const char *id)
+task_call (struct node *n, const struct request *rq, int verb, const char *id)
 {
   struct pending *p;
   const char *query = strchr (id, '?');
@@ -427,18 +446,18 @@
   clb_copy (p->call.team, team, sizeof p->call.team);
   p->call.open_only = !rq->bearer;
   p->call.wait_ms = entry_query_number (query, "wait_ms=");
-  if (p->call.wait_ms < 0 || p->call.wait_ms > LONG_WAIT_MAX_MS)
-    p->call.wait_ms = LONG_WAIT_MAX_MS;
-  p->deadline_ms = n->now_ms + ABOUT_WAIT_MS + p->call.wait_ms;
+  if (p->call.wait_ms < 0 || p->call.wait_ms > WAIT_MAX_MS)
+    p->call.wait_ms = WAIT_MAX_MS;
+  p->deadline_ms = n->now_ms + TASK_CALL_WAIT_MS + p->call.wait_ms;
   entry_pending_send (n, p);
   if (!*p->holder)
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
 
 void
-node_caller_gone (struct node *n, int64_t now_ms, uint64_t call)
+node_caller_gone (struct node *n, int64_t now_ms, uint64_t http_call)
 {
-  struct pending *p = entry_pending_by_http_call (n, call);
+  struct pending *p = entry_pending_by_http_call (n, http_call);
 
   n->now_ms = now_ms;
   if (!p || p->step == STEP_FORWARDED)
@@ -446,13 +465,14 @@
   if (p->call.verb == CALL_ACQUIRE)
     entry_pending_release (n, p, TASK_CANCELLED, false);
   else if (p->step != STEP_AWAIT_REPLY)
-    entry_pending_detach (n, p); /* an apply goes on */
+    entry_pending_detach (n, p); /* a new manifest is still written */
   else
     entry_pending_free (n, p);
 }
 
-/* Replies from holders. */
+/* Replies from lease holders. */
 
+/* Handles the reply to a CALL_ACQUIRE: a slot or an error. */
 static void
 reply_acquire (struct node *n, struct pending *p, const struct reply *r)
 {
@@ -468,6 +488,7 @@
     }
 }
 
+/* Answers a task request from a successful reply. */
 static void
 reply_task (struct node *n, struct pending *p, const struct reply *r)
 {
@@ -481,7 +502,8 @@
   entry_pending_free (n, p);
 }
 
-/* A slot for a request that nobody waits for goes straight back. */
+/* Handles a reply without a pending request.  If it grants a slot, releases
+   the slot at once. */
 static void
 reply_late (struct node *n, const struct reply *r)
 {
@@ -500,14 +522,15 @@
 void
 entry_reply (struct node *n, const struct reply *r)
 {
-  struct pending *p = pending_by_no (n, r->call_seq);
+  struct pending *p = pending_by_seq (n, r->call_seq);
 
   if (!p)
     {
       reply_late (n, r);
       return;
     }
-  /* The holder is going or coming: ask the next one until the deadline. */
+  /* The instance is not the holder any more, or not yet: call again until the
+     deadline. */
   if (r->err == CLB_ENOHOLDER)
     return;
   if (p->call.verb == CALL_RELEASE)
@@ -524,6 +547,7 @@
     reply_task (n, p, r);
 }
 
+/* Answers a request for this instance's status, which needs a valid key. */
 static void
 show_status (struct node *n, const struct request *rq)
 {
@@ -536,15 +560,16 @@
     entry_answer (n, rq->http_call, 200, view_status (n), 0);
 }
 
-/* The part of @path behind @prefix, or NULL. */
+/* The part of @path after @prefix; NULL if it does not start with that. */
 static const char *
-behind (const char *path, const char *prefix)
+path_after (const char *path, const char *prefix)
 {
   size_t len = strlen (prefix);
 
   return strncmp (path, prefix, len) == 0 ? path + len : NULL;
 }
 
+/* Passes a request to the function for its path and method. */
 static void
 route (struct node *n, const struct request *rq)
 {
@@ -553,16 +578,16 @@
 
   if (strcmp (rq->path, "/v1/tasks") == 0 && rq->method == METHOD_POST)
     submit (n, rq);
-  else if ((rest = behind (rq->path, "/v1/tasks/")) && get)
-    about (n, rq, CALL_STATUS, rest);
+  else if ((rest = path_after (rq->path, "/v1/tasks/")) && get)
+    task_call (n, rq, CALL_STATUS, rest);
   else if (rest && rq->method == METHOD_DELETE)
-    about (n, rq, CALL_CANCEL, rest);
-  else if ((rest = behind (rq->path, "/v1/why/")) && get)
-    about (n, rq, CALL_WHY, rest);
-  else if ((rest = behind (rq->path, "/v1/service/"))
+    task_call (n, rq, CALL_CANCEL, rest);
+  else if ((rest = path_after (rq->path, "/v1/why/")) && get)
+    task_call (n, rq, CALL_WHY, rest);
+  else if ((rest = path_after (rq->path, "/v1/service/"))
            && rq->method == METHOD_POST)
     service_request (n, rq, rest);
-  else if ((rest = behind (rq->path, "/v1/config"))
+  else if ((rest = path_after (rq->path, "/v1/config"))
            && rq->method == METHOD_PUT)
     apply_request (n, rq, rest);
   else if (rest && get)
@@ -590,13 +615,14 @@
 
 /* Deadlines and retries. */
 
+/* Ends a pending request whose deadline has passed. */
 static void
 give_up (struct node *n, struct pending *p)
 {
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the shell cuts it off and says so */
+      return; /* the HTTP client aborts it and calls node_forwarded() */
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
@@ -611,7 +637,7 @@
     }
   if (p->call.verb == CALL_ACQUIRE)
     {
-      /* Nothing has left for an executor, and nothing will. */
+      /* Nothing was sent to an executor, and nothing will be. */
       entry_answer_err (n, p->http_call, CLB_ETIMEOUT, NULL, NULL,
                         RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, false);
@@ -622,6 +648,7 @@
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
 
+/* Checks deadline and retry of one request. */
 static void
 pending_tick (struct node *n, struct pending *p)
 {
--- a/core/msg.c
+++ b/core/msg.c
@@ -1,3 +1,4 @@
+/* Codec tables of the message types; queue of outputs. */
 #include "msg.h"
 #include "mesh.h"
 #include "order.h"
@@ -9,13 +10,20 @@
 
 enum
 {
-  BIG = INT32_MAX,                     /* counts that only memory bounds */
-  MEMBERS_MAX = 1024,                  /* of one gang */
-  DURATION_MS_MAX = 20 * 86400 * 1000, /* 20 days */
-  ROW_TEXT_MAX = 16 << 20,             /* bytes of one row or object */
+  /* Limit of numbers and array lengths that need no closer one. */
+  NUMBER_MAX = INT32_MAX,
+  /* Largest number of members of a gang. */
+  MEMBERS_MAX = 1024,
+  /* Longest duration: 20 days. */
+  DURATION_MS_MAX = 20 * 86400 * 1000,
+  /* Largest value of a row or object, in bytes. */
+  ROW_TEXT_MAX = 16 << 20,
+  /* Largest text of decisions in a reply, in bytes. */
   WHY_TEXT_MAX = 1 << 20,
 };
 
+/* Names of enumerators in JSON and msgpack, each array in the order of its
+   enum. */
 static const char *const rec_names[]
     = { "accept", "intent", "retry", "cancel", "end", "forget", NULL };
 static const char *const run_names[]
@@ -60,8 +68,8 @@
   FLD_NAMED (struct rec, lane, lane_names),
   FLD_FLAG (struct rec, idempotent),
   FLD_ARRAY (struct rec, places, n_places, &place_desc, MEMBERS_MAX),
-  FLD_INT (struct rec, attempt, 0, BIG),
-  FLD_INT (struct rec, failures, 0, BIG),
+  FLD_INT (struct rec, attempt, 0, NUMBER_MAX),
+  FLD_INT (struct rec, failures, 0, NUMBER_MAX),
   FLD_NAMED (struct rec, state, task_state_names),
   FLD_INT (struct rec, reason, 0, WHY_N - 1),
 };
@@ -69,7 +77,7 @@
 
 static const struct fld journal_row_fields[] = {
   FLD_CHARS (struct journal_row, nonce, false),
-  FLD_ARRAY (struct journal_row, recs, n_recs, &rec_desc, BIG),
+  FLD_ARRAY (struct journal_row, recs, n_recs, &rec_desc, NUMBER_MAX),
 };
 DESC (journal_row_desc, struct journal_row, journal_row_fields);
 
@@ -105,7 +113,7 @@
 };
 static DESC (want_desc, struct want, want_fields);
 static const struct fld want_row_fields[] = {
-  FLD_ARRAY (struct want_row, teams, n_teams, &want_desc, BIG),
+  FLD_ARRAY (struct want_row, teams, n_teams, &want_desc, NUMBER_MAX),
 };
 DESC (want_row_desc, struct want_row, want_row_fields);
 
@@ -125,10 +133,10 @@
   FLD_CHARS (struct sync_req, holder, true),
   FLD_INT (struct sync_req, epoch, 0, INT64_MAX),
   FLD_INT (struct sync_req, seq, 0, INT64_MAX),
-  FLD_INT (struct sync_req, lease_ms, 0, BIG),
-  FLD_ARRAY (struct sync_req, starts, n_starts, &start_desc, BIG),
-  FLD_ARRAY (struct sync_req, stops, n_stops, &run_id_desc, BIG),
-  FLD_ARRAY (struct sync_req, acks, n_acks, &run_id_desc, BIG),
+  FLD_INT (struct sync_req, lease_ms, 0, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, starts, n_starts, &start_desc, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, stops, n_stops, &run_id_desc, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, acks, n_acks, &run_id_desc, NUMBER_MAX),
 };
 DESC (sync_req_desc, struct sync_req, sync_req_fields);
 
@@ -141,8 +149,8 @@
 static const struct fld sync_rep_fields[] = {
   FLD_INT (struct sync_rep, boot, 0, INT64_MAX),
   FLD_FLAG (struct sync_rep, leaving),
-  FLD_INT (struct sync_rep, busy, 0, BIG),
-  FLD_ARRAY (struct sync_rep, runs, n_runs, &run_desc, BIG),
+  FLD_INT (struct sync_rep, busy, 0, NUMBER_MAX),
+  FLD_ARRAY (struct sync_rep, runs, n_runs, &run_desc, NUMBER_MAX),
 };
 DESC (sync_rep_desc, struct sync_rep, sync_rep_fields);
 
@@ -157,7 +165,7 @@
 };
 static DESC (inst_desc, struct inst, inst_fields);
 static const struct fld inst_list_fields[] = {
-  FLD_ARRAY (struct inst_list, items, n_items, &inst_desc, BIG),
+  FLD_ARRAY (struct inst_list, items, n_items, &inst_desc, NUMBER_MAX),
 };
 DESC (inst_list_desc, struct inst_list, inst_list_fields);
 
@@ -176,8 +184,8 @@
   FLD_STRING (struct store_op, key, 512),
   FLD_STRING (struct store_op, after, 512),
   FLD_STRING (struct store_op, value, ROW_TEXT_MAX),
-  FLD_ARRAY (struct store_op, conds, n_conds, &cond_desc, BIG),
-  FLD_ARRAY (struct store_op, puts, n_puts, &put_desc, BIG),
+  FLD_ARRAY (struct store_op, conds, n_conds, &cond_desc, NUMBER_MAX),
+  FLD_ARRAY (struct store_op, puts, n_puts, &put_desc, NUMBER_MAX),
   FLD_INT (struct store_op, since, 0, INT64_MAX),
   FLD_INT (struct store_op, wait_ms, 0, DURATION_MS_MAX),
 };
@@ -191,7 +199,7 @@
 static DESC (row_desc, struct row, row_fields);
 static const struct fld store_rep_fields[] = {
   FLD_INT (struct store_rep, err, CLB_ERR_LAST, 0),
-  FLD_ARRAY (struct store_rep, rows, n_rows, &row_desc, BIG),
+  FLD_ARRAY (struct store_rep, rows, n_rows, &row_desc, NUMBER_MAX),
   FLD_FLAG (struct store_rep, more),
   FLD_INT (struct store_rep, ver, 0, INT64_MAX),
 };
@@ -207,8 +215,8 @@
   FLD_NAMED (struct call, lane, lane_names),
   FLD_FLAG (struct call, idempotent),
   FLD_FLAG (struct call, open_only),
-  FLD_INT (struct call, max_waiting, 0, BIG),
-  FLD_INT (struct call, wait_ms, 0, BIG),
+  FLD_INT (struct call, max_waiting, 0, NUMBER_MAX),
+  FLD_INT (struct call, wait_ms, 0, NUMBER_MAX),
   FLD_INT_AS ("stamp", struct call, sent_ms, 0, INT64_MAX),
   FLD_FLAG (struct call, bad_server),
   FLD_NAMED (struct call, state, task_state_names),
@@ -221,7 +229,7 @@
   FLD_CHARS (struct reply, id, false),
   FLD_NAMED (struct reply, state, task_state_names),
   FLD_INT (struct reply, reason, 0, WHY_N - 1),
-  FLD_INT (struct reply, retry_ms, 0, BIG),
+  FLD_INT (struct reply, retry_ms, 0, NUMBER_MAX),
   FLD_INT_AS ("stamp", struct reply, call_sent_ms, 0, INT64_MAX),
   FLD_CHARS (struct reply, executor, false),
   FLD_CHARS (struct reply, addr, false),
@@ -252,7 +260,7 @@
   FLD_CHARS (struct promise, domain, true),
   FLD_INT (struct promise, epoch, 0, INT64_MAX),
   FLD_INT_AS ("no", struct promise, seq, 0, INT64_MAX),
-  FLD_INT_AS ("for_ms", struct promise, duration_ms, 0, BIG),
+  FLD_INT_AS ("for_ms", struct promise, duration_ms, 0, NUMBER_MAX),
   FLD_FLAG_AS ("given", struct promise, granted),
 };
 static DESC (promise_desc, struct promise, promise_fields);
@@ -261,11 +269,11 @@
   FLD_CHARS (struct held_slot, id, true),
   FLD_CHARS (struct held_slot, executor, true),
   FLD_CHARS (struct held_slot, team, true),
-  FLD_INT (struct held_slot, run_ms, 0, BIG),
+  FLD_INT (struct held_slot, run_ms, 0, NUMBER_MAX),
 };
 static DESC (held_desc, struct held_slot, held_fields);
 static const struct fld held_list_fields[] = {
-  FLD_ARRAY (struct held_list, items, n_items, &held_desc, BIG),
+  FLD_ARRAY (struct held_list, items, n_items, &held_desc, NUMBER_MAX),
 };
 static DESC (held_list_desc, struct held_list, held_list_fields);
 
@@ -280,7 +288,7 @@
 };
 DESC (event_desc, struct event, event_fields);
 
-/* Which description the union of a peer message has. */
+/* The description of the union in a peer message of @kind. */
 static const struct desc *
 pmsg_body (int kind)
 {
@@ -300,7 +308,8 @@
     }
 }
 
-/* On the wire a peer message is its head with the packed body inside. */
+/* Fields of a peer message: the first PMSG_HEAD_FIELDS are common to all
+   kinds, and u holds the struct of its kind, described by body_desc. */
 #define PMSG_FIELDS(body_desc)                                                \
   {                                                                           \
     FLD_NAMED (struct pmsg, kind, pmsg_names),                                \
@@ -314,7 +323,7 @@
 
 enum
 {
-  PMSG_HEAD_FIELDS = 3,
+  PMSG_HEAD_FIELDS = 3, /* number of fields before u */
 };
 
 int
@@ -329,6 +338,7 @@
 int
 pmsg_unpack (const char *buf, size_t len, struct pmsg *m, struct codec_err *ce)
 {
+  /* The kind must be known to decode u, so the head is decoded first. */
   const struct fld head[] = PMSG_FIELDS (NULL);
   const struct desc head_desc = { "pmsg", sizeof *m, head, PMSG_HEAD_FIELDS };
   int err = codec_unpack (&head_desc, buf, len, m, ce);
--- a/core/node.c
+++ b/core/node.c
@@ -1,3 +1,4 @@
+/* The node: peers, configuration polling, and the scheduler's lease. */
 #include "node.h"
 
 #include <stdio.h>
@@ -6,12 +7,20 @@
 
 enum
 {
+  /* Period in which the head row is read. */
   HEAD_POLL_MS = 1000,
+  /* Period in which the platform's list of instances is read. */
   LIST_POLL_MS = 1000,
+  /* Timeout of a read of the head row or list; four times that for a
+     manifest. */
   STORE_TIMEOUT_MS = 2500,
-  HELD_ASK_MS = 500,
-  CALLS_PER_BOOT = 65536, /* for each millisecond between two starts */
-  HELD_WAIT_MS = 3000, /* slots given out before this epoch are used by then */
+  /* Period of the queries for slots in use, until a peer has answered. */
+  HELD_QUERY_MS = 500,
+  /* Call numbers available for each millisecond between two starts. */
+  CALLS_PER_BOOT = 65536,
+  /* Time after the start of an epoch by which all slots that were granted
+     before it are in use or too old to be used. */
+  HELD_WAIT_MS = 3000,
 };
 
 void
@@ -27,7 +36,7 @@
   if (!n->conf)
     abort ();
   n->conf_verified_ms = now_ms - 2 * CONF_FRESH_MS;
-  /* A reply to an earlier process of this name must match no call. */
+  /* A reply to an earlier process of this instance must match no call. */
   n->last_call_seq = set->boot * CALLS_PER_BOOT;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
              &n->tokens);
@@ -82,15 +91,17 @@
   o->u.peer.msg = *m;
 }
 
+/* Whether a peer is reachable. */
 static bool
-peer_alive (const struct node *n, const struct peer *p)
+peer_reachable (const struct node *n, const struct peer *p)
 {
   return p->last_contact_ms
          && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS;
 }
 
+/* Whether this instance schedules its domain. */
 static bool
-holds (const struct node *n)
+is_holder (const struct node *n)
 {
   return n->sched && n->sched->phase == SCHED_READY && n->sched->may_start;
 }
@@ -100,12 +111,12 @@
 {
   const struct peer *best = NULL;
 
-  if (strcmp (domain, n->settings.domain) == 0 && holds (n))
+  if (strcmp (domain, n->settings.domain) == 0 && is_holder (n))
     return n->settings.id;
   for (int i = 0; i < n->n_peers; i++)
     {
       const struct peer *p = &n->peers[i];
-      if (!peer_alive (n, p) || !p->hello.holder
+      if (!peer_reachable (n, p) || !p->hello.holder
           || strcmp (p->domain, domain) != 0)
         continue;
       if (!best || p->hello.epoch > best->hello.epoch)
@@ -125,7 +136,7 @@
   h->conf_version = n->head.version;
   h->conf_age_ms = n->now_ms - n->conf_verified_ms;
   h->apply_in_progress = entry_apply_in_progress (n);
-  h->holder = holds (n);
+  h->holder = is_holder (n);
   h->epoch = n->sched ? n->sched->epoch : 0;
   h->stopping = n->stopping;
   h->knows_receiver = role_is_member (&n->role, p->id, p->boot);
@@ -142,10 +153,11 @@
 static void
 send_hellos (struct node *n)
 {
-  /* Others must hear at once who schedules this domain. */
-  if (holds (n) != n->reported_holder)
+  /* Notify the peers at once when this instance starts or stops scheduling
+     its domain. */
+  if (is_holder (n) != n->reported_holder)
     n->next_hello_ms = n->now_ms;
-  n->reported_holder = holds (n);
+  n->reported_holder = is_holder (n);
   if (n->now_ms < n->next_hello_ms)
     return;
   n->next_hello_ms = n->now_ms + HELLO_PERIOD_MS;
@@ -168,9 +180,10 @@
   n->next_head_ms = n->now_ms + HEAD_POLL_MS;
 }
 
-/* A peer's proof counts from the stamp of ours that it had seen by then. */
+/* Uses a peer's verification of the same configuration version.  On this
+   instance's clock it is conf_age_ms before the hello that the peer echoes. */
 static void
-hello_freshness (struct node *n, const struct hello *h)
+verify_conf_by_hello (struct node *n, const struct hello *h)
 {
   if (h->conf_version > n->head.version)
     {
@@ -180,17 +193,18 @@
   if (h->conf_version < n->head.version || h->echo_boot != n->settings.boot
       || h->echo_ms == 0 || n->head.version == 0)
     return;
-  int64_t proved = h->echo_ms - h->conf_age_ms;
-  if (proved > n->conf_verified_ms)
-    n->conf_verified_ms = proved;
+  int64_t verified_ms = h->echo_ms - h->conf_age_ms;
+  if (verified_ms > n->conf_verified_ms)
+    n->conf_verified_ms = verified_ms;
 }
 
-/* A change is accepted only through an entry instance.  If none of them has
-   accepted a newer one or has one open, none is newer, platform or not. */
+/* A new configuration can only come from an entry instance.  If none of them
+   has a newer version or a change in progress, the current version is the
+   newest, even while the platform is unreachable. */
 static void
-peers_freshness (struct node *n)
+verify_conf_by_peers (struct node *n)
 {
-  int64_t proved = n->now_ms;
+  int64_t verified_ms = n->now_ms;
 
   if (n->head.version == 0 || !n->list_known || entry_apply_in_progress (n))
     return;
@@ -201,15 +215,16 @@
           || h->apply_in_progress || h->echo_boot != n->settings.boot
           || h->echo_ms == 0)
         return;
-      if (h->echo_ms < proved)
-        proved = h->echo_ms;
+      if (h->echo_ms < verified_ms)
+        verified_ms = h->echo_ms;
     }
-  if (proved > n->conf_verified_ms)
-    n->conf_verified_ms = proved;
+  if (verified_ms > n->conf_verified_ms)
+    n->conf_verified_ms = verified_ms;
 }
 
+/* Handles a hello from a peer. */
 static void
-got_hello (struct node *n, const struct pmsg *m)
+handle_hello (struct node *n, const struct pmsg *m)
 {
   struct peer *p = node_get_peer (n, m->from);
 
@@ -226,8 +241,8 @@
     clb_copy (p->addr, m->u.hello.addr, sizeof p->addr);
   if (strcmp (p->domain, n->settings.domain) == 0)
     role_hello (&n->role, m->from, m->boot, &m->u.hello);
-  hello_freshness (n, &m->u.hello);
-  peers_freshness (n);
+  verify_conf_by_hello (n, &m->u.hello);
+  verify_conf_by_peers (n);
 }
 
 bool
@@ -237,8 +252,10 @@
          && n->now_ms - n->conf_verified_ms < CONF_FRESH_MS;
 }
 
-/* Slots in use, told to a new holder. */
+/* Slots in use, which a new holder queries from all entry instances. */
 
+/* Until all reachable peers have reported their slots, and HELD_WAIT_MS have
+   passed, the new scheduler does not know which slots are free. */
 static void
 held_tick (struct node *n)
 {
@@ -250,16 +267,17 @@
   for (int i = 0; i < n->n_peers; i++)
     {
       struct peer *p = &n->peers[i];
-      if (p->held_reported || !peer_alive (n, p))
+      if (p->held_reported || !peer_reachable (n, p))
         continue;
       all = false;
-      if (n->now_ms - p->held_query_ms < HELD_ASK_MS)
+      if (n->now_ms - p->held_query_ms < HELD_QUERY_MS)
         continue;
       struct pmsg m = { .kind = PM_HELD_QUERY };
       p->held_query_ms = n->now_ms;
       node_send (n, p->id, &m);
     }
-  /* One that is frozen finds its slot too old to use when it wakes. */
+  /* An instance that is paused and cannot report finds its slot too old to
+     be used when it continues. */
   if (!all || n->now_ms - s->started_ms < HELD_WAIT_MS)
     return;
   struct held_list mine = { .n_items = 0 };
@@ -270,6 +288,7 @@
   s->dirty = true;
 }
 
+/* Reports this instance's slots in use to the new holder @to. */
 static void
 answer_held (struct node *n, const char *to)
 {
@@ -280,7 +299,7 @@
 }
 
 static void
-got_held (struct node *n, const struct pmsg *m)
+handle_held (struct node *n, const struct pmsg *m)
 {
   struct peer *p = node_get_peer (n, m->from);
 
@@ -290,13 +309,14 @@
   p->held_reported = true;
 }
 
+/* Handles a peer message, perhaps one of this instance to itself. */
 static void
-got_peer (struct node *n, const struct pmsg *m)
+handle_peer_msg (struct node *n, const struct pmsg *m)
 {
   switch (m->kind)
     {
     case PM_HELLO:
-      got_hello (n, m);
+      handle_hello (n, m);
       break;
     case PM_CALL:
       if (n->sched)
@@ -319,7 +339,7 @@
       answer_held (n, m->from);
       break;
     case PM_HELD:
-      got_held (n, m);
+      handle_held (n, m);
       break;
     }
 }
@@ -335,7 +355,8 @@
 
   if (!c)
     abort ();
-  /* It was checked before it was written: damage keeps the old one. */
+  /* Manifests are checked before they are written.  If this one is damaged,
+     the old configuration stays in force. */
   if (head->version <= n->head.version
       || conf_parse (text, strlen (text), c, &ce))
     {
@@ -355,10 +376,11 @@
   o->u.event.reason = WHY_CONFIG;
   o->u.event.detail = c->version;
   clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
-  /* Tell the peers at once, so that none waits for its own poll. */
+  /* Notify the peers at once, so that they need not wait for their poll. */
   n->next_hello_ms = n->now_ms;
 }
 
+/* Reads the manifest that the head row @head names. */
 static void
 object_read (struct node *n, const struct head_row *head, int64_t ver)
 {
@@ -409,7 +431,7 @@
     n->conf_verified_ms = n->object_sent_ms;
 }
 
-/* The platform's list. */
+/* The platform's list of instances. */
 
 static void
 list_read (struct node *n)
@@ -426,8 +448,9 @@
   n->next_list_ms = n->now_ms + LIST_POLL_MS;
 }
 
+/* Updates the peers from the list; removes unlisted ones without contact. */
 static void
-list_peers (struct node *n)
+update_peers (struct node *n)
 {
   for (int i = 0; i < n->n_peers; i++)
     n->peers[i].listed = false;
@@ -457,6 +480,7 @@
   n->list_token = 0;
   if (rep->err)
     return;
+  /* No row: the list has not changed since list_ver. */
   if (rep->n_rows == 0 && n->list_known)
     {
       n->list_ms = n->list_sent_ms;
@@ -475,12 +499,13 @@
   n->list_known = true;
   n->list_ver = rep->rows[0].ver;
   n->list_ms = n->list_sent_ms;
-  list_peers (n);
+  update_peers (n);
   role_instances (&n->role, &n->list);
   if (n->sched)
     sched_instances (n->sched, &n->list, n->list_ms);
 }
 
+/* Sends the reads that are due, and lets those without an answer time out. */
 static void
 platform_tick (struct node *n)
 {
@@ -496,7 +521,7 @@
     list_read (n);
 }
 
-/* The role and its scheduler. */
+/* The domain's lease and scheduler. */
 
 static void
 sched_begin (struct node *n)
@@ -521,7 +546,7 @@
   n->next_hello_ms = n->now_ms;
 }
 
-/* A change of this instance's part, for the log and for watchers. */
+/* Reports a change of this instance's role, for the log and for watchers. */
 static void
 node_event (struct node *n, int reason)
 {
@@ -533,8 +558,10 @@
   n->stats.role_changes[reason]++;
 }
 
+/* Reports when an extension of the lease begins, and when the table becomes
+   unreachable or reachable; @until: role_valid_until(). */
 static void
-extension_step (struct node *n, int64_t until)
+report_extension (struct node *n, int64_t until)
 {
   bool extended = n->now_ms < until && n->now_ms >= n->role.lease_until_ms;
 
@@ -548,6 +575,7 @@
     }
 }
 
+/* Advances the election; starts, updates or frees the scheduler. */
 static void
 role_step (struct node *n)
 {
@@ -569,7 +597,7 @@
   if (!s)
     return;
   int64_t until = role_valid_until (&n->role);
-  extension_step (n, until);
+  report_extension (n, until);
   s->now_ms = n->now_ms;
   s->may_start = n->now_ms < until;
   s->conf_fresh = node_conf_fresh (n);
@@ -577,8 +605,9 @@
   s->lapsed_since_ms = s->may_start ? 0 : until;
 }
 
-/* Hands the domain over once nothing is on the way to the table.  A table
-   that stays away is waited for as long as a lapsed holder renews leases. */
+/* Releases the lease once no write is outstanding.  While the table is
+   unreachable, waits as long as a scheduler whose lease has expired renews its
+   tasks' leases. */
 static void
 stop_tick (struct node *n)
 {
@@ -608,6 +637,7 @@
       }
 }
 
+/* Does what is due; called after each input. */
 static void
 node_step (struct node *n)
 {
@@ -623,8 +653,9 @@
 
 /* Inputs. */
 
+/* Sets the current time. */
 static void
-node_at (struct node *n, int64_t now_ms)
+set_now (struct node *n, int64_t now_ms)
 {
   n->now_ms = now_ms;
   n->role.now_ms = now_ms;
@@ -635,15 +666,15 @@
 void
 node_tick (struct node *n, int64_t now_ms)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   node_step (n);
 }
 
 void
 node_peer (struct node *n, int64_t now_ms, const struct pmsg *m)
 {
-  node_at (n, now_ms);
-  got_peer (n, m);
+  set_now (n, now_ms);
+  handle_peer_msg (n, m);
   node_step (n);
 }
 
@@ -651,7 +682,7 @@
 node_store (struct node *n, int64_t now_ms, uint64_t token,
             const struct store_rep *rep)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EUNKNOWN)
     n->stats.store_errors++;
   if (token == n->head_token)
@@ -670,7 +701,7 @@
 node_sync (struct node *n, int64_t now_ms, const char *worker, int64_t seq,
            const struct sync_rep *rep)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   if (n->sched)
     sched_sync (n->sched, worker, seq, rep);
   node_step (n);
@@ -679,7 +710,7 @@
 void
 node_stop (struct node *n, int64_t now_ms)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   n->stopping = true;
   n->stopping_ms = now_ms;
   n->next_hello_ms = now_ms;
@@ -701,8 +732,9 @@
     {
       if (o->kind != OUT_PEER || strcmp (o->u.peer.to, n->settings.id) != 0)
         return o;
-      /* Calls to the scheduler of this very instance. */
-      got_peer (n, &o->u.peer.msg);
+      /* A message to this instance itself, such as a call to its own
+         scheduler. */
+      handle_peer_msg (n, &o->u.peer.msg);
       out_free (o);
       if (n->sched)
         sched_tick (n->sched);
--- a/core/role.c
+++ b/core/role.c
@@ -1,3 +1,4 @@
+/* Election of a domain's scheduler: lease row, claims and promises. */
 #include "role.h"
 
 #include <stdio.h>
@@ -6,22 +7,30 @@
 
 enum
 {
-  FOLLOW_POLL_MS = 1000, /* between looks at the row */
-  OP_TIMEOUT_MS = 2500,  /* a store operation without an answer */
-  CLAIM_OPEN_MS = 6000,  /* a lost claim can take effect this long */
-  ASK_PERIOD_MS = 500,   /* between rounds of promises */
-  PROMISE_MS = 3000,     /* how long one promise binds */
-  PEER_GONE_MS = 30000,  /* silent and unlisted: no longer a member */
+  /* Period in which a follower reads the lease row. */
+  ROW_POLL_MS = 1000,
+  /* Timeout of a store operation. */
+  OP_TIMEOUT_MS = 2500,
+  /* Time in which a claim of unknown outcome can still take effect. */
+  CLAIM_UNCERTAIN_MS = 6000,
+  /* Period of the holder's requests for promises. */
+  PROMISE_PERIOD_MS = 500,
+  /* Time for which one promise is valid. */
+  PROMISE_MS = 3000,
+  /* A peer that is not in the platform's list and without contact for this
+     time is no longer a member. */
+  PEER_REMOVE_MS = 30000,
+  /* Size of a row key, in bytes including the NUL. */
   KEY_SIZE = 128,
 };
 
 void
-role_init (struct role *r, const char *domain, const char *me, int64_t boot,
-           int64_t now_ms, struct outq *out, uint64_t *tokens)
+role_init (struct role *r, const char *domain, const char *self_id,
+           int64_t boot, int64_t now_ms, struct outq *out, uint64_t *tokens)
 {
   memset (r, 0, sizeof *r);
   clb_copy (r->domain, domain, sizeof r->domain);
-  clb_copy (r->self_id, me, sizeof r->self_id);
+  clb_copy (r->self_id, self_id, sizeof r->self_id);
   r->boot = boot;
   r->now_ms = now_ms;
   r->row_changed_ms = now_ms;
@@ -41,6 +50,7 @@
   snprintf (out, KEY_SIZE, "epoch/%s", r->domain);
 }
 
+/* Queues a store operation of @kind, whose answer role_store() gets. */
 static struct store_op *
 op_new (struct role *r, int kind)
 {
@@ -59,9 +69,11 @@
 
   lease_key (r, key);
   op_new (r, STORE_GET)->key = strdup (key);
-  r->next_op_ms = r->now_ms + FOLLOW_POLL_MS;
+  r->next_op_ms = r->now_ms + ROW_POLL_MS;
 }
 
+/* Writes the lease row, if it has not changed since it was last seen.  A claim
+   also writes the epoch row, on which the scheduler's writes depend. */
 static void
 write_row (struct role *r, const struct lease_row *row, bool claim)
 {
@@ -86,6 +98,7 @@
   return strcmp (r->row.holder, r->self_id) == 0 && r->row.boot == r->boot;
 }
 
+/* Renews the lease, or releases it while handing over. */
 static void
 renew (struct role *r)
 {
@@ -98,6 +111,7 @@
   r->next_op_ms = r->now_ms + RENEW_MS;
 }
 
+/* Tries to become the holder, with the next epoch. */
 static void
 claim (struct role *r)
 {
@@ -121,7 +135,8 @@
   return NULL;
 }
 
-/* The holder might go on without the table, so it must be known to be away. */
+/* Whether the holder in the lease row may still be active, extending its lease
+   by promises without the table.  A claim needs proof that it is not. */
 static bool
 holder_may_be_active (struct role *r)
 {
@@ -131,10 +146,11 @@
     return true;
   if (p && p->boot == r->row.boot && r->now_ms - p->last_contact_ms < LEASE_MS)
     return true;
-  /* A holder that counts this instance a member needs its promise. */
+  /* A holder that counts this instance as a member cannot extend its lease
+     without its promise, which is not valid now. */
   if (p && p->boot == r->row.boot && p->knows_self)
     return false;
-  /* Another process under the holder's name: that holder is gone. */
+  /* The holder's instance has restarted: that process is gone. */
   if (p && p->boot != r->row.boot)
     return false;
   return strcmp (r->row.holder, r->self_id) != 0
@@ -155,9 +171,9 @@
   return !holder_may_be_active (r);
 }
 
-/* Takes over what a read or a conflict has shown of the row. */
+/* Takes the lease row @row from an answer; NULL: the row is absent. */
 static void
-saw_row (struct role *r, const struct row *row)
+update_row (struct role *r, const struct row *row)
 {
   struct codec_err ce;
   struct lease_row lr = { .epoch = 0 };
@@ -174,8 +190,9 @@
   r->row_known = true;
 }
 
+/* Becomes the holder after a successful claim. */
 static void
-hold (struct role *r, int64_t epoch_ver)
+become_holder (struct role *r, int64_t epoch_ver)
 {
   r->state = ROLE_HOLDER;
   r->epoch = r->row.epoch;
@@ -195,8 +212,9 @@
   r->next_op_ms = r->now_ms;
 }
 
+/* The row @key in an answer, or NULL. */
 static const struct row *
-row_named (const struct store_rep *rep, const char *key)
+find_row (const struct store_rep *rep, const char *key)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     if (strcmp (rep->rows[i].key, key) == 0)
@@ -204,6 +222,7 @@
   return NULL;
 }
 
+/* Handles the answer to a claim. */
 static void
 claim_answer (struct role *r, const struct store_rep *rep)
 {
@@ -216,9 +235,9 @@
       r->state = ROLE_FOLLOWER;
       r->claim_uncertain = false;
       r->next_op_ms = r->now_ms + RENEW_MS;
-      /* The row that this claim was made from is not the row any more. */
+      /* The row has changed since the claim was made from it. */
       if (rep->err == CLB_ECONFLICT)
-        saw_row (r, row_named (rep, key));
+        update_row (r, find_row (rep, key));
       return;
     }
   if (rep->err)
@@ -227,34 +246,36 @@
       r->next_op_ms = r->now_ms + RENEW_MS;
       return;
     }
-  row = row_named (rep, key);
+  row = find_row (rep, key);
   r->row_ver = row ? row->ver : 0;
   clb_copy (r->row.holder, r->self_id, sizeof r->row.holder);
   r->row.boot = r->boot;
   r->row.epoch++;
   r->row.heartbeat++;
   epoch_key (r, key);
-  row = row_named (rep, key);
-  hold (r, row ? row->ver : 0);
+  row = find_row (rep, key);
+  become_holder (r, row ? row->ver : 0);
 }
 
+/* Handles the answer to the read after a claim of unknown outcome. */
 static void
 check_answer (struct role *r, const struct store_rep *rep)
 {
   if (rep->err && rep->err != CLB_ENOTFOUND)
     return;
-  saw_row (r, rep->n_rows ? &rep->rows[0] : NULL);
-  /* The claim took effect, but the epoch row's version is not known, so this
-     epoch is given up for a fresh one. */
+  update_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+  /* The claim took effect, but the version of the epoch row is not known.
+     Claim again, with the next epoch. */
   if (row_is_mine (r))
     claim (r);
-  else if (r->now_ms - r->claim_sent_ms >= CLAIM_OPEN_MS)
+  else if (r->now_ms - r->claim_sent_ms >= CLAIM_UNCERTAIN_MS)
     {
       r->state = ROLE_FOLLOWER;
       r->claim_uncertain = false;
     }
 }
 
+/* Handles the answer to a renewal or release. */
 static void
 renew_answer (struct role *r, const struct store_rep *rep)
 {
@@ -262,7 +283,7 @@
   const struct row *row;
 
   lease_key (r, key);
-  row = row_named (rep, key);
+  row = find_row (rep, key);
   if (rep->err == 0 && r->handing_over)
     {
       role_lease_lost (r);
@@ -277,8 +298,8 @@
     }
   if (rep->err != CLB_ECONFLICT)
     return;
-  saw_row (r, row);
-  /* An earlier renewal took effect and its answer was lost: renew again. */
+  update_row (r, row);
+  /* An earlier renewal took effect but its answer was lost: renew again. */
   if (row_is_mine (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
@@ -305,7 +326,7 @@
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-        saw_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+        update_row (r, rep->n_rows ? &rep->rows[0] : NULL);
       if (r->read_again)
         r->next_op_ms = r->now_ms;
       r->read_again = false;
@@ -314,7 +335,7 @@
   return true;
 }
 
-/* Peers and promises. */
+/* Peers and their promises. */
 
 void
 role_hello (struct role *r, const char *from, int64_t boot,
@@ -351,6 +372,7 @@
       struct role_peer *p = peer_find (r, list->items[i].id);
       if (p)
         p->listed = true;
+      /* A listed holder may be active although no hello came from it. */
       else if (strcmp (list->items[i].id, r->row.holder) == 0
                && strcmp (r->row.holder, r->self_id) != 0
                && r->n_peers < DOMAIN_MEMBERS_MAX)
@@ -374,6 +396,7 @@
   return false;
 }
 
+/* Sends a request for a promise, or the answer to one; @kind: pmsg_kind. */
 static void
 send_promise (struct role *r, int kind, const char *to,
               const struct promise *p)
@@ -410,25 +433,28 @@
   if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
       || p->seq != peer->promise_seq)
     return;
-  /* Counted from before it was asked, so it ends here first. */
+  /* Counted from the time of the request, so that the holder considers it
+     ended before the peer does. */
   peer->promised_until_ms
       = peer->promise_request_ms + p->duration_ms - LEASE_MARGIN_MS;
 }
 
+/* Removes peers that are no longer members of the domain. */
 static void
-drop_gone_peers (struct role *r)
+remove_gone_peers (struct role *r)
 {
   for (int i = 0; i < r->n_peers; i++)
     if (!r->peers[i].listed
-        && r->now_ms - r->peers[i].last_contact_ms > PEER_GONE_MS)
+        && r->now_ms - r->peers[i].last_contact_ms > PEER_REMOVE_MS)
       {
         r->peers[i] = r->peers[--r->n_peers];
         i--;
       }
 }
 
+/* Requests a promise from each peer. */
 static void
-ask_promises (struct role *r)
+request_promises (struct role *r)
 {
   struct promise p = { .epoch = r->epoch, .duration_ms = PROMISE_MS };
 
@@ -440,10 +466,11 @@
       r->peers[i].promise_seq = p.seq;
       send_promise (r, PM_PROMISE_REQUEST, r->peers[i].id, &p);
     }
-  r->next_promise_ms = r->now_ms + ASK_PERIOD_MS;
+  r->next_promise_ms = r->now_ms + PROMISE_PERIOD_MS;
 }
 
-/* The lease by the peers: all of them have promised to wait. */
+/* The time up to which all peers have promised not to claim the lease, and at
+   most as long as a promise requested now would be valid. */
 static int64_t
 promised_until (const struct role *r)
 {
@@ -473,7 +500,7 @@
 {
   if (r->state == ROLE_FOLLOWER)
     r->next_op_ms = r->now_ms;
-  /* A read under way may have seen the row as it was before. */
+  /* An outstanding read may return the row from before the release. */
   r->read_again = r->token != 0;
 }
 
@@ -491,6 +518,7 @@
   return false;
 }
 
+/* Ends the outstanding store operation with an unknown outcome. */
 static void
 op_timeout (struct role *r)
 {
@@ -502,13 +530,13 @@
 void
 role_tick (struct role *r)
 {
-  drop_gone_peers (r);
+  remove_gone_peers (r);
   if (r->token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
     op_timeout (r);
   if (r->state == ROLE_HOLDER && !r->handing_over
       && r->lease_until_ms - r->now_ms < LEASE_MS - 2 * RENEW_MS
       && r->now_ms >= r->next_promise_ms)
-    ask_promises (r);
+    request_promises (r);
   if (r->token)
     return;
   if (r->state == ROLE_FOLLOWER && may_claim (r)
--- a/core/service.c
+++ b/core/service.c
@@ -1,4 +1,5 @@
-/* Service requests: a slot from a holder, then on to an executor. */
+/* Service requests: acquires a slot from a domain's lease holder, forwards the
+   request to the slot's executor, and releases the slot. */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,10 +8,14 @@
 
 enum
 {
-  REPLY_SLACK_MS = 2000, /* a reply may come this much after its wait */
-  FORWARD_TRIES = 3,     /* executors tried for an idempotent request */
+  /* Time for the reply to a CALL_ACQUIRE to arrive, on top of its
+     old_leases_end_ms. */
+  REPLY_SLACK_MS = 2000,
+  /* Largest number of executors to which one idempotent request is sent. */
+  FORWARD_TRIES = 3,
 };
 
+/* Calls the holder of @domain for a slot, under a new request id. */
 static void
 acquire (struct node *n, struct pending *p, const char *domain)
 {
@@ -23,6 +28,7 @@
   entry_pending_send (n, p);
 }
 
+/* The field that caused error @err of a service request, or NULL. */
 static const char *
 wrong_field (int err)
 {
@@ -86,7 +92,7 @@
   struct out *o;
 
   clb_copy (p->executor, r->executor, sizeof p->executor);
-  /* A holder may have given the slot to somebody else since. */
+  /* A holder may have granted the slot to another request since. */
   if (n->now_ms - r->call_sent_ms > FORWARD_DEADLINE_MS)
     {
       n->stats.stale_slots++;
@@ -107,15 +113,17 @@
 }
 
 bool
-node_may_forward (const struct node *n, int64_t now_ms, uint64_t call)
+node_may_forward (const struct node *n, int64_t now_ms, uint64_t http_call)
 {
-  struct pending *p = entry_pending_by_http_call ((struct node *)n, call);
+  struct pending *p = entry_pending_by_http_call ((struct node *)n, http_call);
 
   return p && p->step == STEP_FORWARDED
          && now_ms - p->sent_ms <= FORWARD_DEADLINE_MS;
 }
 
-/* An idempotent request that no executor has answered goes to another. */
+/* Sends an idempotent request without an answer to another executor, as a new
+   pending request that takes over the caller.  Returns false if there is no
+   try or time left, or no domain has a holder. */
 static bool
 forward_again (struct node *n, struct pending *p)
 {
@@ -129,12 +137,12 @@
   domain = entry_pick_domain (n, &p->call.spec);
   if (!domain)
     return false;
-  uint64_t caller = p->http_call;
+  uint64_t http_call = p->http_call;
   entry_pending_detach (n, p);
-  again = entry_pending_new (n, caller, CALL_ACQUIRE);
-  int64_t no = again->call.seq;
+  again = entry_pending_new (n, http_call, CALL_ACQUIRE);
+  int64_t seq = again->call.seq;
   again->call = p->call;
-  again->call.seq = no;
+  again->call.seq = seq;
   again->tries = p->tries;
   again->arrival_ms = p->arrival_ms;
   again->max_run_ms = p->max_run_ms;
@@ -144,9 +152,9 @@
 }
 
 void
-node_forwarded (struct node *n, int64_t now_ms, uint64_t call, int end)
+node_forwarded (struct node *n, int64_t now_ms, uint64_t http_call, int end)
 {
-  struct pending *p = entry_pending_by_http_call (n, call);
+  struct pending *p = entry_pending_by_http_call (n, http_call);
 
   n->now_ms = now_ms;
   n->stats.forward_ends[end]++;
--- a/core/view.c
+++ b/core/view.c
@@ -1,4 +1,4 @@
-/* What an instance shows of itself: status as JSON, counters as text. */
+/* Reports of an instance: status as JSON, counters as Prometheus text. */
 #include "metric.h"
 #include "node.h"
 
@@ -6,8 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* By enum worker_state. */
 static const char *const worker_state_names[]
     = { "unseen", "live", "silent", "condemned", "gone" };
+/* By enum forward_end. */
 static const char *const end_names[]
     = { "ok", "error", "unreached", "failed", "cut" };
 
@@ -98,6 +100,7 @@
   return list;
 }
 
+/* Counts the tasks by enum task_state. */
 static void
 count_states (const struct node *n, int64_t counts[TASK_STATE_N])
 {
@@ -108,6 +111,7 @@
     counts[t->state]++;
 }
 
+/* State of the domain's scheduler. */
 static json_t *
 view_sched (struct node *n)
 {
@@ -149,6 +153,7 @@
   return text;
 }
 
+/* Prints the counters that every instance has. */
 static void
 metrics_entry (FILE *f, const struct node *n)
 {
@@ -177,7 +182,8 @@
                 (uint64_t)(n->now_ms - n->conf_verified_ms));
 }
 
-/* A Prometheus histogram for each class: buckets count what is below them. */
+/* Prints a Prometheus histogram of waits for each class; bucket counts are
+   cumulative. */
 static void
 metrics_waits (FILE *f, const struct sched_stats *st)
 {
@@ -200,6 +206,7 @@
     }
 }
 
+/* Prints the counters of the domain's scheduler. */
 static void
 metrics_sched (FILE *f, const struct node *n)
 {
