--- a/core/entry.c
+++ b/core/entry.c
@@ -36,8 +36,8 @@
   return a->http_call < b->http_call ? -1 : a->http_call > b->http_call;
 }
 
-RB_GENERATE (pending_tree, pending, by_no, pending_seq_cmp)
-RB_GENERATE (caller_tree, pending, by_call, pending_http_call_cmp)
+RB_GENERATE (pending_tree, pending, by_seq, pending_seq_cmp)
+RB_GENERATE (caller_tree, pending, by_http_call, pending_http_call_cmp)
 
 /* Answers. */
 
--- a/core/msg.h
+++ b/core/msg.h
@@ -322,7 +322,7 @@
   bool idempotent;
   bool open_only;      /* without a key: covers only tasks of open queues */
   int64_t max_waiting; /* limit of the team's waiting tasks; 0: none */
-  int64_t wait_ms;     /* longest wait for the answer */
+  int64_t wait_ms;     /* longest wait for a slot, or for the task's end */
   int64_t sent_ms;     /* entry instance's clock when this copy was sent */
   bool bad_server;     /* of CALL_RELEASE: the executor failed */
   int state;           /* of CALL_RELEASE: enum task_state */
@@ -338,7 +338,7 @@
   int64_t reason;            /* enum clb_reason */
   int64_t retry_ms;          /* delay before a retry; 0: not given */
   int64_t call_sent_ms;      /* call::sent_ms of the answered call */
-  char executor[CLB_ID_MAX]; /* that grants the slot; empty: no slot */
+  char executor[CLB_ID_MAX]; /* of the granted slot; empty: none granted */
   char addr[CLB_ADDR_MAX];   /* of the executor */
   char *text;                /* of CALL_WHY: the task's decisions as JSON */
 };
@@ -350,7 +350,7 @@
   char addr[CLB_ADDR_MAX]; /* for peer messages */
   int64_t conf_version;
   int64_t conf_age_ms;    /* time since conf_version was verified as current */
-  bool apply_in_progress; /* the sender has a change of unknown outcome */
+  bool apply_in_progress; /* the sender is writing a new manifest */
   bool holder;            /* the sender schedules its domain */
   int64_t epoch;          /* of the domain's lease; 0 if not holder */
   bool stopping;
@@ -358,14 +358,15 @@
   int64_t sent_ms;     /* sender's clock */
   int64_t echo_ms;   /* latest sent_ms that the sender has from the receiver */
   int64_t echo_boot; /* boot of the receiver's process that sent echo_ms */
-  struct clb_res free_capacity; /* of a holder: free capacity of the domain */
-  struct clb_res
-      total_capacity; /* of a holder: whole capacity of the domain */
-  struct clb_res largest_worker; /* of a holder: in each dimension the
-                             largest amount of any worker */
+  /* Of a holder: free capacity of the domain. */
+  struct clb_res free_capacity;
+  /* Of a holder: whole capacity of the domain. */
+  struct clb_res total_capacity;
+  /* Of a holder: in each dimension the largest amount of any worker. */
+  struct clb_res largest_worker;
 };
 
-/** struct held - a slot that an entry instance is using */
+/** struct held_slot - a slot that an entry instance is using */
 struct held_slot
 {
   char id[CLB_ID_MAX]; /* of the service request */
@@ -468,9 +469,9 @@
 /** struct event - a decision, or a change of an instance's state */
 struct event
 {
-  int64_t seq;     /* of the scheduler's decisions, in order; 0 for others */
-  int64_t time_ms; /* sender's clock */
-  char id[CLB_ID_MAX];     /* of the task; empty: none */
+  int64_t seq;         /* number of the scheduler's decision; 0 for others */
+  int64_t time_ms;     /* clock of the instance */
+  char id[CLB_ID_MAX]; /* of the task; empty: none */
   char team[CLB_NAME_MAX]; /* empty: none */
   char where[CLB_ID_MAX];  /* worker, executor or instance; empty: none */
   int64_t reason;          /* enum clb_reason */
--- a/core/node.h
+++ b/core/node.h
@@ -47,10 +47,10 @@
 /** struct request - a caller's HTTP request; all pointers are borrowed */
 struct request
 {
-  uint64_t
-      http_call;    /* number chosen by the HTTP server, nonzero, not reused */
-  int method;       /* enum method */
-  const char *path; /* "/v1/tasks/..." with the query string */
+  /* Number chosen by the HTTP server, nonzero, not reused. */
+  uint64_t http_call;
+  int method;             /* enum method */
+  const char *path;       /* "/v1/tasks/..." with the query string */
   const char *bearer;     /* key from the Authorization header, or NULL */
   const char *request_id; /* X-Request-Id of a service request, or NULL */
   const char *body;
@@ -112,8 +112,10 @@
 /** struct pending - a caller's request in progress */
 struct pending
 {
-  RB_ENTRY (pending) by_no;   /* in node::pending */
-  RB_ENTRY (pending) by_call; /* in node::callers, while http_call is set */
+  /* In node::pending. */
+  RB_ENTRY (pending) by_seq;
+  /* In node::callers, while http_call is set. */
+  RB_ENTRY (pending) by_http_call;
   uint64_t http_call; /* request::http_call; 0: no caller waits any more */
   struct call call;   /* for the domain's lease holder */
   int step;           /* enum pending_step */
@@ -137,8 +139,8 @@
 };
 RB_HEAD (pending_tree, pending);
 RB_HEAD (caller_tree, pending);
-RB_PROTOTYPE (pending_tree, pending, by_no, pending_seq_cmp)
-RB_PROTOTYPE (caller_tree, pending, by_call, pending_http_call_cmp)
+RB_PROTOTYPE (pending_tree, pending, by_seq, pending_seq_cmp)
+RB_PROTOTYPE (caller_tree, pending, by_http_call, pending_http_call_cmp)
 int pending_seq_cmp (const struct pending *a, const struct pending *b);
 int pending_http_call_cmp (const struct pending *a, const struct pending *b);
 
@@ -154,8 +156,8 @@
   uint64_t forward_ends[FORWARD_ABORTED + 1]; /* by enum forward_end */
   uint64_t store_errors; /* table service unreachable or outcome unknown */
   uint64_t hellos;
-  uint64_t
-      role_changes[WHY_N]; /* changes of this instance's role, by reason */
+  /* Changes of this instance's role, by reason. */
+  uint64_t role_changes[WHY_N];
 };
 
 /** struct node - one entry instance */
@@ -170,8 +172,8 @@
   struct conf *conf;    /* in force; empty until a manifest is accepted */
   struct head_row head; /* of conf; version 0: none accepted */
   int64_t head_ver;     /* row version of head */
-  int64_t
-      conf_verified_ms; /* latest time at which conf is known to be current */
+  /* Latest time at which conf is known to be current. */
+  int64_t conf_verified_ms;
   /* Polling of the head row. */
   uint64_t head_token; /* of the outstanding read; 0: none */
   int64_t head_sent_ms;
@@ -229,7 +231,7 @@
  */
 void node_forwarded (struct node *n, int64_t now_ms, uint64_t http_call,
                      int end);
-/** node_peer() - A peer message has arrived. */
+/** node_peer() - A message from another entry instance has arrived. */
 void node_peer (struct node *n, int64_t now_ms, const struct pmsg *m);
 /** node_store() - The answer to the store operation @token has arrived. */
 void node_store (struct node *n, int64_t now_ms, uint64_t token,
@@ -284,8 +286,7 @@
 
 /* Functions that entry.c, apply.c and service.c use from each other. */
 
-/** entry_pending_by_http_call() - Request of @http_call; NULL if none pending.
- */
+/** entry_pending_by_http_call() - The request @http_call, or NULL. */
 struct pending *entry_pending_by_http_call (struct node *n,
                                             uint64_t http_call);
 /** entry_pending_send() - Send the call to its domain's holder, if known. */
@@ -324,7 +325,7 @@
  */
 void service_forward (struct node *n, struct pending *p,
                       const struct reply *r);
-/** entry_answer_json() - Answer request @call; takes over @json. */
+/** entry_answer_json() - As entry_answer(), with @json, which it frees. */
 void entry_answer_json (struct node *n, uint64_t http_call, int status,
                         json_t *json, int64_t retry_ms);
 /**
@@ -335,7 +336,7 @@
  */
 void entry_answer_err (struct node *n, uint64_t http_call, int err,
                        const char *field, const char *id, int64_t retry_ms);
-/** entry_refuse() - Answer with an error before anything was started. */
+/** entry_refuse() - Answer a request that is refused on arrival. */
 void entry_refuse (struct node *n, uint64_t http_call, int err,
                    const char *field);
 /** entry_finish_err() - Answer a pending request with an error and free it. */
@@ -350,6 +351,7 @@
  */
 struct pending *entry_pending_new (struct node *n, uint64_t http_call,
                                    int verb);
+/** entry_pending_free() - Remove a pending request and free it. */
 void entry_pending_free (struct node *n, struct pending *p);
 /** entry_id_ok() - Whether a caller's id has valid length and characters. */
 bool entry_id_ok (const char *id);
@@ -360,8 +362,7 @@
                     const char *query);
 /** apply_show() - Answer with the configuration in force. */
 void apply_show (struct node *n, const struct request *rq);
-/** apply_tick() - Repeat an operation for a new manifest that got no answer.
- */
+/** apply_tick() - Follow up a store operation without an answer. */
 void apply_tick (struct node *n, struct pending *p);
 
 /* Functions that node.c uses from entry.c, apply.c and service.c. */
@@ -376,15 +377,20 @@
  * Return: false if @token is not of such an operation.
  */
 bool apply_store (struct node *n, uint64_t token, const struct store_rep *rep);
-/** entry_answer() - Answer request @http_call, if not 0; takes over @body. */
+/**
+ * entry_answer() - Answer a caller.
+ * @http_call: request::http_call; 0: no caller waits, do nothing
+ * @status: HTTP status
+ * @body: the answer's body, which is freed with the output
+ * @retry_ms: delay after which a retry may succeed; 0: none
+ */
 void entry_answer (struct node *n, uint64_t http_call, int status, char *body,
                    int64_t retry_ms);
 /** entry_held_slots() - List the slots in use; the caller frees the items. */
 void entry_held_slots (struct node *n, struct held_list *out);
 /** entry_fini() - Free all pending requests. */
 void entry_fini (struct node *n);
-/** entry_apply_in_progress() - Whether a new manifest is being written here.
- */
+/** entry_apply_in_progress() - Whether a new manifest is being written. */
 bool entry_apply_in_progress (struct node *n);
 
 /* Functions that entry.c, apply.c and service.c use from node.c. */
--- a/core/role.h
+++ b/core/role.h
@@ -44,9 +44,9 @@
   int64_t last_contact_ms; /* time of its latest hello; INT64_MIN / 2: none */
   bool listed;             /* it is in the platform's list */
   bool knows_self; /* it counts this instance as a member of the domain */
-  int64_t
-      promise_request_ms; /* when the latest promise was requested from it */
-  int64_t promise_seq;    /* promise::seq of that request */
+  /* When the latest promise was requested from it. */
+  int64_t promise_request_ms;
+  int64_t promise_seq;       /* promise::seq of that request */
   int64_t promised_until_ms; /* it does not claim the lease before this time */
 };
 
@@ -77,9 +77,10 @@
   bool stopping;          /* claims no lease any more */
   bool handing_over;      /* the holder releases the lease */
   /* The following members are used by a peer of the holder. */
-  int64_t promise_until_ms; /* it does not claim before this time */
+  int64_t promise_until_ms; /* this instance does not claim before then */
   bool list_known;          /* the platform's list was read */
-  /* The following members are used by the holder. */
+  /* Other entry instances of the domain.  The holder requests promises from
+     all of them. */
   struct role_peer peers[DOMAIN_MEMBERS_MAX];
   int n_peers;
   int64_t promise_seq;     /* promise::seq of the latest requests */
