--- a/core/clb.c
+++ b/core/clb.c
@@ -219,10 +219,11 @@
 }
 
 bool
-clb_res_fits (const struct clb_res *need, const struct clb_res *room)
+clb_res_fits (const struct clb_res *need, const struct clb_res *available)
 {
-  return need->cores <= room->cores && need->mem_mb <= room->mem_mb
-         && need->accels <= room->accels && need->slots <= room->slots;
+  return need->cores <= available->cores && need->mem_mb <= available->mem_mb
+         && need->accels <= available->accels
+         && need->slots <= available->slots;
 }
 
 void
--- a/core/clb.h
+++ b/core/clb.h
@@ -196,8 +196,9 @@
 void clb_res_set (struct clb_res *r, enum clb_res_kind kind, int64_t amount);
 /** clb_res_add() - Add @times times @r to @to; a negative @times subtracts. */
 void clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t times);
-/** clb_res_fits() - Whether @need is within @room in every dimension. */
-bool clb_res_fits (const struct clb_res *need, const struct clb_res *room);
+/** clb_res_fits() - Whether @need is within @available in each dimension. */
+bool clb_res_fits (const struct clb_res *need,
+                   const struct clb_res *available);
 
 /** clb_copy() - Copy @src to @dst, truncated to @size bytes with the NUL. */
 void clb_copy (char *dst, const char *src, size_t size);
--- a/core/entry.c
+++ b/core/entry.c
@@ -213,8 +213,8 @@
   entry_pending_free (n, p);
 }
 
-/* The holder must be told how the request ended even though the caller has
-   its answer: it frees the slot. */
+/* The holder must learn how the request ended, to free the slot, even if the
+   caller already has its answer. */
 void
 entry_pending_release (struct node *n, struct pending *p, int state,
                        bool executor_failed)
--- a/core/msg.h
+++ b/core/msg.h
@@ -155,7 +155,7 @@
  *
  * A worker must do the following.  It runs a task only until the latest lease
  * that it got expires.  After a stop it never starts the run with that id, and
- * says so in its report.  It reports an ended run until the end is
+ * its report confirms this.  It reports an ended run until the end is
  * acknowledged.
  */
 struct sync_req
--- a/core/node.h
+++ b/core/node.h
@@ -124,7 +124,7 @@
   int64_t sent_ms;           /* of a forwarded request: call_sent_ms of the
                                 reply that granted the slot; else time of the
                                 latest call or store operation */
-  int64_t deadline_ms;       /* the request is given up at this time */
+  int64_t deadline_ms;       /* the request fails at this time */
   int64_t arrival_ms;        /* when the caller's request arrived */
   int64_t tries;             /* number of forwards that got no answer */
   int64_t max_run_ms;        /* longest run of a service request */
--- a/core/role.h
+++ b/core/role.h
@@ -113,8 +113,7 @@
                  const struct hello *h);
 /** role_instances() - The platform's list of instances was read. */
 void role_instances (struct role *r, const struct inst_list *list);
-/** role_promise_request() - The holder @from requests a promise; answers it.
- */
+/** role_promise_request() - Answer the request of holder @from. */
 void role_promise_request (struct role *r, const char *from, int64_t boot,
                            const struct promise *p);
 /** role_promise() - The answer to a requested promise has arrived. */
@@ -129,8 +128,7 @@
  * outstanding; until then to be called again.
  */
 bool role_release (struct role *r);
-/** role_lease_lost() - Become a follower: another epoch was seen in the table.
- */
+/** role_lease_lost() - Become a follower: another epoch was seen. */
 void role_lease_lost (struct role *r);
 /**
  * role_valid_until() - End of the time in which this instance may start work.
