--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -30,7 +30,8 @@
       = end == HTTPC_OK && status == 200
         && !codec_parse (&sync_rep_desc, body, len, CODEC_LENIENT, &rep, &ce);
 
-  node_sync (&c->d->node, now_ms (), c->worker, c->seq, good ? &rep : NULL);
+  node_sync_done (&c->d->node, now_ms (), c->worker, c->seq,
+                  good ? &rep : NULL);
   if (good)
     codec_free (&sync_rep_desc, &rep);
   process_outputs (c->d);
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -108,10 +108,10 @@
       pf_order_send (&d->orders, o->u.order);
       o->u.order = NULL;
       break;
-    case OUT_MESH:
+    case OUT_FLEET_MSG:
       send_mesh (d, o->u.mesh.addr, o->u.mesh.msg);
       break;
-    case OUT_LINE:
+    case OUT_LOG_LINE:
       log_line (o->u.line);
       break;
     default:
--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -39,10 +39,10 @@
 {
   switch (e->reason)
     {
-    case WHY_TOOK_OVER:
+    case WHY_LEASE_ACQUIRED:
     case WHY_LEASE_LOST:
-    case WHY_HANDED_OVER:
-    case WHY_EXTENDED:
+    case WHY_LEASE_RELEASED:
+    case WHY_LEASE_EXTENDED:
     case WHY_STORE_DOWN:
     case WHY_STORE_BACK:
     case WHY_WORKER_QUARANTINED:
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -15,7 +15,7 @@
       d->damaged_messages++;
       return;
     }
-  node_peer (&d->node, now_ms (), &m);
+  node_peer_msg (&d->node, now_ms (), &m);
   pmsg_free (&m);
 }
 
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -49,7 +49,7 @@
   struct store_rep rep;
 
   read_rep (&rep, end, status, body, len);
-  node_store (&c->d->node, now_ms (), c->token, &rep);
+  node_store_answer (&c->d->node, now_ms (), c->token, &rep);
   codec_free (&store_rep_desc, &rep);
   process_outputs (c->d);
   free (c);
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -317,7 +317,7 @@
   f->xfer = 0;
   if (f->begun)
     httpd_end (s->http, f->call, end == HTTPC_OK);
-  node_forwarded (&s->d->node, now_ms (), f->call, result);
+  node_forward_done (&s->d->node, now_ms (), f->call, result);
   if (f->begun || f->caller_gone)
     forward_free (f);
   process_outputs (s->d);
@@ -342,8 +342,8 @@
   /* The process may have been paused since the slot was granted. */
   if (!f || !node_may_forward (&s->d->node, now_ms (), o->u.forward.call))
     {
-      node_forwarded (&s->d->node, now_ms (), o->u.forward.call,
-                      FORWARD_UNREACHED);
+      node_forward_done (&s->d->node, now_ms (), o->u.forward.call,
+                         FORWARD_UNREACHED);
       return;
     }
   snprintf (url, sizeof url, "http://%s%.200s", o->u.forward.addr, f->path);
--- a/core/apply.c
+++ b/core/apply.c
@@ -27,7 +27,7 @@
   strcat (name, p->head.hash);
   p->step = STEP_APPLY_OBJECT;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_OBJ_PUT;
   o->u.store.op.key = strdup (name);
   o->u.store.op.value = strdup (p->manifest);
@@ -42,7 +42,7 @@
 
   p->step = STEP_APPLY_HEAD;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, "head", p->head_ver);
   store_put (&o->u.store.op, "head", text);
@@ -57,7 +57,7 @@
 
   p->step = STEP_APPLY_CHECK;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
 }
@@ -134,7 +134,8 @@
 }
 
 bool
-apply_store (struct node *n, uint64_t token, const struct store_rep *rep)
+apply_store_answer (struct node *n, uint64_t token,
+                    const struct store_rep *rep)
 {
   struct pending *p;
 
--- a/core/clb.c
+++ b/core/clb.c
@@ -74,15 +74,15 @@
   [WHY_TOO_MANY_FAILURES]
   = { "too-many-failures", "too many attempts failed" },
   [WHY_CANCELLED] = { "cancelled", "cancelled by its owner" },
-  [WHY_TOOK_OVER]
+  [WHY_LEASE_ACQUIRED]
   = { "took-over", "this instance acquired the domain's lease" },
   [WHY_LEASE_LOST]
   = { "lease-lost", "another instance acquired the domain's lease" },
-  [WHY_HANDED_OVER]
+  [WHY_LEASE_RELEASED]
   = { "handed-over", "this instance released the domain's lease" },
   [WHY_STORE_DOWN] = { "store-down", "the table service does not answer" },
   [WHY_STORE_BACK] = { "store-back", "the table service answers again" },
-  [WHY_EXTENDED]
+  [WHY_LEASE_EXTENDED]
   = { "extended", "the peers' promises extend the domain's lease" },
   [WHY_CONFIG] = { "config", "a newer configuration is in force" },
   [WHY_GRANT_RAISED]
--- a/core/clb.h
+++ b/core/clb.h
@@ -153,13 +153,13 @@
   WHY_START_UNSEEN, /* the worker confirmed that it never got the start */
   WHY_TOO_MANY_FAILURES,
   WHY_CANCELLED,
-  WHY_TOOK_OVER,   /* this instance acquired the domain's lease */
-  WHY_LEASE_LOST,  /* another instance holds the domain's lease now */
-  WHY_HANDED_OVER, /* this instance released the domain's lease */
-  WHY_STORE_DOWN,  /* the table service became unreachable */
-  WHY_STORE_BACK,  /* the table service is reachable again */
-  WHY_EXTENDED,    /* the lease was extended by the peers' promises */
-  WHY_CONFIG,      /* a newer configuration is in force */
+  WHY_LEASE_ACQUIRED, /* this instance acquired the domain's lease */
+  WHY_LEASE_LOST,     /* another instance holds the domain's lease now */
+  WHY_LEASE_RELEASED, /* this instance released the domain's lease */
+  WHY_STORE_DOWN,     /* the table service became unreachable */
+  WHY_STORE_BACK,     /* the table service is reachable again */
+  WHY_LEASE_EXTENDED, /* the lease was extended by the peers' promises */
+  WHY_CONFIG,         /* a newer configuration is in force */
   WHY_GRANT_RAISED,
   WHY_GRANT_LOWERED,
   WHY_DEADLINE,
--- a/core/entry.c
+++ b/core/entry.c
@@ -622,7 +622,7 @@
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the HTTP client aborts it and calls node_forwarded() */
+      return; /* the HTTP client aborts it and calls node_forward_done() */
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -71,7 +71,7 @@
 void
 fleet_send (struct fleet *f, const char *addr, struct mesh_msg *m)
 {
-  struct out *o = out_new (&f->out, OUT_MESH);
+  struct out *o = out_new (&f->out, OUT_FLEET_MSG);
 
   clb_copy (m->from, f->settings.id, sizeof m->from);
   clb_copy (m->addr, f->settings.mesh_addr, sizeof m->addr);
--- a/core/load.c
+++ b/core/load.c
@@ -264,7 +264,7 @@
   s->load_step = LOAD_DONE;
   s->phase = SCHED_READY;
   escrow_conf (s);
-  sched_event (s, WHY_TOOK_OVER, "", "", s->me, 0);
+  sched_event (s, WHY_LEASE_ACQUIRED, "", "", s->me, 0);
 }
 
 void
--- a/core/msg.c
+++ b/core/msg.c
@@ -398,10 +398,10 @@
     case OUT_ORDER:
       order_free (o->u.order);
       break;
-    case OUT_MESH:
+    case OUT_FLEET_MSG:
       mesh_free (o->u.mesh.msg);
       break;
-    case OUT_LINE:
+    case OUT_LOG_LINE:
       free (o->u.line);
       break;
     default:
@@ -420,7 +420,7 @@
   if (vasprintf (&text, fmt, ap) < 0)
     abort ();
   va_end (ap);
-  out_new (q, OUT_LINE)->u.line = text;
+  out_new (q, OUT_LOG_LINE)->u.line = text;
 }
 
 void
--- a/core/msg.h
+++ b/core/msg.h
@@ -452,15 +452,15 @@
 /** enum out_kind - kind of an output */
 enum out_kind
 {
-  OUT_ANSWER,  /* final answer to a caller */
-  OUT_PEER,    /* message to another entry instance */
-  OUT_STORE,   /* operation of the table service */
-  OUT_SYNC,    /* request to a worker */
-  OUT_FORWARD, /* a caller's service request to an executor */
-  OUT_EVENT,   /* decision, for the log and for watchers */
-  OUT_ORDER,   /* order to an executor of the fleet or its advice service */
-  OUT_MESH,    /* message to another instance on the fleet */
-  OUT_LINE,    /* line for the log */
+  OUT_ANSWER,    /* final answer to a caller */
+  OUT_PEER,      /* message to another entry instance */
+  OUT_STORE,     /* operation of the table service */
+  OUT_SYNC,      /* request to a worker */
+  OUT_FORWARD,   /* a caller's service request to an executor */
+  OUT_EVENT,     /* decision, for the log and for watchers */
+  OUT_ORDER,     /* order to an executor of the fleet or its advice service */
+  OUT_FLEET_MSG, /* message to another instance on the fleet */
+  OUT_LOG_LINE,  /* line for the log */
 };
 
 struct order;
--- a/core/node.c
+++ b/core/node.c
@@ -39,7 +39,7 @@
   /* A reply to an earlier process of this instance must match no call. */
   n->last_call_seq = set->boot * CALLS_PER_BOOT;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
-             &n->tokens);
+             &n->last_store_token);
 }
 
 void
@@ -173,7 +173,7 @@
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
-  o->u.store.token = n->head_token = ++n->tokens;
+  o->u.store.token = n->head_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
   n->head_sent_ms = n->now_ms;
@@ -391,7 +391,7 @@
   n->object_head = *head;
   n->object_ver = ver;
   n->object_sent_ms = n->head_sent_ms;
-  o->u.store.token = n->object_token = ++n->tokens;
+  o->u.store.token = n->object_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_OBJ_GET;
   o->u.store.op.key = strdup (name);
 }
@@ -439,7 +439,7 @@
   struct out *o = out_new (&n->out, OUT_STORE);
   char known[24];
 
-  o->u.store.token = n->list_token = ++n->tokens;
+  o->u.store.token = n->list_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_INSTANCES;
   snprintf (known, sizeof known, "%lld", (long long)n->list_ver);
   if (n->list_known)
@@ -528,7 +528,7 @@
 {
   n->sched = sched_new (n->settings.domain, n->settings.id, n->settings.boot,
                         n->role.epoch, n->role.epoch_ver, n->now_ms, n->conf,
-                        &n->out, &n->tokens);
+                        &n->out, &n->last_store_token);
   if (n->settings.snap_every)
     n->sched->snap_every = n->settings.snap_every;
   if (n->list_known)
@@ -566,7 +566,7 @@
   bool extended = n->now_ms < until && n->now_ms >= n->role.lease_until_ms;
 
   if (extended && !n->extended)
-    node_event (n, WHY_EXTENDED);
+    node_event (n, WHY_LEASE_EXTENDED);
   n->extended = extended;
   if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLDER)
     {
@@ -588,7 +588,7 @@
   if (n->sched
       && (n->role.state != ROLE_HOLDER || n->role.epoch != n->sched->epoch))
     {
-      node_event (n, n->stopping ? WHY_HANDED_OVER : WHY_LEASE_LOST);
+      node_event (n, n->stopping ? WHY_LEASE_RELEASED : WHY_LEASE_LOST);
       sched_end (n);
     }
   if (!n->sched && n->role.state == ROLE_HOLDER && !n->stopping)
@@ -671,7 +671,7 @@
 }
 
 void
-node_peer (struct node *n, int64_t now_ms, const struct pmsg *m)
+node_peer_msg (struct node *n, int64_t now_ms, const struct pmsg *m)
 {
   set_now (n, now_ms);
   handle_peer_msg (n, m);
@@ -679,8 +679,8 @@
 }
 
 void
-node_store (struct node *n, int64_t now_ms, uint64_t token,
-            const struct store_rep *rep)
+node_store_answer (struct node *n, int64_t now_ms, uint64_t token,
+                   const struct store_rep *rep)
 {
   set_now (n, now_ms);
   if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EUNKNOWN)
@@ -691,15 +691,15 @@
     object_answer (n, rep);
   else if (token == n->list_token)
     list_answer (n, rep);
-  else if (!apply_store (n, token, rep) && !role_store (&n->role, token, rep)
-           && n->sched)
+  else if (!apply_store_answer (n, token, rep)
+           && !role_store_answer (&n->role, token, rep) && n->sched)
     sched_store (n->sched, token, rep);
   node_step (n);
 }
 
 void
-node_sync (struct node *n, int64_t now_ms, const char *worker, int64_t seq,
-           const struct sync_rep *rep)
+node_sync_done (struct node *n, int64_t now_ms, const char *worker,
+                int64_t seq, const struct sync_rep *rep)
 {
   set_now (n, now_ms);
   if (n->sched)
--- a/core/node.h
+++ b/core/node.h
@@ -164,9 +164,9 @@
 struct node
 {
   struct settings settings;
-  int64_t now_ms;  /* time of the latest input */
-  struct outq out; /* outputs for node_next_out() */
-  uint64_t tokens; /* last token given to a store operation */
+  int64_t now_ms;            /* time of the latest input */
+  struct outq out;           /* outputs for node_next_out() */
+  uint64_t last_store_token; /* last token given to a store operation */
   struct role role;
   struct sched *sched;  /* the domain's scheduler; NULL unless holder */
   struct conf *conf;    /* in force; empty until a manifest is accepted */
@@ -222,26 +222,27 @@
 /** node_caller_gone() - The caller of request @http_call has disconnected. */
 void node_caller_gone (struct node *n, int64_t now_ms, uint64_t http_call);
 /**
- * node_forwarded() - A forwarded service request has ended.
+ * node_forward_done() - A forwarded service request has ended.
  * @http_call: request::http_call
  * @end: enum forward_end
  *
  * If the executor has answered, the answer was already passed to the caller.
  * For every other end the node answers the caller.
  */
-void node_forwarded (struct node *n, int64_t now_ms, uint64_t http_call,
-                     int end);
-/** node_peer() - A message from another entry instance has arrived. */
-void node_peer (struct node *n, int64_t now_ms, const struct pmsg *m);
-/** node_store() - The answer to the store operation @token has arrived. */
-void node_store (struct node *n, int64_t now_ms, uint64_t token,
-                 const struct store_rep *rep);
+void node_forward_done (struct node *n, int64_t now_ms, uint64_t http_call,
+                        int end);
+/** node_peer_msg() - A message from another entry instance has arrived. */
+void node_peer_msg (struct node *n, int64_t now_ms, const struct pmsg *m);
+/** node_store_answer() - The answer to the store operation @token has arrived.
+ */
+void node_store_answer (struct node *n, int64_t now_ms, uint64_t token,
+                        const struct store_rep *rep);
 /**
- * node_sync() - The sync @seq with a worker has ended.
+ * node_sync_done() - The sync @seq with a worker has ended.
  * @rep: the worker's report, or NULL if there was no answer
  */
-void node_sync (struct node *n, int64_t now_ms, const char *worker,
-                int64_t seq, const struct sync_rep *rep);
+void node_sync_done (struct node *n, int64_t now_ms, const char *worker,
+                     int64_t seq, const struct sync_rep *rep);
 /** node_tick() - Handle timers; to be called regularly. */
 void node_tick (struct node *n, int64_t now_ms);
 /**
@@ -372,11 +373,13 @@
 /** entry_reply() - A lease holder's reply to a call has arrived. */
 void entry_reply (struct node *n, const struct reply *r);
 /**
- * apply_store() - Handle the answer to a store operation for a new manifest.
+ * apply_store_answer() - Handle the answer to a store operation for a new
+ * manifest.
  *
  * Return: false if @token is not of such an operation.
  */
-bool apply_store (struct node *n, uint64_t token, const struct store_rep *rep);
+bool apply_store_answer (struct node *n, uint64_t token,
+                         const struct store_rep *rep);
 /**
  * entry_answer() - Answer a caller.
  * @http_call: request::http_call; 0: no caller waits, do nothing
--- a/core/role.c
+++ b/core/role.c
@@ -35,7 +35,7 @@
   r->now_ms = now_ms;
   r->row_changed_ms = now_ms;
   r->out = out;
-  r->tokens = tokens;
+  r->last_store_token = tokens;
 }
 
 static void
@@ -50,13 +50,13 @@
   snprintf (out, KEY_SIZE, "epoch/%s", r->domain);
 }
 
-/* Queues a store operation of @kind, whose answer role_store() gets. */
+/* Queues a store operation of @kind, whose answer role_store_answer() gets. */
 static struct store_op *
 op_new (struct role *r, int kind)
 {
   struct out *o = out_new (r->out, OUT_STORE);
 
-  o->u.store.token = r->token = ++*r->tokens;
+  o->u.store.token = r->token = ++*r->last_store_token;
   o->u.store.op.kind = kind;
   r->op_sent_ms = r->now_ms;
   return &o->u.store.op;
@@ -307,7 +307,7 @@
 }
 
 bool
-role_store (struct role *r, uint64_t token, const struct store_rep *rep)
+role_store_answer (struct role *r, uint64_t token, const struct store_rep *rep)
 {
   if (token == 0 || token != r->token)
     return false;
@@ -431,7 +431,7 @@
   struct role_peer *peer = peer_find (r, from);
 
   if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
-      || p->seq != peer->promise_seq)
+      || p->seq != peer->promise_request_seq)
     return;
   /* Counted from the time of the request, so that the holder considers it
      ended before the peer does. */
@@ -459,11 +459,11 @@
   struct promise p = { .epoch = r->epoch, .duration_ms = PROMISE_MS };
 
   clb_copy (p.domain, r->domain, sizeof p.domain);
-  p.seq = ++r->promise_seq;
+  p.seq = ++r->last_promise_seq;
   for (int i = 0; i < r->n_peers; i++)
     {
       r->peers[i].promise_request_ms = r->now_ms;
-      r->peers[i].promise_seq = p.seq;
+      r->peers[i].promise_request_seq = p.seq;
       send_promise (r, PM_PROMISE_REQUEST, r->peers[i].id, &p);
     }
   r->next_promise_ms = r->now_ms + PROMISE_PERIOD_MS;
@@ -524,7 +524,7 @@
 {
   struct store_rep rep = { .err = CLB_EUNKNOWN };
 
-  role_store (r, r->token, &rep);
+  role_store_answer (r, r->token, &rep);
 }
 
 void
--- a/core/role.h
+++ b/core/role.h
@@ -46,7 +46,7 @@
   bool knows_self; /* it counts this instance as a member of the domain */
   /* When the latest promise was requested from it. */
   int64_t promise_request_ms;
-  int64_t promise_seq;       /* promise::seq of that request */
+  int64_t promise_request_seq; /* promise::seq of that request */
   int64_t promised_until_ms; /* it does not claim the lease before this time */
 };
 
@@ -59,13 +59,14 @@
   int64_t now_ms;           /* set by the caller before each call */
   int state;                /* enum role_state */
   struct outq *out;         /* where outputs are queued; not owned */
-  uint64_t *tokens;         /* counter of store tokens, shared with the node */
-  uint64_t token;           /* of the outstanding store operation; 0: none */
-  int64_t op_sent_ms;       /* when the latest store operation was sent */
-  int64_t next_op_ms;       /* when the next read or renewal is due */
-  struct lease_row row;     /* the lease row as last seen */
-  int64_t row_ver;          /* version of row; 0: the row is absent */
-  bool row_known;           /* row and row_ver are valid */
+  uint64_t
+      *last_store_token; /* counter of store tokens, shared with the node */
+  uint64_t token;        /* of the outstanding store operation; 0: none */
+  int64_t op_sent_ms;    /* when the latest store operation was sent */
+  int64_t next_op_ms;    /* when the next read or renewal is due */
+  struct lease_row row;  /* the lease row as last seen */
+  int64_t row_ver;       /* version of row; 0: the row is absent */
+  bool row_known;        /* row and row_ver are valid */
   bool read_again; /* read once more after the outstanding read's answer */
   int64_t row_changed_ms; /* when the row was first seen with row_ver */
   int64_t lease_until_ms; /* of the holder: when the lease row's lease ends */
@@ -83,9 +84,9 @@
      all of them. */
   struct role_peer peers[DOMAIN_MEMBERS_MAX];
   int n_peers;
-  int64_t promise_seq;     /* promise::seq of the latest requests */
-  int64_t next_promise_ms; /* when the next promises may be requested */
-  bool store_up;           /* the table answered the latest store operation */
+  int64_t last_promise_seq; /* promise::seq of the latest requests */
+  int64_t next_promise_ms;  /* when the next promises may be requested */
+  bool store_up;            /* the table answered the latest store operation */
 };
 
 /**
@@ -103,11 +104,12 @@
 /** role_tick() - Read, claim or renew the lease and request promises. */
 void role_tick (struct role *r);
 /**
- * role_store() - Handle the answer to a store operation.
+ * role_store_answer() - Handle the answer to a store operation.
  *
  * Return: false if @token is not of the outstanding operation.
  */
-bool role_store (struct role *r, uint64_t token, const struct store_rep *rep);
+bool role_store_answer (struct role *r, uint64_t token,
+                        const struct store_rep *rep);
 /** role_hello() - A hello from another instance of this domain has arrived. */
 void role_hello (struct role *r, const char *from, int64_t boot,
                  const struct hello *h);
--- a/core/service.c
+++ b/core/service.c
@@ -152,7 +152,7 @@
 }
 
 void
-node_forwarded (struct node *n, int64_t now_ms, uint64_t http_call, int end)
+node_forward_done (struct node *n, int64_t now_ms, uint64_t http_call, int end)
 {
   struct pending *p = entry_pending_by_http_call (n, http_call);
 
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -313,7 +313,7 @@
         case OUT_STORE:
           ftable_send (s, i, o->u.store.token, &o->u.store.op);
           break;
-        case OUT_MESH:
+        case OUT_FLEET_MSG:
           send_mesh (s, i, o->u.mesh.addr, o->u.mesh.msg);
           o->u.mesh.msg = NULL;
           break;
@@ -323,7 +323,7 @@
           else
             fexec_order (s, i, o->u.order);
           break;
-        case OUT_LINE:
+        case OUT_LOG_LINE:
           if (s->verbose)
             printf ("%8lld %d %s\n", (long long)s->now_ms, i, o->u.line);
           break;
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -273,7 +273,7 @@
       fprintf (stderr, "peer message damaged at %s\n", ce.path);
       abort ();
     }
-  node_peer (&n->node, w->now_ms, &m);
+  node_peer_msg (&n->node, w->now_ms, &m);
   pmsg_free (&m);
 }
 
@@ -312,7 +312,7 @@
   if (codec_parse (&store_rep_desc, it->text, it->len, CODEC_STRICT, &rep,
                    &ce))
     abort ();
-  node_store (&n->node, w->now_ms, it->token, &rep);
+  node_store_answer (&n->node, w->now_ms, it->token, &rep);
   codec_free (&store_rep_desc, &rep);
 }
 
@@ -360,8 +360,8 @@
       && codec_parse (&sync_rep_desc, it->text, it->len, CODEC_STRICT, &rep,
                       &ce))
     abort ();
-  node_sync (&n->node, w->now_ms, it->server, it->seq_no,
-             it->text ? &rep : NULL);
+  node_sync_done (&n->node, w->now_ms, it->server, it->seq_no,
+                  it->text ? &rep : NULL);
   if (it->text)
     codec_free (&sync_rep_desc, &rep);
 }
@@ -401,7 +401,7 @@
       c->answers++;
       check_answer (w->check, c);
     }
-  node_forwarded (&n->node, w->now_ms, (uint64_t)it->call + 1, it->end);
+  node_forward_done (&n->node, w->now_ms, (uint64_t)it->call + 1, it->end);
 }
 
 /* The executor's side of a request's end, at its time whatever the caller's
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -71,7 +71,7 @@
   fleet_mesh_msg (f, now_ms, &hello);
   while ((o = fleet_next_out (f)))
     {
-      if (o->kind == OUT_MESH && o->u.mesh.msg->kind == MESH_HELLO_REPLY)
+      if (o->kind == OUT_FLEET_MSG && o->u.mesh.msg->kind == MESH_HELLO_REPLY)
         rank = o->u.mesh.msg->rank;
       out_free (o);
     }
