--- a/core/node.h
+++ b/core/node.h
@@ -23,12 +23,14 @@
   CONF_FRESH_MS = 3000,
   /* Period of the hellos to the peers. */
   HELLO_PERIOD_MS = 1000,
-  /* A peer without contact for this time is unreachable: it gets no calls. */
+  /* A peer from which no hello has arrived for this time is unreachable and
+     gets no calls. */
   PEER_UNREACHABLE_MS = 3000,
   /* Longest wait of a caller for a submitted task to be accepted. */
   SUBMIT_WAIT_MS = 10000,
-  /* A granted slot may be used only within this time after its call was sent,
-     since the scheduler may later give it to another request. */
+  /* A granted slot may be used only within this time after the call that
+     acquired it was sent, since the scheduler may later grant it to another
+     request. */
   FORWARD_DEADLINE_MS = 2000,
   /* Largest body of a task request, in bytes. */
   BODY_MAX = 1 << 20,
@@ -51,32 +53,37 @@
   uint64_t http_call;
   int method;             /* enum method */
   const char *path;       /* "/v1/tasks/..." with the query string */
-  const char *bearer;     /* key from the Authorization header, or NULL */
-  const char *request_id; /* X-Request-Id of a service request, or NULL */
-  const char *body;
+  const char *bearer;     /* key from the Authorization header; NULL: none */
+  const char *request_id; /* X-Request-Id of a service request; NULL: none */
+  const char *body;       /* body_len bytes; may be NULL if that is 0 */
   size_t body_len;
 };
 
-/** enum forward_end - how a service request at an executor ended */
+/** enum forward_end - how forwarding a service request to an executor ended */
 enum forward_end
 {
-  FORWARD_OK,        /* the whole answer was passed to the caller */
-  FORWARD_ERROR,     /* as FORWARD_OK, with a status of 500 or above */
-  FORWARD_UNREACHED, /* nothing was sent, so nothing ran */
-  FORWARD_FAILED,    /* sent, but no part of an answer was received */
-  FORWARD_ABORTED,   /* the answer broke off, or the caller disconnected */
+  /* The whole answer was passed to the caller; its status is below 500. */
+  FORWARD_OK,
+  /* The whole answer was passed to the caller; its status is at least 500. */
+  FORWARD_ERROR,
+  /* Nothing was sent to the executor, so the request did not run. */
+  FORWARD_UNREACHED,
+  /* The request was sent, but no part of an answer was received. */
+  FORWARD_FAILED,
+  /* The answer ended early, or the caller disconnected. */
+  FORWARD_ABORTED,
 };
 
 /** struct settings - settings of one entry instance */
 struct settings
 {
-  char id[CLB_ID_MAX]; /* of this instance */
-  char domain[CLB_NAME_MAX];
-  char peer_addr[CLB_ADDR_MAX]; /* where peers reach this instance */
+  char id[CLB_ID_MAX];          /* id of this instance */
+  char domain[CLB_NAME_MAX];    /* domain of this instance */
+  char peer_addr[CLB_ADDR_MAX]; /* address that peers send messages to */
   int64_t boot;                 /* start time in ms; higher at every start */
   int64_t snap_every; /* journal rows between snapshots; 0: the default */
   /* Salt and hash of an operator key that is valid only until the first
-     manifest is accepted.  Empty: none. */
+     manifest is accepted.  Empty strings: there is no such key. */
   char first_salt[CLB_NAME_MAX];
   char first_hash[CONF_HASH_HEX];
 };
@@ -86,56 +93,65 @@
 {
   char id[CLB_ID_MAX];
   char domain[CLB_NAME_MAX];
-  char addr[CLB_ADDR_MAX]; /* for peer messages */
-  int64_t boot;            /* boot in its latest hello */
-  int64_t last_contact_ms; /* time of its latest hello; 0: none */
-  int64_t hello_sent_ms;   /* sent_ms of its latest hello, echoed to it */
+  char addr[CLB_ADDR_MAX]; /* address for peer messages */
+  int64_t boot;            /* boot of the process that sent its last hello */
+  int64_t last_contact_ms; /* when its latest hello arrived; 0: none yet */
+  int64_t hello_sent_ms;   /* hello::sent_ms of that hello, echoed to it */
   struct hello hello;      /* its latest hello */
-  bool listed;             /* it is in the platform's list */
-  bool held_reported;      /* it has reported the slots that it uses */
-  int64_t held_query_ms;   /* time of the latest query for these slots */
+  bool listed;             /* the platform's list of instances names it */
+  /* True once the peer has reported its slots in use to the scheduler that
+     this instance runs. */
+  bool held_reported;
+  int64_t held_query_ms; /* when it was last queried for its slots in use */
 };
 
 /** enum pending_step - what a pending request waits for */
 enum pending_step
 {
-  STEP_AWAIT_REPLY,  /* the lease holder's reply to a call */
-  STEP_FORWARDED,    /* an executor's answer to a service request */
-  STEP_RELEASING,    /* the lease holder's reply to CALL_RELEASE; the caller
-                        has its answer */
-  STEP_APPLY_OBJECT, /* the write of a new manifest's text */
-  STEP_APPLY_HEAD,   /* the write of the head row for that manifest */
-  STEP_APPLY_CHECK,  /* a read of the head row, after that write's answer was
-                        lost */
+  /* The lease holder's reply to a call. */
+  STEP_AWAIT_REPLY,
+  /* An executor's answer to a service request. */
+  STEP_FORWARDED,
+  /* The lease holder's reply to CALL_RELEASE; the caller has its answer. */
+  STEP_RELEASING,
+  /* The answer to the write of a new manifest's text. */
+  STEP_APPLY_OBJECT,
+  /* The answer to the write of the head row that names a new manifest. */
+  STEP_APPLY_HEAD,
+  /* The answer to a read of the head row.  The row is read if the answer to
+     the write of the head row was lost. */
+  STEP_APPLY_CHECK,
 };
 
-/** struct pending - a caller's request in progress */
+/** struct pending - a request in progress, usually a caller's */
 struct pending
 {
-  /* In node::pending. */
+  /* Link in node::pending. */
   RB_ENTRY (pending) by_seq;
-  /* In node::callers, while http_call is set. */
+  /* Link in node::callers, while http_call is nonzero. */
   RB_ENTRY (pending) by_http_call;
   uint64_t http_call; /* request::http_call; 0: no caller waits any more */
-  struct call call;   /* for the domain's lease holder */
+  struct call call;   /* call to the lease holder of domain */
   int step;           /* enum pending_step */
-  char domain[CLB_NAME_MAX]; /* to whose holder the call is sent */
-  char holder[CLB_ID_MAX];   /* to which the call was sent; empty: not sent */
-  int64_t sent_ms;           /* of a forwarded request: call_sent_ms of the
-                                reply that granted the slot; else time of the
-                                latest call or store operation */
+  char domain[CLB_NAME_MAX]; /* domain whose lease holder gets the call */
+  char holder[CLB_ID_MAX];   /* instance last sent the call; empty: none yet */
+  /* Of a forwarded request: reply::call_sent_ms of the reply that granted its
+     slot.  Of others: when the latest call or store operation was sent. */
+  int64_t sent_ms;
   int64_t deadline_ms;       /* the request fails at this time */
   int64_t arrival_ms;        /* when the caller's request arrived */
   int64_t tries;             /* number of forwards that got no answer */
-  int64_t max_run_ms;        /* longest run of a service request */
-  char executor[CLB_ID_MAX]; /* of the granted slot */
+  int64_t max_run_ms;        /* longest run time of a service request */
+  char executor[CLB_ID_MAX]; /* executor of the granted slot */
   /* The following members are used only for a new manifest. */
-  uint64_t store_token;  /* of the outstanding store operation; 0: none */
-  char *manifest;        /* its text, owned */
-  int64_t base_version;  /* configuration that the change was made from */
-  int64_t head_ver;      /* row version of the head row of base_version */
-  bool may_have_applied; /* a write of the head row has an unknown outcome */
-  struct head_row head;  /* the head row to be written */
+  uint64_t store_token; /* token of the outstanding store op; 0: none */
+  char *manifest;       /* text of the manifest, freed with the request */
+  /* Version of the configuration from which the change was made. */
+  int64_t base_version;
+  int64_t head_ver; /* row version of the head row with base_version */
+  /* True if a write of the head row has an unknown outcome. */
+  bool may_have_applied;
+  struct head_row head; /* the head row to be written */
 };
 RB_HEAD (pending_tree, pending);
 RB_HEAD (caller_tree, pending);
@@ -147,16 +163,19 @@
 /** struct node_stats - counters of one entry instance */
 struct node_stats
 {
-  uint64_t answers[-CLB_ERR_LAST]; /* by negated error number, 0: success */
-  uint64_t requests;               /* service requests included */
+  /* Answers to callers, indexed by negated enum clb_err; 0: success. */
+  uint64_t answers[-CLB_ERR_LAST];
+  uint64_t requests; /* callers' requests, including service requests */
   uint64_t service_requests;
-  uint64_t retries;      /* calls sent again to a holder */
+  uint64_t retries;      /* calls that were sent again to a lease holder */
   uint64_t late_replies; /* replies whose call is not pending any more */
-  uint64_t stale_slots;  /* slots granted too long ago to be used */
+  uint64_t stale_slots;  /* slots not used because granted too long ago */
   uint64_t forward_ends[FORWARD_ABORTED + 1]; /* by enum forward_end */
-  uint64_t store_errors; /* table service unreachable or outcome unknown */
-  uint64_t hellos;
-  /* Changes of this instance's role, by reason. */
+  /* Store operations for which the table service was unreachable or whose
+     outcome is unknown. */
+  uint64_t store_errors;
+  uint64_t hellos; /* hellos sent to peers */
+  /* Changes of this instance's role, by enum clb_reason. */
   uint64_t role_changes[WHY_N];
 };
 
@@ -167,50 +186,58 @@
   int64_t now_ms;            /* time of the latest input */
   struct outq out;           /* outputs for node_next_out() */
   uint64_t last_store_token; /* last token given to a store operation */
-  struct role role;
-  struct sched *sched;  /* the domain's scheduler; NULL unless holder */
+  struct role role;          /* this instance's part in the election */
+  struct sched *sched;  /* the domain's scheduler; NULL unless lease holder */
   struct conf *conf;    /* in force; empty until a manifest is accepted */
-  struct head_row head; /* of conf; version 0: none accepted */
+  struct head_row head; /* head row of conf; version 0: none accepted yet */
   int64_t head_ver;     /* row version of head */
   /* Latest time at which conf is known to be current. */
   int64_t conf_verified_ms;
   /* Polling of the head row. */
-  uint64_t head_token; /* of the outstanding read; 0: none */
-  int64_t head_sent_ms;
-  int64_t next_head_ms;
+  uint64_t head_token;  /* token of the outstanding read; 0: none */
+  int64_t head_sent_ms; /* when the latest read of the head row was sent */
+  int64_t next_head_ms; /* when the next read of the head row is due */
   /* Reading of a new manifest. */
-  uint64_t object_token;       /* of the outstanding read; 0: none */
+  uint64_t object_token;       /* token of the outstanding read; 0: none */
   struct head_row object_head; /* head row that names the manifest */
   int64_t object_ver;          /* row version of object_head */
   int64_t object_sent_ms;      /* when the read of object_head was sent */
   /* Polling of the platform's list of instances. */
-  uint64_t list_token; /* of the outstanding read; 0: none */
-  int64_t list_sent_ms;
-  int64_t next_list_ms;
-  struct inst_list list; /* as last read */
-  bool list_known;       /* list has been read at least once */
-  int64_t list_ver;      /* version of list */
-  int64_t list_ms;       /* when the read was sent that last confirmed list */
+  uint64_t list_token;   /* token of the outstanding read; 0: none */
+  int64_t list_sent_ms;  /* when the latest read of the list was sent */
+  int64_t next_list_ms;  /* when the next read of the list is due */
+  struct inst_list list; /* the platform's list of instances as last read */
+  bool list_known;       /* true once list has been read */
+  int64_t list_ver;      /* the platform's version number of list */
+  /* When the latest read was sent whose answer gave or confirmed list. */
+  int64_t list_ms;
   struct peer peers[PEERS_MAX];
   int n_peers;
-  int64_t next_hello_ms;
-  bool extended;        /* the lease is extended by the peers' promises */
-  bool store_down;      /* the table was unreachable at the last event */
-  bool reported_holder; /* hello::holder of the last hellos */
-  /* Capacity of the domain as in the last hellos; zero unless holder. */
+  int64_t next_hello_ms; /* when the next hellos to the peers are due */
+  bool extended;         /* the peers' promises extend the lease now */
+  /* True if WHY_STORE_DOWN was reported, and WHY_STORE_BACK not since. */
+  bool store_down;
+  bool reported_holder; /* hello::holder of the latest hellos */
+  /* Capacity of the domain as in the latest hellos; zero unless holder. */
   struct pool_sum capacity;
-  struct pending_tree pending; /* by seq of the call */
+  struct pending_tree pending; /* all pending requests, by call::seq */
   struct caller_tree callers;  /* those with a waiting caller, by http_call */
-  int n_pending;
-  int64_t last_call_seq;   /* seq of the latest call */
-  int64_t next_pending_ms; /* next check of deadlines and retries */
-  bool stopping;           /* node_stop() was called */
-  int64_t stopping_ms;     /* when it was called */
+  int n_pending;               /* number of pending requests */
+  int64_t last_call_seq;       /* call::seq of the latest new request */
+  int64_t next_pending_ms;     /* next check of deadlines and retries */
+  bool stopping;               /* node_stop() was called */
+  int64_t stopping_ms;         /* when node_stop() was called */
   bool handed_over; /* the lease is released, or the release timed out */
   struct node_stats stats;
 };
 
-/** node_init() - Initialize @n; copies @set.  Free with node_fini(). */
+/**
+ * node_init() - Initialize a node.
+ * @set: copied
+ * @now_ms: time of a monotonic clock
+ *
+ * The caller frees what @n owns with node_fini().
+ */
 void node_init (struct node *n, const struct settings *set, int64_t now_ms);
 /** node_fini() - Free what @n owns, but not @n itself. */
 void node_fini (struct node *n);
@@ -226,35 +253,40 @@
  * @http_call: request::http_call
  * @end: enum forward_end
  *
- * If the executor has answered, the answer was already passed to the caller.
- * For every other end the node answers the caller.
+ * With %FORWARD_OK and %FORWARD_ERROR the caller already has the executor's
+ * answer.  For every other end the node answers the caller.
  */
 void node_forward_done (struct node *n, int64_t now_ms, uint64_t http_call,
                         int end);
 /** node_peer_msg() - A message from another entry instance has arrived. */
 void node_peer_msg (struct node *n, int64_t now_ms, const struct pmsg *m);
-/** node_store_answer() - The answer to the store operation @token has arrived.
+/**
+ * node_store_answer() - The answer to a store operation has arrived.
+ * @token: token of the operation's output
  */
 void node_store_answer (struct node *n, int64_t now_ms, uint64_t token,
                         const struct store_rep *rep);
 /**
- * node_sync_done() - The sync @seq with a worker has ended.
+ * node_sync_done() - A sync with a worker has ended.
+ * @worker: id of the worker
+ * @seq: sync_req::seq of the request
  * @rep: the worker's report, or NULL if there was no answer
  */
 void node_sync_done (struct node *n, int64_t now_ms, const char *worker,
                      int64_t seq, const struct sync_rep *rep);
-/** node_tick() - Handle timers; to be called regularly. */
+/** node_tick() - Handle timers; the caller calls this regularly. */
 void node_tick (struct node *n, int64_t now_ms);
 /**
  * node_next_out() - Take the next output.
  *
- * Return: the output, which the caller frees with out_free(), or NULL.
+ * Return: the output, which the caller frees with out_free(); NULL if there
+ * is none.
  */
 struct out *node_next_out (struct node *n);
 
-/** node_stop() - Begin a graceful shutdown. */
+/** node_stop() - Begin a graceful shutdown; see node_stopped(). */
 void node_stop (struct node *n, int64_t now_ms);
-/** node_stopped() - Whether the shutdown is complete. */
+/** node_stopped() - Whether the graceful shutdown is complete. */
 bool node_stopped (const struct node *n);
 
 /**
@@ -262,7 +294,8 @@
  * @bearer: the key, or NULL
  * @team: set to the key's team; empty for an operator
  *
- * Return: 0, %CLB_ESTALE or %CLB_EKEY.
+ * Return: 0, %CLB_EKEY, or %CLB_ESTALE if the configuration is not verified as
+ * current.
  */
 int node_authorize (struct node *n, int64_t now_ms, const char *bearer,
                     char team[CLB_NAME_MAX]);
@@ -270,49 +303,68 @@
 /**
  * node_may_forward() - Whether request @http_call may still use its slot.
  *
- * To be checked right before the first byte is sent to the executor.
+ * The caller checks this right before it sends the first byte to the executor.
  */
 bool node_may_forward (const struct node *n, int64_t now_ms,
                        uint64_t http_call);
 
-/** node_find_peer() - The peer @id, or NULL. */
+/** node_find_peer() - Find the peer @id; NULL if there is none. */
 const struct peer *node_find_peer (const struct node *n, const char *id);
 
 /* view.c */
 
-/** view_status() - State of the instance as JSON; the caller frees it. */
+/** view_status() - State of the instance as JSON text; the caller frees it. */
 char *view_status (struct node *n);
-/** view_metrics() - Counters in Prometheus text format; the caller frees. */
+/**
+ * view_metrics() - Counters in Prometheus text format.
+ *
+ * Return: the text, which the caller frees; NULL if memory is exhausted.
+ */
 char *view_metrics (struct node *n);
 
 /* Functions that entry.c, apply.c and service.c use from each other. */
 
-/** entry_pending_by_http_call() - The request @http_call, or NULL. */
+/**
+ * entry_pending_by_http_call() - Find a pending request by its caller.
+ * @http_call: request::http_call
+ *
+ * Return: the request, or NULL if no such caller waits.
+ */
 struct pending *entry_pending_by_http_call (struct node *n,
                                             uint64_t http_call);
-/** entry_pending_send() - Send the call to its domain's holder, if known. */
+/**
+ * entry_pending_send() - Send a request's call to its domain's lease holder.
+ *
+ * Does nothing if no holder is known.
+ */
 void entry_pending_send (struct node *n, struct pending *p);
 /**
  * entry_pending_release() - Report the end of a service request.
  * @state: enum task_state
- * @executor_failed: counts as a failure of the executor
+ * @executor_failed: true if this counts as a failure of the executor
  *
- * Detaches the caller and calls the lease holder until it confirms.
+ * Detaches the caller and sends CALL_RELEASE to the lease holder, again and
+ * again until the holder confirms it or the time for this is over.
  */
 void entry_pending_release (struct node *n, struct pending *p, int state,
                             bool executor_failed);
-/** entry_pending_detach() - Detach the caller, who no longer waits. */
+/** entry_pending_detach() - Detach a request's caller, who waits no longer. */
 void entry_pending_detach (struct node *n, struct pending *p);
 /**
  * entry_team_for() - Find the team that is charged for a request.
  * @q: the request's queue
  * @team: set to the team's name
  *
- * Return: 0, %CLB_ESTALE, %CLB_EKEY or %CLB_EDENIED.
+ * Return: 0, %CLB_ESTALE, %CLB_EKEY, or %CLB_EDENIED if the key is an
+ * operator's.
  */
 int entry_team_for (struct node *n, const struct request *rq,
                     const struct conf_queue *q, char team[CLB_NAME_MAX]);
-/** entry_pick_domain() - Best domain for @spec; NULL if none has a holder. */
+/**
+ * entry_pick_domain() - Choose the domain that is to run @spec.
+ *
+ * Return: its name, which is borrowed; NULL if no domain has a lease holder.
+ */
 const char *entry_pick_domain (struct node *n, const struct spec *spec);
 /**
  * service_request() - Handle a service request.
@@ -321,23 +373,36 @@
 void service_request (struct node *n, const struct request *rq,
                       const char *rest);
 /**
- * service_forward() - Forward a request to the executor of its slot.
- * @r: reply that grants the slot; a slot granted too long ago is not used
+ * service_forward() - Forward a service request to the executor of its slot.
+ * @r: the reply that grants the slot
+ *
+ * If the slot was granted too long ago, refuses the request and releases the
+ * slot instead.
  */
 void service_forward (struct node *n, struct pending *p,
                       const struct reply *r);
-/** entry_answer_json() - As entry_answer(), with @json, which it frees. */
+/**
+ * entry_answer_json() - Answer a caller with a JSON body.
+ * @json: the body; the function takes ownership of the reference
+ *
+ * The other arguments are those of entry_answer().
+ */
 void entry_answer_json (struct node *n, uint64_t http_call, int status,
                         json_t *json, int64_t retry_ms);
 /**
  * entry_answer_err() - Answer request @http_call with an error.
- * @field: the wrong field, or NULL
+ * @err: enum clb_err
+ * @field: the wrong field of the request, or NULL
  * @id: id of the task or service request, or NULL
- * @retry_ms: delay after which a retry may succeed; 0: none
+ * @retry_ms: delay after which a retry may succeed; 0: not given
  */
 void entry_answer_err (struct node *n, uint64_t http_call, int err,
                        const char *field, const char *id, int64_t retry_ms);
-/** entry_refuse() - Answer a request that is refused on arrival. */
+/**
+ * entry_refuse() - Answer a request that is refused on arrival.
+ * @err: enum clb_err
+ * @field: the wrong field of the request, or NULL
+ */
 void entry_refuse (struct node *n, uint64_t http_call, int err,
                    const char *field);
 /** entry_finish_err() - Answer a pending request with an error and free it. */
@@ -354,42 +419,58 @@
                                    int verb);
 /** entry_pending_free() - Remove a pending request and free it. */
 void entry_pending_free (struct node *n, struct pending *p);
-/** entry_id_ok() - Whether a caller's id has valid length and characters. */
+/** entry_id_ok() - Whether the length and characters of @id are valid. */
 bool entry_id_ok (const char *id);
-/** entry_query_number() - Number after @name, "name=", in @query, or 0. */
+/**
+ * entry_query_number() - Read a number from a query string.
+ * @query: the query string, or NULL
+ * @name: name of the parameter and "="
+ *
+ * Return: the number; 0 if the parameter is absent.
+ */
 int64_t entry_query_number (const char *query, const char *name);
-/** apply_request() - Handle an operator's new manifest. */
+/**
+ * apply_request() - Handle an operator's request with a new manifest.
+ * @query: the path after "/v1/config"
+ */
 void apply_request (struct node *n, const struct request *rq,
                     const char *query);
-/** apply_show() - Answer with the configuration in force. */
+/** apply_show() - Answer a request for the configuration in force. */
 void apply_show (struct node *n, const struct request *rq);
-/** apply_tick() - Follow up a store operation without an answer. */
+/**
+ * apply_tick() - Continue a new manifest whose store operation is unanswered.
+ *
+ * Does nothing until the operation's time for an answer is over.
+ */
 void apply_tick (struct node *n, struct pending *p);
 
 /* Functions that node.c uses from entry.c, apply.c and service.c. */
 
 /** entry_tick() - Check deadlines and retries of the pending requests. */
 void entry_tick (struct node *n);
-/** entry_reply() - A lease holder's reply to a call has arrived. */
+/** entry_reply() - Handle a lease holder's reply to a call. */
 void entry_reply (struct node *n, const struct reply *r);
 /**
- * apply_store_answer() - Handle the answer to a store operation for a new
- * manifest.
+ * apply_store_answer() - Handle the answer to a store operation.
  *
- * Return: false if @token is not of such an operation.
+ * Return: true if @token is that of an operation for a new manifest; false if
+ * it is not, and nothing was done.
  */
 bool apply_store_answer (struct node *n, uint64_t token,
                          const struct store_rep *rep);
 /**
  * entry_answer() - Answer a caller.
- * @http_call: request::http_call; 0: no caller waits, do nothing
+ * @http_call: request::http_call; 0: no caller waits, send nothing
  * @status: HTTP status
- * @body: the answer's body, which is freed with the output
- * @retry_ms: delay after which a retry may succeed; 0: none
+ * @body: the answer's body; the function takes ownership of it
+ * @retry_ms: delay after which a retry may succeed; 0: not given
  */
 void entry_answer (struct node *n, uint64_t http_call, int status, char *body,
                    int64_t retry_ms);
-/** entry_held_slots() - List the slots in use; the caller frees the items. */
+/**
+ * entry_held_slots() - List the slots that this instance uses.
+ * @out: set to the list, whose items the caller frees
+ */
 void entry_held_slots (struct node *n, struct held_list *out);
 /** entry_fini() - Free all pending requests. */
 void entry_fini (struct node *n);
@@ -398,19 +479,32 @@
 
 /* Functions that entry.c, apply.c and service.c use from node.c. */
 
-/** node_get_peer() - Find or add the peer @id; NULL if full or this node. */
+/**
+ * node_get_peer() - Find the peer @id, or add it.
+ *
+ * Return: the peer; NULL if @id is this instance or %PEERS_MAX is reached.
+ */
 struct peer *node_get_peer (struct node *n, const char *id);
-/** node_holder() - Id of the instance that schedules @domain, or NULL. */
+/**
+ * node_holder() - Find the lease holder of a domain.
+ *
+ * Return: its instance id, which is borrowed; NULL if none is known.
+ */
 const char *node_holder (struct node *n, const char *domain);
-/** node_send() - Send @m to instance @to; takes over what @m owns. */
+/**
+ * node_send() - Send a peer message.
+ * @to: id of the receiving instance
+ * @m: the message, whose sender is filled in; the function takes ownership of
+ *     what @m owns
+ */
 void node_send (struct node *n, const char *to, struct pmsg *m);
-/** node_conf_fresh() - Whether the configuration is known to be current. */
+/** node_conf_fresh() - Whether the configuration is verified as current. */
 bool node_conf_fresh (const struct node *n);
 /**
  * node_install_conf() - Put a newer configuration into force.
  * @head: its head row
  * @ver: row version of @head
- * @text: the manifest
+ * @text: text of the manifest
  *
  * Does nothing if @head is not newer or @text is damaged.
  */
