--- a/core/role.c
+++ b/core/role.c
@@ -1,4 +1,5 @@
-/* Election of a domain's scheduler: lease row, claims and promises. */
+/* Election of the entry instance that schedules a domain: its lease row,
+   claims of the lease, and promises not to claim it. */
 #include "role.h"
 
 #include <stdio.h>
@@ -17,8 +18,8 @@
   PROMISE_PERIOD_MS = 500,
   /* Time for which one promise is valid. */
   PROMISE_MS = 3000,
-  /* A peer that is not in the platform's list and without contact for this
-     time is no longer a member. */
+  /* A peer is no longer a member of the domain if the platform's list of
+     instances does not name it and no hello came from it for this time. */
   PEER_REMOVE_MS = 30000,
   /* Size of a row key, in bytes including the NUL. */
   KEY_SIZE = 128,
@@ -26,7 +27,8 @@
 
 void
 role_init (struct role *r, const char *domain, const char *self_id,
-           int64_t boot, int64_t now_ms, struct outq *out, uint64_t *tokens)
+           int64_t boot, int64_t now_ms, struct outq *out,
+           uint64_t *last_store_token)
 {
   memset (r, 0, sizeof *r);
   clb_copy (r->domain, domain, sizeof r->domain);
@@ -35,7 +37,7 @@
   r->now_ms = now_ms;
   r->row_changed_ms = now_ms;
   r->out = out;
-  r->last_store_token = tokens;
+  r->last_store_token = last_store_token;
 }
 
 static void
@@ -50,20 +52,21 @@
   snprintf (out, KEY_SIZE, "epoch/%s", r->domain);
 }
 
-/* Queues a store operation of @kind, whose answer role_store_answer() gets. */
+/* Queues a store operation of @kind and returns it, for the caller to fill in.
+   Its answer is passed to role_store_answer(). */
 static struct store_op *
 op_new (struct role *r, int kind)
 {
   struct out *o = out_new (r->out, OUT_STORE);
 
-  o->u.store.token = r->token = ++*r->last_store_token;
+  o->u.store.token = r->store_token = ++*r->last_store_token;
   o->u.store.op.kind = kind;
   r->op_sent_ms = r->now_ms;
   return &o->u.store.op;
 }
 
 static void
-read_row (struct role *r)
+read_lease_row (struct role *r)
 {
   char key[KEY_SIZE];
 
@@ -72,10 +75,11 @@
   r->next_op_ms = r->now_ms + ROW_POLL_MS;
 }
 
-/* Writes the lease row, if it has not changed since it was last seen.  A claim
-   also writes the epoch row, on which the scheduler's writes depend. */
+/* Writes the lease row, on condition that it has not changed since it was last
+   read.  If @claim is true, also writes the epoch row, on which the
+   scheduler's writes depend. */
 static void
-write_row (struct role *r, const struct lease_row *row, bool claim)
+write_lease_row (struct role *r, const struct lease_row *row, bool claim)
 {
   struct store_op *op = op_new (r, STORE_TXN);
   clb_auto char *text = codec_text (&lease_row_desc, row);
@@ -107,7 +111,7 @@
   row.heartbeat++;
   if (r->handing_over)
     row.holder[0] = '\0';
-  write_row (r, &row, false);
+  write_lease_row (r, &row, false);
   r->next_op_ms = r->now_ms + RENEW_MS;
 }
 
@@ -123,7 +127,7 @@
   r->claim_sent_ms = r->now_ms;
   r->next_claim_ms = r->now_ms + RENEW_MS;
   r->claim_uncertain = true;
-  write_row (r, &row, true);
+  write_lease_row (r, &row, true);
 }
 
 static struct role_peer *
@@ -135,8 +139,9 @@
   return NULL;
 }
 
-/* Whether the holder in the lease row may still be active, extending its lease
-   by promises without the table.  A claim needs proof that it is not. */
+/* Returns whether the holder named in the lease row may still be active.  It
+   may have extended its lease by promises, without writing the row, so a claim
+   needs proof that it is not active. */
 static bool
 holder_may_be_active (struct role *r)
 {
@@ -147,10 +152,11 @@
   if (p && p->boot == r->row.boot && r->now_ms - p->last_contact_ms < LEASE_MS)
     return true;
   /* A holder that counts this instance as a member cannot extend its lease
-     without its promise, which is not valid now. */
+     without a promise of this instance, and none is valid now. */
   if (p && p->boot == r->row.boot && p->knows_self)
     return false;
-  /* The holder's instance has restarted: that process is gone. */
+  /* The holder's instance has restarted, so the process that held the lease
+     has ended. */
   if (p && p->boot != r->row.boot)
     return false;
   return strcmp (r->row.holder, r->self_id) != 0
@@ -171,9 +177,10 @@
   return !holder_may_be_active (r);
 }
 
-/* Takes the lease row @row from an answer; NULL: the row is absent. */
+/* Updates the lease row of @r from an answer.  @row is NULL if the table has
+   no lease row. */
 static void
-update_row (struct role *r, const struct row *row)
+update_lease_row (struct role *r, const struct row *row)
 {
   struct codec_err ce;
   struct lease_row lr = { .epoch = 0 };
@@ -190,7 +197,8 @@
   r->row_known = true;
 }
 
-/* Becomes the holder after a successful claim. */
+/* Makes this instance the holder after a successful claim.  @epoch_ver is the
+   row version of the epoch row. */
 static void
 become_holder (struct role *r, int64_t epoch_ver)
 {
@@ -208,13 +216,13 @@
   r->state = ROLE_FOLLOWER;
   r->lease_until_ms = 0;
   r->row_known = false;
-  r->token = 0;
+  r->store_token = 0;
   r->next_op_ms = r->now_ms;
 }
 
-/* The row @key in an answer, or NULL. */
+/* Returns the row with key @key in an answer, or NULL. */
 static const struct row *
-find_row (const struct store_rep *rep, const char *key)
+row_by_key (const struct store_rep *rep, const char *key)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     if (strcmp (rep->rows[i].key, key) == 0)
@@ -235,9 +243,9 @@
       r->state = ROLE_FOLLOWER;
       r->claim_uncertain = false;
       r->next_op_ms = r->now_ms + RENEW_MS;
-      /* The row has changed since the claim was made from it. */
+      /* The lease row has changed since this claim was made. */
       if (rep->err == CLB_ECONFLICT)
-        update_row (r, find_row (rep, key));
+        update_lease_row (r, row_by_key (rep, key));
       return;
     }
   if (rep->err)
@@ -246,24 +254,25 @@
       r->next_op_ms = r->now_ms + RENEW_MS;
       return;
     }
-  row = find_row (rep, key);
+  row = row_by_key (rep, key);
   r->row_ver = row ? row->ver : 0;
   clb_copy (r->row.holder, r->self_id, sizeof r->row.holder);
   r->row.boot = r->boot;
   r->row.epoch++;
   r->row.heartbeat++;
   epoch_key (r, key);
-  row = find_row (rep, key);
+  row = row_by_key (rep, key);
   become_holder (r, row ? row->ver : 0);
 }
 
-/* Handles the answer to the read after a claim of unknown outcome. */
+/* Handles the answer to the read of the lease row that follows a claim of
+   unknown outcome. */
 static void
 check_answer (struct role *r, const struct store_rep *rep)
 {
   if (rep->err && rep->err != CLB_ENOTFOUND)
     return;
-  update_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+  update_lease_row (r, rep->n_rows ? &rep->rows[0] : NULL);
   /* The claim took effect, but the version of the epoch row is not known.
      Claim again, with the next epoch. */
   if (row_is_mine (r))
@@ -283,7 +292,7 @@
   const struct row *row;
 
   lease_key (r, key);
-  row = find_row (rep, key);
+  row = row_by_key (rep, key);
   if (rep->err == 0 && r->handing_over)
     {
       role_lease_lost (r);
@@ -298,8 +307,9 @@
     }
   if (rep->err != CLB_ECONFLICT)
     return;
-  update_row (r, row);
-  /* An earlier renewal took effect but its answer was lost: renew again. */
+  update_lease_row (r, row);
+  /* The lease row has changed because an earlier renewal took effect although
+     its answer was lost.  Renew again. */
   if (row_is_mine (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
@@ -309,9 +319,9 @@
 bool
 role_store_answer (struct role *r, uint64_t token, const struct store_rep *rep)
 {
-  if (token == 0 || token != r->token)
+  if (token == 0 || token != r->store_token)
     return false;
-  r->token = 0;
+  r->store_token = 0;
   r->store_up = rep->err != CLB_EUNAVAIL && rep->err != CLB_EUNKNOWN;
   switch (r->state)
     {
@@ -326,7 +336,7 @@
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-        update_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+        update_lease_row (r, rep->n_rows ? &rep->rows[0] : NULL);
       if (r->read_again)
         r->next_op_ms = r->now_ms;
       r->read_again = false;
@@ -396,7 +406,8 @@
   return false;
 }
 
-/* Sends a request for a promise, or the answer to one; @kind: pmsg_kind. */
+/* Sends a request for a promise, or the answer to one.  @kind is
+   PM_PROMISE_REQUEST or PM_PROMISE, @to the id of the receiving instance. */
 static void
 send_promise (struct role *r, int kind, const char *to,
               const struct promise *p)
@@ -433,8 +444,8 @@
   if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
       || p->seq != peer->promise_request_seq)
     return;
-  /* Counted from the time of the request, so that the holder considers it
-     ended before the peer does. */
+  /* The promise is counted from the time of the request, so that it ends for
+     the holder before it ends for the peer. */
   peer->promised_until_ms
       = peer->promise_request_ms + p->duration_ms - LEASE_MARGIN_MS;
 }
@@ -469,8 +480,9 @@
   r->next_promise_ms = r->now_ms + PROMISE_PERIOD_MS;
 }
 
-/* The time up to which all peers have promised not to claim the lease, and at
-   most as long as a promise requested now would be valid. */
+/* Returns the time up to which all peers have promised not to claim the lease.
+   The result is at most the time up to which a promise that is requested now
+   would be valid. */
 static int64_t
 promised_until (const struct role *r)
 {
@@ -500,8 +512,8 @@
 {
   if (r->state == ROLE_FOLLOWER)
     r->next_op_ms = r->now_ms;
-  /* An outstanding read may return the row from before the release. */
-  r->read_again = r->token != 0;
+  /* An outstanding read may return the row as it was before the release. */
+  r->read_again = r->store_token != 0;
 }
 
 bool
@@ -510,7 +522,7 @@
   r->stopping = true;
   if (r->state != ROLE_HOLDER)
     return r->state == ROLE_FOLLOWER;
-  if (!r->handing_over && !r->token)
+  if (!r->handing_over && !r->store_token)
     {
       r->handing_over = true;
       r->next_op_ms = r->now_ms;
@@ -518,26 +530,27 @@
   return false;
 }
 
-/* Ends the outstanding store operation with an unknown outcome. */
+/* Handles the timeout of the outstanding store operation, whose outcome is
+   unknown. */
 static void
-op_timeout (struct role *r)
+handle_op_timeout (struct role *r)
 {
   struct store_rep rep = { .err = CLB_EUNKNOWN };
 
-  role_store_answer (r, r->token, &rep);
+  role_store_answer (r, r->store_token, &rep);
 }
 
 void
 role_tick (struct role *r)
 {
   remove_gone_peers (r);
-  if (r->token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
-    op_timeout (r);
+  if (r->store_token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
+    handle_op_timeout (r);
   if (r->state == ROLE_HOLDER && !r->handing_over
       && r->lease_until_ms - r->now_ms < LEASE_MS - 2 * RENEW_MS
       && r->now_ms >= r->next_promise_ms)
     request_promises (r);
-  if (r->token)
+  if (r->store_token)
     return;
   if (r->state == ROLE_FOLLOWER && may_claim (r)
       && r->now_ms >= r->next_claim_ms)
@@ -547,6 +560,6 @@
       if (r->state == ROLE_HOLDER)
         renew (r);
       else
-        read_row (r);
+        read_lease_row (r);
     }
 }
