--- a/core/clb.c
+++ b/core/clb.c
@@ -8,10 +8,10 @@
 {
   const char *name;
   enum clb_outcome outcome;
-  int http; /* status */
+  int http; /* HTTP status of the answer */
 };
 
-/* Indexed by the negated error number. */
+/* Errors as reported to callers, indexed by the negated error number. */
 static const struct err_info err_table[-CLB_ERR_LAST] = {
   [-CLB_OK] = { "ok", CLB_RAN, 200 },
   [-CLB_EPARSE] = { "parse-error", CLB_NOT_RUN, 400 },
@@ -39,11 +39,11 @@
   [-CLB_EREACH] = { "backend-unreachable", CLB_NOT_RUN, 503 },
 };
 
-/* struct reason_info - how a reason is reported */
+/* struct reason_info - how the reason of a decision is reported */
 struct reason_info
 {
   const char *name; /* stable code */
-  const char *text; /* for people */
+  const char *text; /* explanation for people */
 };
 
 static const struct reason_info reason_table[WHY_N] = {
@@ -210,12 +210,12 @@
 }
 
 void
-clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t times)
+clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t factor)
 {
-  to->cores += times * r->cores;
-  to->mem_mb += times * r->mem_mb;
-  to->accels += times * r->accels;
-  to->slots += times * r->slots;
+  to->cores += factor * r->cores;
+  to->mem_mb += factor * r->mem_mb;
+  to->accels += factor * r->accels;
+  to->slots += factor * r->slots;
 }
 
 bool
--- a/core/clb.h
+++ b/core/clb.h
@@ -18,7 +18,7 @@
   CLB_NAME_MAX = 48,
   /* Size of an "ip:port" address, in bytes including the NUL. */
   CLB_ADDR_MAX = 64,
-  /* Delay after which a refused caller is told to retry. */
+  /* Delay that a refused caller is told to wait before it retries. */
   RETRY_HINT_MS = 1000,
   /* Largest number of failure domains in one fleet. */
   CLB_DOMAINS_MAX = 8,
@@ -27,7 +27,10 @@
 /* Marks a pointer variable whose target is freed when the scope ends. */
 #define clb_auto __attribute__ ((cleanup (clb_free_at)))
 
-/** clb_free_at() - Free the pointer stored at @pointer; for clb_auto. */
+/**
+ * clb_free_at() - Free the target of a pointer variable; used by clb_auto.
+ * @pointer: address of the variable
+ */
 static inline void
 clb_free_at (void *pointer)
 {
@@ -41,8 +44,8 @@
  * enum clb_err - error numbers
  *
  * Functions return 0 or one of these negative numbers.  clb_err_name() gives
- * the stable name that callers see, clb_err_outcome() tells whether the
- * refused request may have run, and clb_err_http() gives the HTTP status.
+ * the stable name that callers see, clb_err_outcome() tells whether a request
+ * that got the error may have run, and clb_err_http() gives the HTTP status.
  */
 enum clb_err
 {
@@ -54,15 +57,17 @@
   CLB_EDUP = -5,   /* two entries have the same name, or two different
                       requests the same id */
   CLB_ENOMEM = -6,
-  CLB_ECONFLICT = -7,  /* another writer changed the row first */
-  CLB_EUNAVAIL = -8,   /* the platform refused or was not reached */
-  CLB_EUNKNOWN = -9,   /* the request was sent, its outcome is not known */
+  CLB_ECONFLICT = -7, /* another writer changed the row first */
+  /* The platform refused the operation or was not reached. */
+  CLB_EUNAVAIL = -8,
+  /* The request was sent, but its outcome is not known. */
+  CLB_EUNKNOWN = -9,
   CLB_EKEY = -10,      /* the key is missing, unknown or wrong */
   CLB_EDENIED = -11,   /* the key does not permit this request */
   CLB_ESTALE = -12,    /* the configuration is not verified as current */
   CLB_EFULL = -13,     /* a queue or the journal's backlog is full */
   CLB_ENOHOLDER = -14, /* no instance holds the domain's lease */
-  CLB_ENOTFOUND = -15,
+  CLB_ENOTFOUND = -15, /* the task, row or path does not exist */
   CLB_ETIMEOUT = -16,  /* no capacity became free before the deadline */
   CLB_ENOFIT = -17,    /* the need exceeds every worker or the team's limit */
   CLB_ESTOPPING = -18, /* this instance is shutting down */
@@ -74,7 +79,7 @@
   CLB_ERR_LAST = -24 /* one below the last error number */
 };
 
-/** enum clb_outcome - whether a request that got an error has run */
+/** enum clb_outcome - whether a request has run, as its answer tells */
 enum clb_outcome
 {
   CLB_NOT_RUN, /* the request has not run and will not run */
@@ -107,11 +112,13 @@
   TASK_PENDING,  /* waiting for capacity */
   TASK_STARTING, /* placed, not yet reported running by the worker */
   TASK_RUNNING,
-  TASK_STOPPING, /* to be cancelled or retried, still running on workers */
+  /* Members are being stopped on their workers; the task will be cancelled or
+     retried. */
+  TASK_STOPPING,
   TASK_DONE,
   TASK_FAILED,
   TASK_CANCELLED,
-  TASK_UNKNOWN, /* may have run, its outcome cannot be determined */
+  TASK_UNKNOWN, /* the task may have run; its outcome is not known */
   TASK_STATE_N
 };
 
@@ -137,19 +144,21 @@
   WHY_NONE,
   WHY_ACCEPTED,
   WHY_DUPLICATE, /* a request with the same id exists */
-  WHY_BEST_FIT,  /* placed on the worker that it leaves least free */
+  WHY_BEST_FIT,  /* placed on the worker with the least capacity left over */
   WHY_SPREAD,    /* placed with its members on different racks */
   WHY_NO_ROOM,   /* no worker has enough free capacity */
   WHY_TEAM_LIMIT,
-  WHY_NO_WORKER_FITS, /* larger than every worker's whole capacity */
+  WHY_NO_WORKER_FITS, /* the need exceeds every worker's whole capacity */
   WHY_STARTED,
   WHY_ENDED_OK,
   WHY_ENDED_FAILED,
   WHY_WORKER_REFUSED,
-  WHY_WORKER_LOST, /* no contact until the task's lease expired */
+  /* No contact with the worker until the task's lease expired. */
+  WHY_WORKER_LOST,
   WHY_WORKER_REBOOTED,
   WHY_WORKER_QUARANTINED,
-  WHY_WORKER_BACK,  /* reachable again, or released from quarantine */
+  /* The worker is reachable again, or released from quarantine. */
+  WHY_WORKER_BACK,
   WHY_START_UNSEEN, /* the worker confirmed that it never got the start */
   WHY_TOO_MANY_FAILURES,
   WHY_CANCELLED,
@@ -165,12 +174,15 @@
   WHY_DEADLINE,
   WHY_ENTRY_LOST, /* the entry instance of a service request is gone */
   WHY_GANG_MEMBER_FAILED,
-  WHY_PREEMPTED,  /* preempted by urgent work */
-  WHY_PREEMPTING, /* urgent work preempts other tasks */
+  WHY_PREEMPTED,  /* the task was preempted by urgent work */
+  WHY_PREEMPTING, /* other tasks are being preempted for this urgent task */
   WHY_N
 };
 
-/** clb_err_name() - Stable name of @err; an unknown number is EUNKNOWN's. */
+/**
+ * clb_err_name() - Stable name of an error.
+ * @err: enum clb_err; any other number is named as %CLB_EUNKNOWN
+ */
 const char *clb_err_name (int err);
 /** clb_err_outcome() - Whether a request that got @err may have run. */
 enum clb_outcome clb_err_outcome (int err);
@@ -183,24 +195,28 @@
 /** clb_reason_text() - Explanation of @reason for people. */
 const char *clb_reason_text (int64_t reason);
 
-/* Stable names by enumerator; each array ends with NULL. */
+/* Stable names of task states and classes, indexed by enum task_state and enum
+   task_class; each array ends with NULL. */
 extern const char *const task_state_names[TASK_STATE_N + 1];
 extern const char *const task_class_names[CLASS_N + 1];
 
 /** task_state_final() - Whether @state is an end state. */
 bool task_state_final (int state);
 
-/** clb_res_get() - The amount of @kind in @r. */
+/** clb_res_get() - Get the amount of resource @kind in @r. */
 int64_t clb_res_get (const struct clb_res *r, enum clb_res_kind kind);
-/** clb_res_set() - Set the amount of @kind in @r. */
+/** clb_res_set() - Set the amount of resource @kind in @r. */
 void clb_res_set (struct clb_res *r, enum clb_res_kind kind, int64_t amount);
-/** clb_res_add() - Add @times times @r to @to; a negative @times subtracts. */
-void clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t times);
-/** clb_res_fits() - Whether @need is within @available in each dimension. */
+/** clb_res_add() - Add @factor * @r to @to; a negative @factor subtracts. */
+void clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t factor);
+/** clb_res_fits() - Whether @need is at most @available in each dimension. */
 bool clb_res_fits (const struct clb_res *need,
                    const struct clb_res *available);
 
-/** clb_copy() - Copy @src to @dst, truncated to @size bytes with the NUL. */
+/**
+ * clb_copy() - Copy a string, truncated if it is too long.
+ * @size: size of @dst in bytes, including the NUL
+ */
 void clb_copy (char *dst, const char *src, size_t size);
 
 #endif
--- a/core/conf.c
+++ b/core/conf.c
@@ -8,11 +8,11 @@
 
 enum
 {
-  AMOUNT_MAX = 1000000000, /* of any resource */
-  WEIGHT_MAX = 1000000,
-  WAITING_MAX = 1000000, /* of conf_queue::max_waiting */
-  WAIT_MS_MAX = 60000,   /* of conf_queue::max_wait_ms */
-  RUN_MS_MAX = 600000,   /* of conf_queue::max_run_ms */
+  AMOUNT_MAX = 1000000000, /* largest amount of any resource */
+  WEIGHT_MAX = 1000000,    /* largest conf_team::weight */
+  WAITING_MAX = 1000000,   /* largest conf_queue::max_waiting */
+  WAIT_MS_MAX = 60000,     /* largest conf_queue::max_wait_ms */
+  RUN_MS_MAX = 600000,     /* largest conf_queue::max_run_ms */
   SHA256_BYTES = 32,
 };
 
@@ -24,7 +24,7 @@
 };
 DESC (res_desc, struct clb_res, res_fields);
 
-static const char *const kind_names[] = { "team", "operator", NULL };
+static const char *const key_kind_names[] = { "team", "operator", NULL };
 static const char *const lane_names[] = { "task", "service", NULL };
 
 static const struct fld team_fields[] = {
@@ -37,7 +37,7 @@
 static const struct fld key_fields[] = {
   FLD_CHARS (struct conf_key, id, true),
   FLD_CHARS (struct conf_key, team, false),
-  FLD_NAMED (struct conf_key, kind, kind_names),
+  FLD_NAMED (struct conf_key, kind, key_kind_names),
   FLD_CHARS (struct conf_key, salt, true),
   FLD_CHARS (struct conf_key, hash, true),
 };
@@ -63,18 +63,18 @@
 };
 DESC (conf_desc, struct conf, conf_fields);
 
-/* Reports error @err at @list[@i].@field in @ce. */
+/* Sets @ce to error @err at the field @list[@i].@field, and returns @err. */
 static int
-fail (struct codec_err *ce, int err, const char *list, size_t i,
-      const char *field)
+set_error (struct codec_err *ce, int err, const char *list, size_t i,
+           const char *field)
 {
   ce->err = err;
   snprintf (ce->path, sizeof ce->path, "%s[%zu].%s", list, i, field);
   return err;
 }
 
-/* Whether a name is valid.  Names become parts of row keys and URL paths, so
-   only these characters are valid. */
+/* Returns whether @name is valid.  Names become parts of row keys and URL
+   paths, so only these characters are valid. */
 static bool
 name_ok (const char *name)
 {
@@ -90,12 +90,12 @@
   for (size_t i = 0; i < c->n_teams; i++)
     {
       if (!name_ok (c->teams[i].name))
-        return fail (ce, CLB_ERANGE, "teams", i, "name");
+        return set_error (ce, CLB_ERANGE, "teams", i, "name");
       if (c->teams[i].weight == 0)
-        return fail (ce, CLB_EFIELD, "teams", i, "weight");
+        return set_error (ce, CLB_EFIELD, "teams", i, "weight");
       for (size_t j = 0; j < i; j++)
         if (strcmp (c->teams[i].name, c->teams[j].name) == 0)
-          return fail (ce, CLB_EDUP, "teams", i, "name");
+          return set_error (ce, CLB_EDUP, "teams", i, "name");
     }
   return 0;
 }
@@ -107,16 +107,16 @@
     {
       const struct conf_key *k = &c->keys[i];
       if (!name_ok (k->id))
-        return fail (ce, CLB_ERANGE, "keys", i, "id");
+        return set_error (ce, CLB_ERANGE, "keys", i, "id");
       if (strspn (k->hash, "0123456789abcdef") != CONF_HASH_HEX - 1)
-        return fail (ce, CLB_ERANGE, "keys", i, "hash");
+        return set_error (ce, CLB_ERANGE, "keys", i, "hash");
       if (k->kind == KEY_TEAM && !conf_team (c, k->team))
-        return fail (ce, CLB_EREF, "keys", i, "team");
+        return set_error (ce, CLB_EREF, "keys", i, "team");
       if (k->kind == KEY_OPERATOR && *k->team)
-        return fail (ce, CLB_EFIELD, "keys", i, "team");
+        return set_error (ce, CLB_EFIELD, "keys", i, "team");
       for (size_t j = 0; j < i; j++)
         if (strcmp (k->id, c->keys[j].id) == 0)
-          return fail (ce, CLB_EDUP, "keys", i, "id");
+          return set_error (ce, CLB_EDUP, "keys", i, "id");
     }
   return 0;
 }
@@ -128,20 +128,20 @@
     {
       const struct conf_queue *q = &c->queues[i];
       if (!name_ok (q->name))
-        return fail (ce, CLB_ERANGE, "queues", i, "name");
+        return set_error (ce, CLB_ERANGE, "queues", i, "name");
       if (q->max_waiting == 0)
-        return fail (ce, CLB_EFIELD, "queues", i, "max_waiting");
+        return set_error (ce, CLB_EFIELD, "queues", i, "max_waiting");
       if (q->lane == LANE_SERVICE && q->max_wait_ms == 0)
-        return fail (ce, CLB_EFIELD, "queues", i, "max_wait_ms");
+        return set_error (ce, CLB_EFIELD, "queues", i, "max_wait_ms");
       if (q->lane == LANE_SERVICE && q->max_run_ms == 0)
-        return fail (ce, CLB_EFIELD, "queues", i, "max_run_ms");
+        return set_error (ce, CLB_EFIELD, "queues", i, "max_run_ms");
       if (q->open && !conf_team (c, q->team))
-        return fail (ce, CLB_EREF, "queues", i, "team");
+        return set_error (ce, CLB_EREF, "queues", i, "team");
       if (!q->open && *q->team)
-        return fail (ce, CLB_EFIELD, "queues", i, "team");
+        return set_error (ce, CLB_EFIELD, "queues", i, "team");
       for (size_t j = 0; j < i; j++)
         if (strcmp (q->name, c->queues[j].name) == 0)
-          return fail (ce, CLB_EDUP, "queues", i, "name");
+          return set_error (ce, CLB_EDUP, "queues", i, "name");
     }
   return 0;
 }
--- a/core/conf.h
+++ b/core/conf.h
@@ -9,11 +9,11 @@
 
 enum
 {
-  CONF_TEAMS_MAX = 256,
-  CONF_KEYS_MAX = 4096,
-  CONF_QUEUES_MAX = 256,
+  CONF_TEAMS_MAX = 256,     /* largest number of teams */
+  CONF_KEYS_MAX = 4096,     /* largest number of keys */
+  CONF_QUEUES_MAX = 256,    /* largest number of queues */
   CONF_BYTES_MAX = 1 << 20, /* largest manifest text, in bytes */
-  CONF_HASH_HEX = 65, /* size of a SHA-256 in hex, in bytes with the NUL */
+  CONF_HASH_HEX = 65,       /* bytes of a SHA-256 in hex, including the NUL */
 };
 
 /** enum key_kind - who may use a key */
@@ -30,15 +30,17 @@
   LANE_SERVICE, /* service requests, which are forwarded to executors */
 };
 
-/** struct conf_team - a team */
+/** struct conf_team - a team in the manifest */
 struct conf_team
 {
   char name[CLB_NAME_MAX];
-  int64_t weight;       /* share of a full fleet, relative to other teams */
-  struct clb_res limit; /* most that may run fleet-wide; 0 allows none */
+  /* Share of the fleet when it is full, relative to other teams' weights. */
+  int64_t weight;
+  /* Largest amount that may run on the whole fleet; 0 allows none. */
+  struct clb_res limit;
 };
 
-/** struct conf_key - a key of a team or an operator */
+/** struct conf_key - a key of a team or an operator in the manifest */
 struct conf_key
 {
   char id[CLB_NAME_MAX];
@@ -48,21 +50,24 @@
   char hash[CONF_HASH_HEX]; /* SHA-256 of salt and secret, in hex */
 };
 
-/** struct conf_queue - a queue */
+/** struct conf_queue - a queue in the manifest */
 struct conf_queue
 {
   char name[CLB_NAME_MAX];
-  bool open;               /* accepts work without a key */
-  char team[CLB_NAME_MAX]; /* of an open queue: charged for its work */
+  bool open;               /* the queue accepts work without a key */
+  char team[CLB_NAME_MAX]; /* of an open queue: team charged for its work */
   int lane;                /* enum queue_lane */
   int class;               /* enum task_class */
   bool idempotent;         /* its work may run more than once */
-  int64_t max_waiting;     /* most waiting work of the team in one domain */
-  int64_t max_wait_ms;     /* of LANE_SERVICE: longest wait for a slot */
-  int64_t max_run_ms;      /* of LANE_SERVICE: a longer request is aborted */
+  /* Work is refused while this many of the team's tasks wait in a domain. */
+  int64_t max_waiting;
+  /* Of a LANE_SERVICE queue: longest wait of a request for a slot. */
+  int64_t max_wait_ms;
+  /* Of a LANE_SERVICE queue: a request that runs longer is aborted. */
+  int64_t max_run_ms;
 };
 
-/** struct conf - a manifest */
+/** struct conf - the configuration that a manifest describes */
 struct conf
 {
   int64_t version; /* head_row::version; 0: no manifest was accepted */
@@ -80,8 +85,9 @@
 /**
  * conf_parse() - Read and check a manifest.
  * @text: JSON of @len bytes, not necessarily terminated
- * @out: the manifest, freed with conf_free(); empty on failure
- * @ce: names the field on failure
+ * @out: set to the configuration, which the caller frees with conf_free();
+ *       set to zero on failure
+ * @ce: set to the error and the wrong field on failure
  *
  * Return: 0, %CLB_EPARSE, %CLB_EFIELD, %CLB_ERANGE, %CLB_EREF, %CLB_EDUP,
  * %CLB_ETOOBIG or %CLB_ENOMEM.
@@ -91,9 +97,9 @@
 /** conf_free() - Free what @c owns, but not @c itself. */
 void conf_free (struct conf *c);
 
-/** conf_team() - The team @name, or NULL. */
+/** conf_team() - Find the team @name; NULL if there is none. */
 const struct conf_team *conf_team (const struct conf *c, const char *name);
-/** conf_queue() - The queue @name, or NULL. */
+/** conf_queue() - Find the queue @name; NULL if there is none. */
 const struct conf_queue *conf_queue (const struct conf *c, const char *name);
 
 /**
@@ -101,12 +107,17 @@
  * @bearer: "id.secret", or NULL
  * @out: set to the key, which is borrowed from @c
  *
- * Return: 0 or %CLB_EKEY.  The secret is compared in constant time.
+ * The hash of the secret is compared in constant time.
+ *
+ * Return: 0, or %CLB_EKEY if the key is missing, unknown or wrong.
  */
 int conf_key_check (const struct conf *c, const char *bearer,
                     const struct conf_key **out);
 
-/** conf_key_hash() - Set @out to the SHA-256 of @salt and @secret, in hex. */
+/**
+ * conf_key_hash() - Hash a key's secret.
+ * @out: set to the SHA-256 of @salt followed by @secret, in hex
+ */
 void conf_key_hash (const char *salt, const char *secret,
                     char out[CONF_HASH_HEX]);
 
--- a/core/role.c
+++ b/core/role.c
@@ -9,9 +9,9 @@
 enum
 {
   /* Period in which a follower reads the lease row. */
-  ROW_POLL_MS = 1000,
+  LEASE_ROW_POLL_MS = 1000,
   /* Timeout of a store operation. */
-  OP_TIMEOUT_MS = 2500,
+  STORE_OP_TIMEOUT_MS = 2500,
   /* Time in which a claim of unknown outcome can still take effect. */
   CLAIM_UNCERTAIN_MS = 6000,
   /* Period of the holder's requests for promises. */
@@ -72,7 +72,7 @@
 
   lease_key (r, key);
   op_new (r, STORE_GET)->key = strdup (key);
-  r->next_op_ms = r->now_ms + ROW_POLL_MS;
+  r->next_op_ms = r->now_ms + LEASE_ROW_POLL_MS;
 }
 
 /* Writes the lease row, on condition that it has not changed since it was last
@@ -97,7 +97,7 @@
 }
 
 static bool
-row_is_mine (const struct role *r)
+row_names_self (const struct role *r)
 {
   return strcmp (r->row.holder, r->self_id) == 0 && r->row.boot == r->boot;
 }
@@ -183,16 +183,16 @@
 update_lease_row (struct role *r, const struct row *row)
 {
   struct codec_err ce;
-  struct lease_row lr = { .epoch = 0 };
+  struct lease_row lease = { .epoch = 0 };
 
   if (row && row->value
       && codec_parse (&lease_row_desc, row->value, strlen (row->value),
-                      CODEC_LENIENT, &lr, &ce))
+                      CODEC_LENIENT, &lease, &ce))
     return;
   int64_t ver = row ? row->ver : 0;
   if (!r->row_known || ver != r->row_ver)
     r->row_changed_ms = r->now_ms;
-  r->row = lr;
+  r->row = lease;
   r->row_ver = ver;
   r->row_known = true;
 }
@@ -275,7 +275,7 @@
   update_lease_row (r, rep->n_rows ? &rep->rows[0] : NULL);
   /* The claim took effect, but the version of the epoch row is not known.
      Claim again, with the next epoch. */
-  if (row_is_mine (r))
+  if (row_names_self (r))
     claim (r);
   else if (r->now_ms - r->claim_sent_ms >= CLAIM_UNCERTAIN_MS)
     {
@@ -310,7 +310,7 @@
   update_lease_row (r, row);
   /* The lease row has changed because an earlier renewal took effect although
      its answer was lost.  Renew again. */
-  if (row_is_mine (r) && r->row.epoch == r->epoch)
+  if (row_names_self (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
     role_lease_lost (r);
@@ -544,7 +544,7 @@
 role_tick (struct role *r)
 {
   remove_gone_peers (r);
-  if (r->store_token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
+  if (r->store_token && r->now_ms - r->op_sent_ms > STORE_OP_TIMEOUT_MS)
     handle_op_timeout (r);
   if (r->state == ROLE_HOLDER && !r->handing_over
       && r->lease_until_ms - r->now_ms < LEASE_MS - 2 * RENEW_MS
