--- a/core/codec.c
+++ b/core/codec.c
@@ -8,12 +8,13 @@
 
 enum
 {
-  JSON_DEPTH_MAX = 8, /* deepest nesting in msgpack */
+  JSON_DEPTH_MAX = 8, /* deepest nesting of arrays and maps in msgpack */
 };
 
-/* Reports error @err of field @name in the object at @path in @ce. */
+/* Sets @ce to error @err at field @name of the object at @path, and returns
+   @err. */
 static int
-fail (struct codec_err *ce, int err, const char *path, const char *name)
+set_error (struct codec_err *ce, int err, const char *path, const char *name)
 {
   ce->err = err;
   snprintf (ce->path, sizeof ce->path, "%s%s%s", path, *path ? "." : "", name);
@@ -101,20 +102,20 @@
   return *out ? 0 : CLB_ENOMEM;
 }
 
-/* Reads an array.  The length is updated before each item, so that
-   codec_free() frees what was read when a later item fails. */
+/* Reads an array of structs.  The length is raised before each item is read,
+   so that codec_free() frees the items read so far if one fails. */
 static int
 read_vec (const struct fld *f, const json_t *v, enum codec_mode mode,
           char *base, struct codec_err *ce, const char *path)
 {
   if (!json_is_array (v))
-    return fail (ce, CLB_EFIELD, path, f->name);
+    return set_error (ce, CLB_EFIELD, path, f->name);
   size_t n = json_array_size (v);
   if (n > (size_t)f->max)
-    return fail (ce, CLB_ERANGE, path, f->name);
+    return set_error (ce, CLB_ERANGE, path, f->name);
   char *items = calloc (n ? n : 1, f->sub->size);
   if (!items)
-    return fail (ce, CLB_ENOMEM, path, f->name);
+    return set_error (ce, CLB_ENOMEM, path, f->name);
   memcpy (base + f->off, &items, sizeof items);
   for (size_t i = 0; i < n; i++)
     {
@@ -122,7 +123,7 @@
       snprintf (item_path, sizeof item_path, "%.60s%s%s[%zu]", path,
                 *path ? "." : "", f->name, i);
       size_t done = i + 1;
-      memcpy (base + f->off2, &done, sizeof done);
+      memcpy (base + f->len_off, &done, sizeof done);
       int err = read_obj (f->sub, json_array_get (v, i), mode,
                           items + i * f->sub->size, ce, item_path);
       if (err)
@@ -170,10 +171,10 @@
     case FLD_VEC:
       return read_vec (f, v, mode, base, ce, path);
     }
-  return err ? fail (ce, err, path, f->name) : 0;
+  return err ? set_error (ce, err, path, f->name) : 0;
 }
 
-/* Whether the struct has a field @name. */
+/* Returns whether the struct that @d describes has a field @name. */
 static bool
 known_field (const struct desc *d, const char *name)
 {
@@ -191,16 +192,16 @@
   json_t *value;
 
   if (!json_is_object (json))
-    return fail (ce, CLB_EFIELD, path, "(object expected)");
+    return set_error (ce, CLB_EFIELD, path, "(object expected)");
   json_object_foreach ((json_t *)json, key, value)
     if (mode == CODEC_STRICT && !known_field (d, key))
-      return fail (ce, CLB_EFIELD, path, key);
+      return set_error (ce, CLB_EFIELD, path, key);
   for (size_t i = 0; i < d->n_fields; i++)
     {
       const struct fld *f = &d->fields[i];
       const json_t *v = json_object_get (json, f->name);
       if (!v && f->required)
-        return fail (ce, CLB_EFIELD, path, f->name);
+        return set_error (ce, CLB_EFIELD, path, f->name);
       if (!v)
         continue;
       int err = read_fld (f, v, mode, out, ce, path);
@@ -249,7 +250,7 @@
   size_t n;
 
   memcpy (&items, base + f->off, sizeof items);
-  memcpy (&n, base + f->off2, sizeof n);
+  memcpy (&n, base + f->len_off, sizeof n);
   if (n == 0)
     return NULL;
   json_t *array = json_array ();
@@ -270,7 +271,7 @@
   return array;
 }
 
-/* The JSON value of a field; NULL if the field is to be left out. */
+/* Returns the JSON value of a field; NULL if the field is to be left out. */
 static json_t *
 write_fld (const struct fld *f, const char *base)
 {
@@ -350,7 +351,7 @@
       memcpy (&owned, base + f->off, sizeof owned);
       if (f->kind == FLD_VEC)
         {
-          memcpy (&n, base + f->off2, sizeof n);
+          memcpy (&n, base + f->len_off, sizeof n);
           for (size_t j = 0; j < n; j++)
             codec_free (f->sub, owned + j * f->sub->size);
         }
@@ -403,7 +404,8 @@
     }
 }
 
-/* Converts a msgpack object to JSON; NULL if it is not valid. */
+/* Converts a msgpack object to JSON.  Returns NULL if it is not valid or
+   nested too deeply. */
 static json_t *
 unpack_json (const msgpack_object *o, int depth)
 {
@@ -470,7 +472,7 @@
   return *buf ? 0 : CLB_ENOMEM;
 }
 
-/* Reads a big-endian number of @n bytes. */
+/* Reads a big-endian number of @n bytes at @p. */
 static uint64_t
 read_count (const unsigned char *p, size_t n)
 {
@@ -481,65 +483,73 @@
   return v;
 }
 
-/* struct token - one msgpack token: a type byte with the length after it */
-struct token
+/* struct msgpack_token - one msgpack token: a header and the payload after it
+ * (the items of an array or map are tokens of their own) */
+struct msgpack_token
 {
-  size_t head;    /* bytes of the token itself */
-  uint64_t bytes; /* of the string or number that follows */
-  uint64_t items; /* number of objects that follow, in an array or map */
+  /* Size of the header in bytes: the type byte, and the length field if the
+     type has one. */
+  size_t header_bytes;
+  /* Size in bytes of the string or number after the header; 0 if none. */
+  uint64_t payload_bytes;
+  /* Of an array or map: number of objects that follow, two for each pair of a
+     map.  Of other types 0. */
+  uint64_t n_objects;
 };
 
-/* Reads the token at @p; false if it is not valid or claims more than the
-   @left bytes can hold. */
+/* Reads the token at @p.  Returns false if it is not valid or announces more
+   than the @left bytes at @p can hold. */
 static bool
-read_token (const unsigned char *p, size_t left, struct token *t)
+read_token (const unsigned char *p, size_t left, struct msgpack_token *t)
 {
-  static const unsigned char number[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
+  /* Sizes in bytes of the number types 0xca to 0xd3. */
+  static const unsigned char number_bytes[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
   unsigned char c = *p;
 
-  *t = (struct token){ .head = 1 };
+  *t = (struct msgpack_token){ .header_bytes = 1 };
   if (c >= 0xca && c <= 0xd3)
-    t->bytes = number[c - 0xca];
+    t->payload_bytes = number_bytes[c - 0xca];
   else if ((c & 0xf0) == 0x80)
-    t->items = 2u * (c & 0x0f);
+    t->n_objects = 2u * (c & 0x0f);
   else if ((c & 0xf0) == 0x90)
-    t->items = c & 0x0f;
+    t->n_objects = c & 0x0f;
   else if ((c & 0xe0) == 0xa0)
-    t->bytes = c & 0x1f;
+    t->payload_bytes = c & 0x1f;
   else if (c >= 0xd9 && c <= 0xdf)
     {
       size_t n = c <= 0xdb ? (size_t)1 << (c - 0xd9)
                            : (size_t)2 << ((c - 0xdc) & 1);
       if (left <= n)
         return false;
-      t->head += n;
+      t->header_bytes += n;
       uint64_t count = read_count (p + 1, n);
-      t->bytes = c <= 0xdb ? count : 0;
-      t->items = c <= 0xdb ? 0 : c <= 0xdd ? count : 2 * count;
+      t->payload_bytes = c <= 0xdb ? count : 0;
+      t->n_objects = c <= 0xdb ? 0 : c <= 0xdd ? count : 2 * count;
     }
   else if (c >= 0xc1 && c <= 0xd8 && c != 0xc2 && c != 0xc3)
     return false; /* types that no message uses */
-  return t->head + t->bytes <= left && t->items <= left;
+  return t->header_bytes + t->payload_bytes <= left && t->n_objects <= left;
 }
 
-/* Whether the bytes hold one complete object.  The msgpack library allocates
-   as many items as a token claims before it checks that they are there, so
-   damaged bytes could make it allocate without limit. */
+/* Returns whether the @len bytes at @buf hold one complete object.  The
+   msgpack library allocates as many items as a token announces before it
+   checks that they are there, so damaged bytes could make it allocate without
+   limit. */
 static bool
 is_complete (const char *buf, size_t len)
 {
   const unsigned char *p = (const unsigned char *)buf;
-  uint64_t open = 1; /* objects that must still follow */
-  struct token t;
+  uint64_t expected = 1; /* number of objects that must still follow */
+  struct msgpack_token t;
 
-  while (open > 0)
+  while (expected > 0)
     {
       if (len == 0 || !read_token (p, len, &t))
         return false;
-      p += t.head + t.bytes;
-      len -= t.head + t.bytes;
-      open += t.items - 1;
-      if (open > len)
+      p += t.header_bytes + t.payload_bytes;
+      len -= t.header_bytes + t.payload_bytes;
+      expected += t.n_objects - 1;
+      if (expected > len)
         return false;
     }
   return true;
@@ -559,7 +569,7 @@
     json = unpack_json (&up.data, 0);
   msgpack_unpacked_destroy (&up);
   if (!json)
-    return fail (ce, CLB_EPARSE, "", d->name);
+    return set_error (ce, CLB_EPARSE, "", d->name);
   int err = codec_read (d, json, CODEC_LENIENT, out, ce);
   return err;
 }
--- a/core/codec.h
+++ b/core/codec.h
@@ -1,9 +1,9 @@
 /**
  * DOC: Struct codec.
  *
- * A table of fields describes a struct.  From this table the struct is read
- * from JSON (with errors that name the field), written as JSON, and encoded
- * and decoded as msgpack for messages between instances.
+ * A table of fields describes a struct.  By this table the codec reads the
+ * struct from JSON (with errors that name the field), writes it as JSON, and
+ * encodes and decodes it as msgpack for messages between instances.
  */
 #ifndef CODEC_H
 #define CODEC_H
@@ -23,8 +23,9 @@
   FLD_TEXT, /* char *, owned by the struct */
   FLD_ENUM, /* int, encoded as one of names */
   FLD_OBJ,  /* struct described by sub */
-  FLD_VEC,  /* owned array of structs described by sub; its length is a size_t
-               at off2 */
+  /* Owned array of structs described by sub; its length is a size_t member at
+     len_off. */
+  FLD_VEC,
 };
 
 struct desc;
@@ -32,18 +33,20 @@
 /** struct fld - description of one field of a struct */
 struct fld
 {
-  const char *name; /* in JSON and msgpack */
+  const char *name; /* the field's name in JSON and msgpack */
   enum fld_kind kind;
-  size_t off;  /* offset of the member */
-  size_t size; /* of FLD_STR: bytes of the array */
-  size_t off2; /* of FLD_VEC: offset of the member with the length */
-  int64_t min; /* of FLD_I64 and FLD_F64: smallest value */
+  size_t off;     /* offset of the member in the struct, in bytes */
+  size_t size;    /* of FLD_STR: size of the array in bytes */
+  size_t len_off; /* of FLD_VEC: offset of the member with the length */
+  int64_t min;    /* of FLD_I64 and FLD_F64: smallest value */
   /* Of FLD_I64 and FLD_F64 the largest value, of FLD_TEXT the largest number
      of bytes, of FLD_VEC the largest length. */
   int64_t max;
-  bool required;            /* reading fails if the field is absent */
-  const struct desc *sub;   /* of FLD_OBJ and FLD_VEC */
-  const char *const *names; /* of FLD_ENUM, by value; ends with NULL */
+  bool required; /* reading fails if the field is absent */
+  /* Of FLD_OBJ and FLD_VEC: description of the struct or array element. */
+  const struct desc *sub;
+  /* Of FLD_ENUM: names by enumerator value; the array ends with NULL. */
+  const char *const *names;
 };
 
 /** struct desc - description of a struct */
@@ -55,7 +58,8 @@
   size_t n_fields;
 };
 
-/* Offset of member f.  Fails to compile unless f is as wide as int64_t. */
+/* Offset of member f of type s.  Fails to compile unless f is as wide as
+   int64_t. */
 #define FLD_OFF64(s, f)                                                       \
   (offsetof (s, f)                                                            \
    + 0 * sizeof (char[sizeof (((s *)0)->f) == sizeof (int64_t) ? 1 : -1]))
@@ -66,7 +70,8 @@
     .name = #f, .kind = FLD_I64, .off = FLD_OFF64 (s, f), .min = (lo),        \
     .max = (hi)                                                               \
   }
-/* As above, with a field name that differs from the member's name. */
+/* Initializers of struct fld for member f of type s, with wire as the field's
+   name. */
 #define FLD_INT_AS(wire, s, f, lo, hi)                                        \
   {                                                                           \
     .name = (wire), .kind = FLD_I64, .off = FLD_OFF64 (s, f), .min = (lo),    \
@@ -101,7 +106,7 @@
 #define FLD_ARRAY_AS(wire, s, f, n, d, limit)                                 \
   {                                                                           \
     .name = (wire), .kind = FLD_VEC, .off = offsetof (s, f),                  \
-    .off2 = offsetof (s, n), .sub = (d), .max = (limit)                       \
+    .len_off = offsetof (s, n), .sub = (d), .max = (limit)                    \
   }
 #define FLD_FLAG(s, f)                                                        \
   {                                                                           \
@@ -132,20 +137,22 @@
 #define FLD_ARRAY(s, f, n, d, limit)                                          \
   {                                                                           \
     .name = #f, .kind = FLD_VEC, .off = offsetof (s, f),                      \
-    .off2 = offsetof (s, n), .sub = (d), .max = (limit)                       \
+    .len_off = offsetof (s, n), .sub = (d), .max = (limit)                    \
   }
 /* Defines var as the description of type, with the fields in table. */
 #define DESC(var, type, table)                                                \
   const struct desc var = { #type, sizeof (type), table, CLB_COUNT (table) }
 
-/** struct codec_err - why reading failed */
+/** struct codec_err - why reading a struct failed */
 struct codec_err
 {
-  int err;        /* enum clb_err */
-  char path[128]; /* the wrong field, such as "teams[2].weight" */
+  int err; /* enum clb_err */
+  /* The wrong field, such as "teams[2].weight"; of CLB_EPARSE the place of the
+     error in the text. */
+  char path[128];
 };
 
-/** enum codec_mode - how unknown fields are handled */
+/** enum codec_mode - how a read handles unknown fields */
 enum codec_mode
 {
   CODEC_STRICT,  /* unknown fields are errors; for callers and operators */
@@ -155,10 +162,11 @@
 /**
  * codec_read() - Fill a struct from a JSON object.
  * @d: the struct's description
- * @json: borrowed
+ * @json: the object, borrowed
  * @mode: how unknown fields are handled
- * @out: set to zero first, so absent fields are zero; freed with codec_free()
- * @ce: names the field on failure
+ * @out: the struct; absent fields are set to zero; the caller frees what it
+ *       owns with codec_free()
+ * @ce: set to the error and the wrong field on failure
  *
  * Return: 0, %CLB_EFIELD, %CLB_ERANGE or %CLB_ENOMEM.  After a failure @out
  * owns nothing.
@@ -177,8 +185,10 @@
 /**
  * codec_write() - Convert a struct to a JSON object.
  *
- * Return: a new object without the fields that are zero or empty, except
- * enumerations and nested structs.
+ * Leaves out the fields that are zero or empty, except enumerations and nested
+ * structs.
+ *
+ * Return: a new object, owned by the caller.
  */
 json_t *codec_write (const struct desc *d, const void *in);
 
@@ -189,7 +199,7 @@
  */
 char *codec_text (const struct desc *d, const void *in);
 
-/** codec_free() - Free what the struct @s owns and set it to zero. */
+/** codec_free() - Free what the struct @s owns, and set @s to zero. */
 void codec_free (const struct desc *d, void *s);
 
 /**
@@ -202,7 +212,13 @@
 int codec_pack (const struct desc *d, const void *in, char **buf, size_t *len);
 
 /**
- * codec_unpack() - Decode a struct from msgpack; ignores unknown fields.
+ * codec_unpack() - Decode a struct from msgpack.
+ * @buf: the encoded bytes
+ * @len: their number
+ * @out: as in codec_read()
+ * @ce: as in codec_read()
+ *
+ * Unknown fields are ignored.
  *
  * Return: as codec_read(), or %CLB_EPARSE if the bytes are damaged.
  */
