--- a/core/msg.c
+++ b/core/msg.c
@@ -1,4 +1,4 @@
-/* Codec tables of the message types; queue of outputs. */
+/* Codec tables of the message types, and the queue of outputs. */
 #include "msg.h"
 #include "mesh.h"
 #include "order.h"
@@ -10,13 +10,13 @@
 
 enum
 {
-  /* Limit of numbers and array lengths that need no closer one. */
+  /* Limit of numbers and array lengths that need no lower limit. */
   NUMBER_MAX = INT32_MAX,
   /* Largest number of members of a gang. */
   MEMBERS_MAX = 1024,
   /* Longest duration: 20 days. */
   DURATION_MS_MAX = 20 * 86400 * 1000,
-  /* Largest value of a row or object, in bytes. */
+  /* Largest text of a row or object, in bytes. */
   ROW_TEXT_MAX = 16 << 20,
   /* Largest text of decisions in a reply, in bytes. */
   WHY_TEXT_MAX = 1 << 20,
@@ -24,19 +24,19 @@
 
 /* Names of enumerators in JSON and msgpack, each array in the order of its
    enum. */
-static const char *const rec_names[]
+static const char *const rec_kind_names[]
     = { "accept", "intent", "retry", "cancel", "end", "forget", NULL };
-static const char *const run_names[]
+static const char *const run_state_names[]
     = { "running", "ok", "failed", "stopped", "never", "refused", NULL };
-static const char *const inst_names[]
+static const char *const inst_kind_names[]
     = { "entry", "worker", "executor", NULL };
-static const char *const lane_names[] = { "task", "service", NULL };
-static const char *const verb_names[]
+static const char *const queue_lane_names[] = { "task", "service", NULL };
+static const char *const call_verb_names[]
     = { "submit", "status", "cancel", "why", "acquire", "release", NULL };
-static const char *const store_names[] = { "txn",     "get",     "list",
-                                           "obj-put", "obj-get", "instances",
-                                           "feed",    NULL };
-static const char *const pmsg_names[]
+static const char *const store_kind_names[] = {
+  "txn", "get", "list", "obj-put", "obj-get", "instances", "feed", NULL
+};
+static const char *const pmsg_kind_names[]
     = { "hello",   "call",     "reply", "handover", "promise-ask",
         "promise", "held-ask", "held",  NULL };
 
@@ -60,12 +60,12 @@
 static DESC (place_desc, struct place, place_fields);
 
 static const struct fld rec_fields[] = {
-  FLD_NAMED (struct rec, kind, rec_names),
+  FLD_NAMED (struct rec, kind, rec_kind_names),
   FLD_CHARS (struct rec, id, true),
   FLD_CHARS (struct rec, team, false),
   FLD_STRUCT (struct rec, spec, &spec_desc),
   FLD_NAMED (struct rec, class, task_class_names),
-  FLD_NAMED (struct rec, lane, lane_names),
+  FLD_NAMED (struct rec, lane, queue_lane_names),
   FLD_FLAG (struct rec, idempotent),
   FLD_ARRAY (struct rec, places, n_places, &place_desc, MEMBERS_MAX),
   FLD_INT (struct rec, attempt, 0, NUMBER_MAX),
@@ -117,13 +117,13 @@
 };
 DESC (want_row_desc, struct want_row, want_row_fields);
 
-static const struct fld start_fields[] = {
+static const struct fld start_cmd_fields[] = {
   FLD_CHARS (struct start_cmd, id, true),
   FLD_CHARS (struct start_cmd, name, false),
   FLD_STRUCT (struct start_cmd, need, &res_desc),
   FLD_INT (struct start_cmd, duration_ms, 0, DURATION_MS_MAX),
 };
-static DESC (start_desc, struct start_cmd, start_fields);
+static DESC (start_cmd_desc, struct start_cmd, start_cmd_fields);
 static const struct fld run_id_fields[] = {
   FLD_CHARS (struct run_id, id, true),
 };
@@ -134,7 +134,7 @@
   FLD_INT (struct sync_req, epoch, 0, INT64_MAX),
   FLD_INT (struct sync_req, seq, 0, INT64_MAX),
   FLD_INT (struct sync_req, lease_ms, 0, NUMBER_MAX),
-  FLD_ARRAY (struct sync_req, starts, n_starts, &start_desc, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, starts, n_starts, &start_cmd_desc, NUMBER_MAX),
   FLD_ARRAY (struct sync_req, stops, n_stops, &run_id_desc, NUMBER_MAX),
   FLD_ARRAY (struct sync_req, acks, n_acks, &run_id_desc, NUMBER_MAX),
 };
@@ -142,7 +142,7 @@
 
 static const struct fld run_fields[] = {
   FLD_CHARS (struct run, id, true),
-  FLD_NAMED (struct run, state, run_names),
+  FLD_NAMED (struct run, state, run_state_names),
   FLD_STRUCT (struct run, used, &res_desc),
 };
 static DESC (run_desc, struct run, run_fields);
@@ -156,7 +156,7 @@
 
 static const struct fld inst_fields[] = {
   FLD_CHARS (struct inst, id, true),
-  FLD_NAMED (struct inst, kind, inst_names),
+  FLD_NAMED (struct inst, kind, inst_kind_names),
   FLD_CHARS (struct inst, domain, true),
   FLD_CHARS (struct inst, rack, false),
   FLD_CHARS (struct inst, addr, true),
@@ -180,7 +180,7 @@
 };
 static DESC (put_desc, struct put, put_fields);
 static const struct fld store_op_fields[] = {
-  FLD_NAMED (struct store_op, kind, store_names),
+  FLD_NAMED (struct store_op, kind, store_kind_names),
   FLD_STRING (struct store_op, key, 512),
   FLD_STRING (struct store_op, after, 512),
   FLD_STRING (struct store_op, value, ROW_TEXT_MAX),
@@ -207,12 +207,12 @@
 
 static const struct fld call_fields[] = {
   FLD_INT_AS ("no", struct call, seq, 0, INT64_MAX),
-  FLD_NAMED (struct call, verb, verb_names),
+  FLD_NAMED (struct call, verb, call_verb_names),
   FLD_CHARS (struct call, team, false),
   FLD_CHARS (struct call, id, false),
   FLD_STRUCT (struct call, spec, &spec_desc),
   FLD_NAMED (struct call, class, task_class_names),
-  FLD_NAMED (struct call, lane, lane_names),
+  FLD_NAMED (struct call, lane, queue_lane_names),
   FLD_FLAG (struct call, idempotent),
   FLD_FLAG (struct call, open_only),
   FLD_INT (struct call, max_waiting, 0, NUMBER_MAX),
@@ -265,15 +265,15 @@
 };
 static DESC (promise_desc, struct promise, promise_fields);
 
-static const struct fld held_fields[] = {
+static const struct fld held_slot_fields[] = {
   FLD_CHARS (struct held_slot, id, true),
   FLD_CHARS (struct held_slot, executor, true),
   FLD_CHARS (struct held_slot, team, true),
   FLD_INT (struct held_slot, run_ms, 0, NUMBER_MAX),
 };
-static DESC (held_desc, struct held_slot, held_fields);
+static DESC (held_slot_desc, struct held_slot, held_slot_fields);
 static const struct fld held_list_fields[] = {
-  FLD_ARRAY (struct held_list, items, n_items, &held_desc, NUMBER_MAX),
+  FLD_ARRAY (struct held_list, items, n_items, &held_slot_desc, NUMBER_MAX),
 };
 static DESC (held_list_desc, struct held_list, held_list_fields);
 
@@ -288,9 +288,10 @@
 };
 DESC (event_desc, struct event, event_fields);
 
-/* The description of the union in a peer message of @kind. */
+/* Returns the description of the member of pmsg::u that a message of @kind
+   uses. */
 static const struct desc *
-pmsg_body (int kind)
+pmsg_body_desc (int kind)
 {
   switch (kind)
     {
@@ -308,11 +309,12 @@
     }
 }
 
-/* Fields of a peer message: the first PMSG_HEAD_FIELDS are common to all
-   kinds, and u holds the struct of its kind, described by body_desc. */
+/* Fields of a peer message.  The first PMSG_COMMON_FIELDS are the same for all
+   kinds.  The last one, u, is the struct of the message's kind, which
+   body_desc describes; NULL if u is not to be decoded. */
 #define PMSG_FIELDS(body_desc)                                                \
   {                                                                           \
-    FLD_NAMED (struct pmsg, kind, pmsg_names),                                \
+    FLD_NAMED (struct pmsg, kind, pmsg_kind_names),                           \
         FLD_CHARS (struct pmsg, from, true),                                  \
         FLD_INT (struct pmsg, boot, 0, INT64_MAX),                            \
     {                                                                         \
@@ -323,13 +325,13 @@
 
 enum
 {
-  PMSG_HEAD_FIELDS = 3, /* number of fields before u */
+  PMSG_COMMON_FIELDS = 3, /* number of fields before u */
 };
 
 int
 pmsg_pack (const struct pmsg *m, char **buf, size_t *len)
 {
-  const struct fld fields[] = PMSG_FIELDS (pmsg_body (m->kind));
+  const struct fld fields[] = PMSG_FIELDS (pmsg_body_desc (m->kind));
   const struct desc d = { "pmsg", sizeof *m, fields, CLB_COUNT (fields) };
 
   return codec_pack (&d, m, buf, len);
@@ -338,14 +340,16 @@
 int
 pmsg_unpack (const char *buf, size_t len, struct pmsg *m, struct codec_err *ce)
 {
-  /* The kind must be known to decode u, so the head is decoded first. */
-  const struct fld head[] = PMSG_FIELDS (NULL);
-  const struct desc head_desc = { "pmsg", sizeof *m, head, PMSG_HEAD_FIELDS };
-  int err = codec_unpack (&head_desc, buf, len, m, ce);
+  /* The kind must be known to decode u, so the common fields are decoded
+     first. */
+  const struct fld common[] = PMSG_FIELDS (NULL);
+  const struct desc common_desc
+      = { "pmsg", sizeof *m, common, PMSG_COMMON_FIELDS };
+  int err = codec_unpack (&common_desc, buf, len, m, ce);
 
   if (err)
     return err;
-  const struct fld fields[] = PMSG_FIELDS (pmsg_body (m->kind));
+  const struct fld fields[] = PMSG_FIELDS (pmsg_body_desc (m->kind));
   const struct desc d = { "pmsg", sizeof *m, fields, CLB_COUNT (fields) };
   return codec_unpack (&d, buf, len, m, ce);
 }
@@ -353,7 +357,7 @@
 void
 pmsg_free (struct pmsg *m)
 {
-  codec_free (pmsg_body (m->kind), &m->u);
+  codec_free (pmsg_body_desc (m->kind), &m->u);
 }
 
 struct out *
--- a/core/msg.h
+++ b/core/msg.h
@@ -14,29 +14,30 @@
 #include "codec.h"
 #include "conf.h"
 
-/** struct spec - a task or gang as described by its caller */
+/** struct spec - a task, gang or service request as its caller describes it */
 struct spec
 {
   /* Chosen by the caller; the same id again means the same request. */
   char request_id[CLB_ID_MAX];
   char queue[CLB_NAME_MAX];
   char name[CLB_NAME_MAX];
-  struct clb_res need; /* of each member */
-  /* Number of members, 1 unless a gang.  All members start or none. */
+  struct clb_res need; /* need of each member */
+  /* Number of members: 1, or more for a gang, whose members start together or
+     not at all. */
   int64_t members;
-  /* Preference: place the members near each other. */
+  /* Preference, not a requirement: place the members near each other. */
   bool same_rack;
-  /* Preference: place the members on different racks. */
+  /* Preference, not a requirement: place the members on different racks. */
   bool spread;
-  /* Declared run time; 0 for a long-lived service. */
+  /* Declared run time; 0: a long-lived service. */
   int64_t duration_ms;
-  /* Time after acceptance at which a task that has not started is ended; 0
-     for no deadline. */
+  /* Time after acceptance at which a task that has not started is ended; 0: no
+     deadline. */
   int64_t deadline_ms;
 };
 extern const struct desc spec_desc;
 
-/** struct place - the worker of one member */
+/** struct place - the worker that is chosen for one member of a task */
 struct place
 {
   char worker[CLB_ID_MAX];
@@ -58,9 +59,9 @@
 /** struct rec - one record in a domain's journal, about one task */
 struct rec
 {
-  int kind;            /* enum rec_kind */
-  char id[CLB_ID_MAX]; /* of the task */
-  char team[CLB_NAME_MAX];
+  int kind;                /* enum rec_kind */
+  char id[CLB_ID_MAX];     /* id of the task */
+  char team[CLB_NAME_MAX]; /* team of the task */
   struct spec spec;
   int class; /* enum task_class */
   int lane;  /* enum queue_lane */
@@ -77,19 +78,20 @@
 /** struct journal_row - records that are written together as one row */
 struct journal_row
 {
-  /* Unique to the write, so that a retry recognizes its own row. */
+  /* Unique to each row, so that a retried write recognizes the row that an
+     earlier try has written. */
   char nonce[CLB_ID_MAX];
   struct rec *recs;
   size_t n_recs;
 };
 extern const struct desc journal_row_desc;
 
-/** struct lease_row - lease of a domain's scheduler */
+/** struct lease_row - row with the lease of a domain's scheduler */
 struct lease_row
 {
   char holder[CLB_ID_MAX]; /* instance id; empty: the lease is released */
-  int64_t boot;            /* of the holder */
-  int64_t epoch;           /* raised by one with each change of holder */
+  int64_t boot;            /* boot of the holder */
+  int64_t epoch;           /* raised by one with each claim */
   int64_t heartbeat;       /* raised by one with each renewal */
 };
 extern const struct desc lease_row_desc;
@@ -97,9 +99,10 @@
 /** struct head_row - row "head", which names the current configuration */
 struct head_row
 {
-  int64_t version;            /* raised by one with each change */
-  char hash[CONF_HASH_HEX];   /* of the manifest's text; names its object */
-  char change_id[CLB_ID_MAX]; /* of the change, chosen by the operator */
+  int64_t version; /* raised by one with each change */
+  /* SHA-256 of the manifest's text in hex; part of its object's name. */
+  char hash[CONF_HASH_HEX];
+  char change_id[CLB_ID_MAX]; /* id of the change, chosen by the operator */
 };
 extern const struct desc head_row_desc;
 
@@ -113,7 +116,9 @@
 /** struct grant_row - a team's upper limit, split among the domains */
 struct grant_row
 {
-  int64_t conf_version; /* configuration that the writer took the limit from */
+  /* Version of the configuration in force at the scheduler that wrote the row;
+     the team's upper limit is taken from that configuration. */
+  int64_t conf_version;
   struct grant *grants;
   size_t n_grants;
 };
@@ -124,7 +129,7 @@
 {
   char team[CLB_NAME_MAX];
 };
-/** struct want_row - the teams with grant::wants_more set in one domain */
+/** struct want_row - teams of one domain that have grant::wants_more set */
 struct want_row
 {
   struct want *teams;
@@ -140,9 +145,9 @@
 {
   /* Run id, made of task, attempt and member, and never reused. */
   char id[CLB_ID_MAX];
-  char name[CLB_NAME_MAX]; /* of the task */
-  struct clb_res need;
-  int64_t duration_ms; /* declared; 0: not known */
+  char name[CLB_NAME_MAX]; /* spec::name of the task */
+  struct clb_res need;     /* resources that the member needs */
+  int64_t duration_ms;     /* declared run time; 0: not known */
 };
 /** struct run_id - id of one run of a member on a worker */
 struct run_id
@@ -160,15 +165,15 @@
  */
 struct sync_req
 {
-  char holder[CLB_ID_MAX]; /* the sender, which holds the domain's lease */
-  int64_t epoch;           /* of the domain's lease; a fencing token */
-  int64_t seq;             /* of the sync with this worker */
-  int64_t lease_ms;        /* new length of the tasks' lease; 0: no renewal */
-  struct start_cmd *starts;
+  char holder[CLB_ID_MAX];  /* the sender, which holds the domain's lease */
+  int64_t epoch;            /* epoch of the domain's lease; a fencing token */
+  int64_t seq;              /* number of the sync with this worker */
+  int64_t lease_ms;         /* new length of the tasks' lease; 0: no renewal */
+  struct start_cmd *starts; /* members to be started */
   size_t n_starts;
-  struct run_id *stops;
+  struct run_id *stops; /* runs to be stopped */
   size_t n_stops;
-  struct run_id *acks; /* reported ends that are recorded */
+  struct run_id *acks; /* runs whose reported ends are recorded */
   size_t n_acks;
 };
 extern const struct desc sync_req_desc;
@@ -179,23 +184,23 @@
   RUN_RUNNING,
   RUN_OK,
   RUN_FAILED,
-  RUN_STOPPED, /* it had started and is stopped now */
-  RUN_NEVER,   /* answer to a stop: it has not started and never will */
-  RUN_REFUSED, /* answer to a start: it has not started and never will */
+  RUN_STOPPED, /* the run had started and is stopped now */
+  RUN_NEVER,   /* answer to a stop: the run has not started and never will */
+  RUN_REFUSED, /* answer to a start: the run has not started and never will */
 };
 /** struct run - one run in a worker's report */
 struct run
 {
   char id[CLB_ID_MAX];
-  int state; /* enum run_state */
-  struct clb_res used;
+  int state;           /* enum run_state */
+  struct clb_res used; /* resources that the run uses */
 };
 /** struct sync_rep - a worker's report, the answer to struct sync_req */
 struct sync_rep
 {
   int64_t boot; /* changes when the worker restarts and loses its state */
-  bool leaving; /* the worker shuts down and takes no new runs */
-  int64_t busy; /* of an executor: number of slots in use */
+  bool leaving; /* the worker is shutting down and takes no new runs */
+  int64_t busy; /* of an executor: number of its slots in use; else 0 */
   struct run *runs;
   size_t n_runs;
 };
@@ -219,7 +224,7 @@
   char rack[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX]; /* "ip:port" */
   struct clb_res capacity; /* whole capacity, in use or not */
-  bool leaving;            /* takes no new work */
+  bool leaving;            /* the instance takes no new work */
 };
 /** struct inst_list - the platform's list of all instances */
 struct inst_list
@@ -234,63 +239,68 @@
 /** struct cond - condition of a transaction: the version of one row */
 struct cond
 {
-  char *key;
-  int64_t ver; /* 0: the row must be absent */
+  char *key;   /* key of the row */
+  int64_t ver; /* version that the row must have; 0: it must be absent */
 };
 /** struct put - one row that a transaction writes */
 struct put
 {
-  char *key;
-  char *value; /* NULL: delete the row */
+  char *key;   /* key of the row */
+  char *value; /* new value of the row; NULL: delete the row */
 };
 /** struct row - one row in an answer */
 struct row
 {
   char *key;
-  int64_t ver;
-  char *value; /* NULL in a feed: the row was deleted */
+  int64_t ver; /* version of the row */
+  char *value; /* of STORE_FEED: NULL if the row was deleted */
 };
 /** enum store_kind - kind of a store operation */
 enum store_kind
 {
-  STORE_TXN,     /* do all puts if all conditions hold, else none */
-  STORE_GET,     /* read the row @key */
-  STORE_LIST,    /* read rows with the key prefix @key, after the key @after */
-  STORE_OBJ_PUT, /* write the object @key */
-  STORE_OBJ_GET, /* read the object @key */
-  STORE_INSTANCES, /* read the list of instances, if newer than @after */
-  STORE_FEED,      /* read changes of the table @key since @since */
+  STORE_TXN,     /* write all rows of puts if all conds hold, otherwise none */
+  STORE_GET,     /* read the row with the key store_op::key */
+  STORE_LIST,    /* read the rows whose keys begin with store_op::key */
+  STORE_OBJ_PUT, /* write the object named store_op::key */
+  STORE_OBJ_GET, /* read the object named store_op::key */
+  STORE_INSTANCES, /* read the platform's list of instances */
+  STORE_FEED,      /* read the changes of rows in the table store_op::key */
 };
 /** struct store_op - an operation of the table service */
 struct store_op
 {
-  int kind; /* enum store_kind */
-  char *key;
-  char *after; /* of a list: a key; of the instances: a version; or NULL */
-  char *value; /* of STORE_OBJ_PUT */
-  struct cond *conds;
+  int kind;  /* enum store_kind */
+  char *key; /* name of a row, object or table, or a prefix; see the kinds */
+  /* Of STORE_LIST: only rows with keys after this one are read; NULL: the list
+     begins with the first row.  Of STORE_INSTANCES: decimal version of the
+     list that the caller has, which is not sent again if it is current; NULL:
+     the caller has no list.  Of other kinds: NULL. */
+  char *after;
+  char *value;        /* of STORE_OBJ_PUT: the object's text */
+  struct cond *conds; /* of STORE_TXN */
   size_t n_conds;
-  struct put *puts;
+  struct put *puts; /* of STORE_TXN */
   size_t n_puts;
-  int64_t since;   /* of a feed: the version up to which it was read */
-  int64_t wait_ms; /* of a feed: longest wait for a change */
+  /* Of STORE_FEED: version up to which the caller knows the changes. */
+  int64_t since;
+  int64_t wait_ms; /* of STORE_FEED: longest wait for a change */
 };
 extern const struct desc store_op_desc;
 
 /**
  * struct store_rep - answer to a store operation
  * @err: 0; %CLB_ECONFLICT with the rows whose conditions failed;
- *       %CLB_ENOTFOUND, for a feed when the changes since the given version
- *       are no longer kept and the table must be listed again;
+ *       %CLB_ENOTFOUND, which for STORE_FEED means that the changes since
+ *       store_op::since are no longer kept and the table must be listed again;
  *       %CLB_EUNAVAIL if the operation certainly had no effect;
- *       %CLB_EUNKNOWN if it may have had one
+ *       %CLB_EUNKNOWN if the operation may have had an effect
  */
 struct store_rep
 {
   int64_t err;
   struct row *rows;
   size_t n_rows;
-  bool more;   /* of a list: more rows follow after the last key */
+  bool more;   /* of STORE_LIST: more rows follow after the last key */
   int64_t ver; /* newest version covered by the answer; 0: not given */
 };
 extern const struct desc store_rep_desc;
@@ -300,12 +310,12 @@
 /** enum call_verb - what an entry instance asks of a domain's scheduler */
 enum call_verb
 {
-  CALL_SUBMIT,
-  CALL_STATUS,
-  CALL_CANCEL,
-  CALL_WHY,     /* the decisions about a task */
-  CALL_ACQUIRE, /* a slot at an executor for a service request */
-  CALL_RELEASE, /* the service request has ended: free its slot */
+  CALL_SUBMIT,  /* accept a new task */
+  CALL_STATUS,  /* report the state of a task */
+  CALL_CANCEL,  /* cancel a task */
+  CALL_WHY,     /* report the decisions about a task */
+  CALL_ACQUIRE, /* grant a slot at an executor for a service request */
+  CALL_RELEASE, /* free the slot of a service request that has ended */
   CALL_N
 };
 
@@ -314,49 +324,55 @@
 {
   int64_t seq; /* chosen by the entry instance, echoed in the reply */
   int verb;    /* enum call_verb */
-  char team[CLB_NAME_MAX]; /* empty: an operator's call */
-  char id[CLB_ID_MAX];     /* of the task or service request */
+  char team[CLB_NAME_MAX]; /* team of the caller; empty: an operator's call */
+  char id[CLB_ID_MAX];     /* id of the task or service request */
   struct spec spec;
-  int class; /* enum task_class */
-  int lane;  /* enum queue_lane */
-  bool idempotent;
-  bool open_only;      /* without a key: covers only tasks of open queues */
-  int64_t max_waiting; /* limit of the team's waiting tasks; 0: none */
-  int64_t wait_ms;     /* longest wait for a slot, or for the task's end */
-  int64_t sent_ms;     /* entry instance's clock when this copy was sent */
-  bool bad_server;     /* of CALL_RELEASE: the executor failed */
-  int state;           /* of CALL_RELEASE: enum task_state */
-};
-
-/** struct reply - answer to a call */
+  int class;       /* enum task_class */
+  int lane;        /* enum queue_lane */
+  bool idempotent; /* the work may run more than once */
+  /* The caller sent no key, so the call covers only tasks of open queues. */
+  bool open_only;
+  /* Limit of the number of the team's waiting tasks; 0: no limit. */
+  int64_t max_waiting;
+  int64_t wait_ms; /* longest wait for a slot, or for the task's end */
+  /* When this copy of the call was sent, on the entry instance's clock. */
+  int64_t sent_ms;
+  bool bad_server; /* of CALL_RELEASE: the executor failed */
+  /* Of CALL_RELEASE: enum task_state, how the service request ended. */
+  int state;
+};
+
+/** struct reply - a lease holder's answer to a call */
 struct reply
 {
   int64_t call_seq;          /* call::seq of the answered call */
   int64_t err;               /* enum clb_err */
-  char id[CLB_ID_MAX];       /* of the task or service request */
+  char id[CLB_ID_MAX];       /* id of the task or service request */
   int state;                 /* enum task_state */
   int64_t reason;            /* enum clb_reason */
   int64_t retry_ms;          /* delay before a retry; 0: not given */
   int64_t call_sent_ms;      /* call::sent_ms of the answered call */
-  char executor[CLB_ID_MAX]; /* of the granted slot; empty: none granted */
-  char addr[CLB_ADDR_MAX];   /* of the executor */
-  char *text;                /* of CALL_WHY: the task's decisions as JSON */
+  char executor[CLB_ID_MAX]; /* executor of the granted slot; empty: no slot */
+  char addr[CLB_ADDR_MAX];   /* address of that executor */
+  char *text; /* of CALL_WHY: the task's decisions as JSON; else NULL */
 };
 
 /** struct hello - state that each entry instance sends to all its peers */
 struct hello
 {
   char domain[CLB_NAME_MAX];
-  char addr[CLB_ADDR_MAX]; /* for peer messages */
-  int64_t conf_version;
+  char addr[CLB_ADDR_MAX]; /* sender's address for peer messages */
+  int64_t conf_version;    /* configuration in force; 0: none accepted yet */
   int64_t conf_age_ms;    /* time since conf_version was verified as current */
   bool apply_in_progress; /* the sender is writing a new manifest */
   bool holder;            /* the sender schedules its domain */
-  int64_t epoch;          /* of the domain's lease; 0 if not holder */
-  bool stopping;
+  int64_t epoch;          /* of a holder: epoch of its lease; otherwise 0 */
+  bool stopping;          /* the sender is shutting down */
   bool knows_receiver; /* the sender counts the receiver as a domain member */
-  int64_t sent_ms;     /* sender's clock */
-  int64_t echo_ms;   /* latest sent_ms that the sender has from the receiver */
+  int64_t sent_ms;     /* when the hello was sent, on the sender's clock */
+  /* sent_ms of the latest hello that the sender got from the receiver; 0: it
+     got none. */
+  int64_t echo_ms;
   int64_t echo_boot; /* boot of the receiver's process that sent echo_ms */
   /* Of a holder: free capacity of the domain. */
   struct clb_res free_capacity;
@@ -369,10 +385,10 @@
 /** struct held_slot - a slot that an entry instance is using */
 struct held_slot
 {
-  char id[CLB_ID_MAX]; /* of the service request */
-  char executor[CLB_ID_MAX];
-  char team[CLB_NAME_MAX];
-  int64_t run_ms; /* longest remaining run time */
+  char id[CLB_ID_MAX];       /* id of the service request */
+  char executor[CLB_ID_MAX]; /* executor of the slot */
+  char team[CLB_NAME_MAX];   /* team that is charged for the request */
+  int64_t run_ms;            /* longest remaining run time of the request */
 };
 /** struct held_list - the slots that an entry instance is using */
 struct held_list
@@ -384,14 +400,14 @@
 /**
  * struct promise - a peer's promise not to claim the domain's lease
  *
- * The holder asks its peers for it while the table is unreachable.  The same
- * struct is the request and the answer.
+ * The lease holder requests promises from its peers while the table service is
+ * unreachable.  The same struct is the request and the answer.
  */
 struct promise
 {
   char domain[CLB_NAME_MAX];
-  int64_t epoch;       /* of the holder's lease */
-  int64_t seq;         /* of the request, echoed in the answer */
+  int64_t epoch;       /* epoch of the holder's lease */
+  int64_t seq;         /* number of the request, echoed in the answer */
   int64_t duration_ms; /* how long the promise is valid */
   bool granted;        /* of an answer: the peer has made the promise */
 };
@@ -402,11 +418,11 @@
   PM_HELLO,
   PM_CALL,
   PM_REPLY,
-  PM_HANDOVER,        /* the sender has released the lease: claim it now */
-  PM_PROMISE_REQUEST, /* from the holder: request a promise */
-  PM_PROMISE,         /* answer to the request */
-  PM_HELD_QUERY,      /* from a new holder: query the slots in use */
-  PM_HELD,            /* answer to the query */
+  PM_HANDOVER, /* the sender has released the lease; it may be claimed now */
+  PM_PROMISE_REQUEST, /* a lease holder requests a promise */
+  PM_PROMISE,         /* answer to PM_PROMISE_REQUEST */
+  PM_HELD_QUERY,      /* a new lease holder queries the slots in use */
+  PM_HELD,            /* answer to PM_HELD_QUERY */
   PM_N
 };
 
@@ -414,8 +430,8 @@
 struct pmsg
 {
   int kind;              /* enum pmsg_kind, selects the member of u */
-  char from[CLB_ID_MAX]; /* the sender */
-  int64_t boot;          /* of the sender */
+  char from[CLB_ID_MAX]; /* instance id of the sender */
+  int64_t boot;          /* boot of the sender */
   union
   {
     struct hello hello;
@@ -436,8 +452,10 @@
 int pmsg_pack (const struct pmsg *m, char **buf, size_t *len);
 /**
  * pmsg_unpack() - Decode a peer message.
- * @m: the message, freed with pmsg_free()
- * @ce: names the field on failure
+ * @buf: the encoded bytes
+ * @len: their number
+ * @m: set to the message, which the caller frees with pmsg_free()
+ * @ce: set to the error and the wrong field on failure
  *
  * Return: 0, or %CLB_EPARSE, %CLB_EFIELD, %CLB_ERANGE or %CLB_ENOMEM if the
  * bytes are damaged.
@@ -449,18 +467,18 @@
 
 /* Outputs of the core, carried out by the code that owns sockets. */
 
-/** enum out_kind - kind of an output */
+/** enum out_kind - kind of an output of the core */
 enum out_kind
 {
   OUT_ANSWER,    /* final answer to a caller */
   OUT_PEER,      /* message to another entry instance */
   OUT_STORE,     /* operation of the table service */
-  OUT_SYNC,      /* request to a worker */
+  OUT_SYNC,      /* struct sync_req to a worker */
   OUT_FORWARD,   /* a caller's service request to an executor */
-  OUT_EVENT,     /* decision, for the log and for watchers */
+  OUT_EVENT,     /* struct event, for the log and for watchers */
   OUT_ORDER,     /* order to an executor of the fleet or its advice service */
-  OUT_FLEET_MSG, /* message to another instance on the fleet */
-  OUT_LOG_LINE,  /* line for the log */
+  OUT_FLEET_MSG, /* message to another instance of the fleet's scheduler */
+  OUT_LOG_LINE,  /* line of text for the log */
 };
 
 struct order;
@@ -469,14 +487,17 @@
 /** struct event - a decision, or a change of an instance's state */
 struct event
 {
-  int64_t seq;         /* number of the scheduler's decision; 0 for others */
-  int64_t time_ms;     /* clock of the instance */
-  char id[CLB_ID_MAX]; /* of the task; empty: none */
-  char team[CLB_NAME_MAX]; /* empty: none */
-  char where[CLB_ID_MAX];  /* worker, executor or instance; empty: none */
-  int64_t reason;          /* enum clb_reason */
-  /* Number of candidates considered; of WHY_CONFIG the configuration's
-     version; of WHY_PREEMPTING the number of preempted tasks. */
+  /* Number of the scheduler's decision; 0: the event is not a scheduler's. */
+  int64_t seq;
+  int64_t time_ms;         /* time of the event on the instance's clock */
+  char id[CLB_ID_MAX];     /* id of the task concerned; empty: none */
+  char team[CLB_NAME_MAX]; /* team concerned; empty: none */
+  char
+      where[CLB_ID_MAX]; /* worker, executor or instance concerned, or empty */
+  int64_t reason;        /* enum clb_reason */
+  /* For WHY_CONFIG the version of the configuration that is now in force, for
+     WHY_PREEMPTING the number of preempted tasks, for every other reason the
+     number of candidates that were considered (0: none). */
   int64_t detail;
 };
 extern const struct desc event_desc;
@@ -492,41 +513,41 @@
     {
       uint64_t call;    /* request::http_call of the caller's request */
       int status;       /* HTTP status */
-      int64_t retry_ms; /* for Retry-After; 0: none */
-      char *body;
+      int64_t retry_ms; /* delay for Retry-After; 0: no such header */
+      char *body;       /* the answer's body, freed by out_free() */
     } answer;
     struct
     {
-      char to[CLB_ID_MAX]; /* instance id */
+      char to[CLB_ID_MAX]; /* id of the receiving instance */
       struct pmsg msg;
     } peer;
     struct
     {
-      uint64_t token; /* returned with the answer */
+      uint64_t token; /* identifies the operation when its answer arrives */
       struct store_op op;
     } store;
     struct
     {
-      char worker[CLB_ID_MAX];
-      char addr[CLB_ADDR_MAX];
+      char worker[CLB_ID_MAX]; /* id of the worker */
+      char addr[CLB_ADDR_MAX]; /* address of the worker */
       struct sync_req req;
     } sync;
     struct
     {
       uint64_t call; /* request::http_call of the caller's request */
-      char executor[CLB_ID_MAX];
-      char addr[CLB_ADDR_MAX]; /* of the executor */
-      char id[CLB_ID_MAX];     /* of the service request */
-      int64_t max_run_ms;      /* the request is aborted after this time */
+      char executor[CLB_ID_MAX]; /* id of the executor */
+      char addr[CLB_ADDR_MAX];   /* address of the executor */
+      char id[CLB_ID_MAX];       /* id of the service request */
+      int64_t max_run_ms;        /* the request is aborted after this time */
     } forward;
     struct event event;
     struct order *order; /* freed by out_free() */
     struct
     {
-      char addr[CLB_ADDR_MAX];
-      struct mesh_msg *msg; /* freed by out_free() */
+      char addr[CLB_ADDR_MAX]; /* address of the receiving instance */
+      struct mesh_msg *msg;    /* freed by out_free() */
     } mesh;
-    char *line; /* without a newline */
+    char *line; /* log line without a newline, freed by out_free() */
   } u;
 };
 TAILQ_HEAD (outq, out);
@@ -548,16 +569,23 @@
 /** out_free() - Free an output with everything that it owns. */
 void out_free (struct out *o);
 
-/** out_line() - Append a formatted log line; see docs/OPERATIONS.md. */
+/**
+ * out_line() - Append a log line to @q; see docs/OPERATIONS.md.
+ * @fmt: format as of printf(), without a newline
+ */
 void out_line (struct outq *q, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** store_cond() - Add a condition to a transaction; copies @key. */
+/**
+ * store_cond() - Add a condition to a transaction.
+ * @key: key of the row, copied
+ * @ver: version that the row must have; 0: the row must be absent
+ */
 void store_cond (struct store_op *op, const char *key, int64_t ver);
 /**
- * store_put() - Add a row to be written to a transaction; copies its
- * arguments.
- * @value: NULL to delete the row
+ * store_put() - Add the write of a row to a transaction.
+ * @key: key of the row, copied
+ * @value: new value of the row, copied; NULL: delete the row
  */
 void store_put (struct store_op *op, const char *key, const char *value);
 
