--- a/core/apply.c
+++ b/core/apply.c
@@ -1,7 +1,8 @@
 /*
- * New manifests: checks the text, writes it as an object, and then writes the
- * head row that names it, on condition that the head row has not changed.  If
- * the answer to that write is lost, reads the head row to find the outcome.
+ * Handling of new manifests.  The text of a manifest is checked and written as
+ * an object.  Then the head row that names the object is written, on condition
+ * that the head row has not changed.  If the answer to that write is lost, the
+ * head row is read to find the outcome.
  */
 #include "node.h"
 
@@ -11,7 +12,8 @@
 
 enum
 {
-  /* A store operation without an answer is followed up after this time. */
+  /* Time after which a store operation without an answer is repeated, or its
+     outcome is read. */
   STORE_RETRY_MS = 1000,
   /* Timeout of a new manifest. */
   APPLY_WAIT_MS = 10000,
@@ -19,7 +21,7 @@
 
 /* Writes the manifest's text as an object named by its hash. */
 static void
-apply_object (struct node *n, struct pending *p)
+write_object (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char name[CLB_ID_MAX] = "manifest-";
@@ -33,9 +35,9 @@
   o->u.store.op.value = strdup (p->manifest);
 }
 
-/* Writes the head row. */
+/* Writes the head row that names the manifest. */
 static void
-apply_head (struct node *n, struct pending *p)
+write_head (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char *text = codec_text (&head_row_desc, &p->head);
@@ -49,9 +51,9 @@
   free (text);
 }
 
-/* Reads the head row. */
+/* Reads the head row, to find the outcome of a write. */
 static void
-apply_check (struct node *n, struct pending *p)
+read_head (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
@@ -62,9 +64,10 @@
   o->u.store.op.key = strdup ("head");
 }
 
-/* The manifest is in force: @ver is the row version of its head row. */
+/* Installs the manifest, whose head row has been written with row version
+   @ver, and answers the caller. */
 static void
-apply_done (struct node *n, struct pending *p, int64_t ver)
+finish_applied (struct node *n, struct pending *p, int64_t ver)
 {
   json_t *json = json_object ();
 
@@ -82,9 +85,10 @@
   entry_pending_free (n, p);
 }
 
-/* Another change is in force: @version is its configuration version. */
+/* Refuses the manifest, because its base is not the current configuration
+   version @version. */
 static void
-apply_conflict (struct node *n, struct pending *p, int64_t version)
+finish_conflict (struct node *n, struct pending *p, int64_t version)
 {
   char field[64];
 
@@ -95,10 +99,10 @@
   entry_pending_free (n, p);
 }
 
-/* Determines from the head row @row, NULL if absent, what became of this
-   change. */
+/* Determines from the current head row whether this change took effect, and
+   continues or ends it.  @row is NULL if the table has no head row. */
 static void
-apply_seen (struct node *n, struct pending *p, const struct row *row)
+resolve_outcome (struct node *n, struct pending *p, const struct row *row)
 {
   struct head_row head = { .version = 0 };
   struct codec_err ce;
@@ -108,25 +112,25 @@
                  CODEC_LENIENT, &head, &ce);
   if (row && head.version == p->head.version
       && strcmp (head.change_id, p->head.change_id) == 0)
-    apply_done (n, p, row->ver);
+    finish_applied (n, p, row->ver);
   else if (head.version <= p->base_version)
-    apply_head (n, p);
+    write_head (n, p);
   else if (head.version == p->head.version || !p->may_have_applied)
-    apply_conflict (n, p, head.version);
+    finish_conflict (n, p, head.version);
   else
-    /* This change may have been in force before a later one. */
+    /* This change may have been in force before a later one replaced it. */
     entry_finish_err (n, p, CLB_EUNKNOWN, 0);
 }
 
 /* Handles the answer to a write of the head row. */
 static void
-apply_head_answer (struct node *n, struct pending *p,
+head_write_answer (struct node *n, struct pending *p,
                    const struct store_rep *rep)
 {
   if (rep->err == 0)
-    apply_done (n, p, rep->n_rows ? rep->rows[0].ver : 0);
+    finish_applied (n, p, rep->n_rows ? rep->rows[0].ver : 0);
   else if (rep->err == CLB_ECONFLICT)
-    apply_seen (n, p, rep->n_rows ? &rep->rows[0] : NULL);
+    resolve_outcome (n, p, rep->n_rows ? &rep->rows[0] : NULL);
   else if (rep->err == CLB_EUNAVAIL && !p->may_have_applied)
     entry_finish_err (n, p, CLB_EUNAVAIL, RETRY_HINT_MS);
   else
@@ -149,23 +153,24 @@
     {
     case STEP_APPLY_OBJECT:
       if (rep->err == 0)
-        apply_head (n, p);
-      break; /* an error is retried, since the object's name is its hash */
+        write_head (n, p);
+      break; /* after an error apply_tick() writes the same object again */
     case STEP_APPLY_HEAD:
-      apply_head_answer (n, p, rep);
+      head_write_answer (n, p, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-        apply_seen (n, p, rep->n_rows ? &rep->rows[0] : NULL);
+        resolve_outcome (n, p, rep->n_rows ? &rep->rows[0] : NULL);
       break;
     }
   return true;
 }
 
-/* Checks that a key may change the configuration: an operator's key, or the
-   first key of the settings until a manifest is accepted. */
+/* Checks that the key of @rq may change the configuration: it is an operator's
+   key, or the first key of the settings while no manifest is accepted yet.
+   Returns 0 or enum clb_err. */
 static int
-may_apply (struct node *n, const struct request *rq)
+check_apply_key (struct node *n, const struct request *rq)
 {
   char team[CLB_NAME_MAX] = "";
   char hash[CONF_HASH_HEX];
@@ -181,10 +186,10 @@
   return err ? err : *team ? CLB_EDENIED : 0;
 }
 
-/* Sets @out to the change's id from the query string; false if it is missing
-   or not valid. */
+/* Sets @out to the id of the change in the query string.  Returns false if the
+   id is missing or not valid. */
 static bool
-read_change (const char *query, char out[CLB_ID_MAX])
+parse_change_id (const char *query, char out[CLB_ID_MAX])
 {
   const char name[] = "change=";
   const char *at = query ? strstr (query, name) : NULL;
@@ -207,10 +212,10 @@
   struct conf c;
   struct codec_err ce = { .err = 0 };
   struct pending *p;
-  char change[CLB_ID_MAX];
-  int err = may_apply (n, rq);
+  char change_id[CLB_ID_MAX];
+  int err = check_apply_key (n, rq);
 
-  if (!err && !read_change (query, change))
+  if (!err && !parse_change_id (query, change_id))
     {
       err = CLB_EFIELD;
       clb_copy (ce.path, "change", sizeof ce.path);
@@ -227,18 +232,18 @@
   p->base_version = entry_query_number (query, "base=");
   p->head_ver = n->head_ver;
   p->head.version = p->base_version + 1;
-  clb_copy (p->head.change_id, change, sizeof p->head.change_id);
+  clb_copy (p->head.change_id, change_id, sizeof p->head.change_id);
   p->deadline_ms = n->now_ms + APPLY_WAIT_MS;
   if (p->base_version != n->head.version)
     {
-      apply_conflict (n, p, n->head.version);
+      finish_conflict (n, p, n->head.version);
       return;
     }
   p->manifest = strndup (rq->body ? rq->body : "", rq->body_len);
   if (!p->manifest)
     abort ();
   conf_text_hash (p->manifest, rq->body_len, p->head.hash);
-  apply_object (n, p);
+  write_object (n, p);
 }
 
 void
@@ -249,7 +254,7 @@
   json_t *json;
 
   if (n->head.version == 0)
-    err = may_apply (n, rq);
+    err = check_apply_key (n, rq);
   if (err)
     {
       entry_refuse (n, rq->http_call, err, NULL);
@@ -264,8 +269,9 @@
   entry_answer_json (n, rq->http_call, 200, json, 0);
 }
 
-/* A write of the object is repeated.  A write of the head row may have taken
-   effect, so the row is read first. */
+/* An unanswered write of the object is repeated; that is safe since the name
+   of the object is the hash of its text.  An unanswered write of the head row
+   may have taken effect, so the row is read first. */
 void
 apply_tick (struct node *n, struct pending *p)
 {
@@ -273,9 +279,9 @@
     return;
   if (p->step == STEP_APPLY_OBJECT)
     {
-      apply_object (n, p);
+      write_object (n, p);
       return;
     }
   p->may_have_applied |= p->step == STEP_APPLY_HEAD;
-  apply_check (n, p);
+  read_head (n, p);
 }
--- a/core/entry.c
+++ b/core/entry.c
@@ -1,5 +1,5 @@
-/* Callers' requests: checks them, calls the lease holder of a domain, and
-   answers them from its reply. */
+/* Handling of callers' requests.  Each request is checked, the lease holder of
+   a domain is called, and the caller is answered from the holder's reply. */
 #include "node.h"
 
 #include <stdio.h>
@@ -8,19 +8,20 @@
 
 enum
 {
-  /* A call without a reply is sent again after this time. */
+  /* Time after which a call without a reply is sent again. */
   CALL_RETRY_MS = 1000,
   /* Period in which deadlines and retries are checked. */
-  PENDING_TICK_MS = 20,
-  /* Timeout of a status, cancel or why request, on top of its
-     old_leases_end_ms. */
+  PENDING_CHECK_MS = 20,
+  /* Timeout of a status, cancel or why request, in addition to its
+     call::wait_ms. */
   TASK_CALL_WAIT_MS = 5000,
-  /* Time for which the end of a service request is reported to a holder that
-     does not confirm it. */
-  RELEASE_WAIT_MS = 60000,
-  /* The same time, counted from the beginning of a shutdown. */
-  RELEASE_STOP_MS = 10000,
-  /* Largest old_leases_end_ms of a request. */
+  /* Longest time for which the end of a service request is reported to a lease
+     holder that does not confirm it. */
+  RELEASE_REPORT_MS = 60000,
+  /* Longest time after the beginning of a shutdown for which the ends of
+     service requests are reported. */
+  RELEASE_STOPPING_MS = 10000,
+  /* Largest call::wait_ms of a status, cancel or why request. */
   WAIT_MAX_MS = 300000,
 };
 
@@ -39,7 +40,7 @@
 RB_GENERATE (pending_tree, pending, by_seq, pending_seq_cmp)
 RB_GENERATE (caller_tree, pending, by_http_call, pending_http_call_cmp)
 
-/* Answers. */
+/* Answers to callers. */
 
 void
 entry_answer (struct node *n, uint64_t http_call, int status, char *body,
@@ -68,8 +69,9 @@
   json_decref (json);
 }
 
-/* Every error answer has the error's name, whether the request may have run,
-   and the delay for a retry. */
+/* The JSON of an error answer gives the error's name and whether the request
+   may have run.  The wrong field, the id and the delay for a retry are
+   optional. */
 void
 entry_answer_err (struct node *n, uint64_t http_call, int err,
                   const char *field, const char *id, int64_t retry_ms)
@@ -97,7 +99,7 @@
   entry_answer_err (n, http_call, err, field, NULL, retry);
 }
 
-/* The body of an answer about a task. */
+/* Returns the body of an answer about a task. */
 static json_t *
 reply_json (const struct reply *r)
 {
@@ -171,7 +173,7 @@
   return false;
 }
 
-/* The pending request whose call has number @seq, or NULL. */
+/* Returns the pending request whose call::seq is @seq, or NULL. */
 static struct pending *
 pending_by_seq (struct node *n, int64_t seq)
 {
@@ -188,7 +190,7 @@
   return http_call ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
 
-/* Sends the call, again if it was sent before. */
+/* A call that was sent before is sent again, and counted as a retry. */
 void
 entry_pending_send (struct node *n, struct pending *p)
 {
@@ -213,8 +215,8 @@
   entry_pending_free (n, p);
 }
 
-/* The holder must learn how the request ended, to free the slot, even if the
-   caller already has its answer. */
+/* The lease holder must be notified how the request ended, so that it frees
+   the slot, even if the caller already has its answer. */
 void
 entry_pending_release (struct node *n, struct pending *p, int state,
                        bool executor_failed)
@@ -225,11 +227,11 @@
   p->call.verb = CALL_RELEASE;
   p->call.state = state;
   p->call.bad_server = executor_failed;
-  p->deadline_ms = n->now_ms + RELEASE_WAIT_MS;
+  p->deadline_ms = n->now_ms + RELEASE_REPORT_MS;
   entry_pending_send (n, p);
 }
 
-/* Authorization. */
+/* Authorization of callers. */
 
 int
 node_authorize (struct node *n, int64_t now_ms, const char *bearer,
@@ -265,18 +267,20 @@
   return err;
 }
 
-/* Choice of a domain. */
+/* Choice of the domain that runs a task or service request. */
 
-/* enum domain_fit - whether a domain has the capacity for some work */
+/* enum domain_fit - whether a domain has the capacity for a task or service
+ * request; a higher value is preferred */
 enum domain_fit
 {
-  FIT_NO_HOLDER,
-  FIT_NEVER, /* the need exceeds the whole capacity or every worker's */
-  FIT_LATER, /* the need exceeds the free capacity */
-  FIT_NOW,
+  FIT_NO_HOLDER, /* no lease holder of the domain is known */
+  FIT_NEVER,     /* need exceeds the domain's or every worker's capacity */
+  FIT_LATER,     /* need exceeds only the domain's free capacity */
+  FIT_NOW,       /* need is within the domain's free capacity */
 };
 
-/* Returns enum domain_fit of @domain for @spec, by the holder's last hello. */
+/* Returns the enum domain_fit of @domain for @spec, by the capacity in the
+   holder's latest hello. */
 static int
 domain_fit (struct node *n, const char *domain, const struct spec *spec)
 {
@@ -297,7 +301,7 @@
   return clb_res_fits (&need, &sum.room) ? FIT_NOW : FIT_LATER;
 }
 
-/* Among domains with the same fit, prefers this instance's own. */
+/* Among domains with the same fit, prefers the domain of this instance. */
 const char *
 entry_pick_domain (struct node *n, const struct spec *spec)
 {
@@ -315,7 +319,7 @@
   return best_fit == FIT_NO_HOLDER ? NULL : best;
 }
 
-/* Tasks. */
+/* Requests about tasks. */
 
 /* Ids become parts of row keys, so only these characters are valid. */
 bool
@@ -329,7 +333,8 @@
                 == len;
 }
 
-/* Checks a task request; sets @field to the wrong field on failure. */
+/* Checks a task request of @team, and sets the default of absent members.
+   Returns 0 or enum clb_err; on failure @field names the wrong field. */
 static int
 check_spec (struct node *n, struct spec *spec, const char *team,
             const char **field)
@@ -356,7 +361,7 @@
   return 0;
 }
 
-/* Handles a task request. */
+/* Handles a request to run a task. */
 static void
 submit (struct node *n, const struct request *rq)
 {
@@ -417,23 +422,24 @@
   return at ? strtoll (at + strlen (name), NULL, 10) : 0;
 }
 
-/* Handles a status, cancel or why request.  @id is the task's id, which begins
-   with its domain's name, and perhaps a query string. */
+/* Handles a status, cancel or why request.  @rest is the rest of the path: the
+   task's id, which begins with its domain's name, and any query string. */
 static void
-task_call (struct node *n, const struct request *rq, int verb, const char *id)
+task_call (struct node *n, const struct request *rq, int verb,
+           const char *rest)
 {
   struct pending *p;
-  const char *query = strchr (id, '?');
-  const char *dot = strchr (id, '.');
-  size_t len = query ? (size_t)(query - id) : strlen (id);
+  const char *query = strchr (rest, '?');
+  const char *dot = strchr (rest, '.');
+  size_t len = query ? (size_t)(query - rest) : strlen (rest);
   char team[CLB_NAME_MAX] = "";
   int err = 0;
 
   if (rq->bearer)
     err = node_authorize (n, n->now_ms, rq->bearer, team);
   if (!err
-      && (len >= CLB_ID_MAX || !dot || dot >= id + len
-          || dot - id >= CLB_NAME_MAX))
+      && (len >= CLB_ID_MAX || !dot || dot >= rest + len
+          || dot - rest >= CLB_NAME_MAX))
     err = CLB_ENOTFOUND;
   if (err)
     {
@@ -441,8 +447,8 @@
       return;
     }
   p = entry_pending_new (n, rq->http_call, verb);
-  memcpy (p->call.id, id, len);
-  memcpy (p->domain, id, (size_t)(dot - id));
+  memcpy (p->call.id, rest, len);
+  memcpy (p->domain, rest, (size_t)(dot - rest));
   clb_copy (p->call.team, team, sizeof p->call.team);
   p->call.open_only = !rq->bearer;
   p->call.wait_ms = entry_query_number (query, "wait_ms=");
@@ -465,14 +471,14 @@
   if (p->call.verb == CALL_ACQUIRE)
     entry_pending_release (n, p, TASK_CANCELLED, false);
   else if (p->step != STEP_AWAIT_REPLY)
-    entry_pending_detach (n, p); /* a new manifest is still written */
+    entry_pending_detach (n, p); /* the new manifest is written regardless */
   else
     entry_pending_free (n, p);
 }
 
 /* Replies from lease holders. */
 
-/* Handles the reply to a CALL_ACQUIRE: a slot or an error. */
+/* Handles the reply to a CALL_ACQUIRE: a granted slot or an error. */
 static void
 reply_acquire (struct node *n, struct pending *p, const struct reply *r)
 {
@@ -488,7 +494,7 @@
     }
 }
 
-/* Answers a task request from a successful reply. */
+/* Answers a caller's request about a task from a reply without an error. */
 static void
 reply_task (struct node *n, struct pending *p, const struct reply *r)
 {
@@ -502,8 +508,8 @@
   entry_pending_free (n, p);
 }
 
-/* Handles a reply without a pending request.  If it grants a slot, releases
-   the slot at once. */
+/* Handles a reply whose request is not pending any more.  If the reply grants
+   a slot, releases the slot at once. */
 static void
 reply_late (struct node *n, const struct reply *r)
 {
@@ -529,8 +535,8 @@
       reply_late (n, r);
       return;
     }
-  /* The instance is not the holder any more, or not yet: call again until the
-     deadline. */
+  /* The instance that was called is not the lease holder any more, or not yet.
+     pending_tick() sends the call again until the request's deadline. */
   if (r->err == CLB_ENOHOLDER)
     return;
   if (p->call.verb == CALL_RELEASE)
@@ -547,7 +553,8 @@
     reply_task (n, p, r);
 }
 
-/* Answers a request for this instance's status, which needs a valid key. */
+/* Answers a request for this instance's status, for which the caller needs a
+   valid key of any kind. */
 static void
 show_status (struct node *n, const struct request *rq)
 {
@@ -560,7 +567,8 @@
     entry_answer (n, rq->http_call, 200, view_status (n), 0);
 }
 
-/* The part of @path after @prefix; NULL if it does not start with that. */
+/* Returns the part of @path after @prefix; NULL if @path does not start with
+   @prefix. */
 static const char *
 path_after (const char *path, const char *prefix)
 {
@@ -569,7 +577,7 @@
   return strncmp (path, prefix, len) == 0 ? path + len : NULL;
 }
 
-/* Passes a request to the function for its path and method. */
+/* Passes a request to the function that handles its path and method. */
 static void
 route (struct node *n, const struct request *rq)
 {
@@ -613,16 +621,16 @@
     route (n, rq);
 }
 
-/* Deadlines and retries. */
+/* Deadlines and retries of pending requests. */
 
 /* Ends a pending request whose deadline has passed. */
 static void
-give_up (struct node *n, struct pending *p)
+expire_pending (struct node *n, struct pending *p)
 {
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the HTTP client aborts it and calls node_forward_done() */
+      return; /* the HTTP client aborts the request: node_forward_done() */
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
@@ -637,7 +645,7 @@
     }
   if (p->call.verb == CALL_ACQUIRE)
     {
-      /* Nothing was sent to an executor, and nothing will be. */
+      /* The request was not sent to an executor, and will not be. */
       entry_answer_err (n, p->http_call, CLB_ETIMEOUT, NULL, NULL,
                         RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, false);
@@ -648,18 +656,18 @@
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
 
-/* Checks deadline and retry of one request. */
+/* Checks whether the deadline or a retry of one pending request is due. */
 static void
 pending_tick (struct node *n, struct pending *p)
 {
   const char *holder;
 
   if (n->stopping && p->step == STEP_RELEASING
-      && p->deadline_ms > n->stopping_ms + RELEASE_STOP_MS)
-    p->deadline_ms = n->stopping_ms + RELEASE_STOP_MS;
+      && p->deadline_ms > n->stopping_ms + RELEASE_STOPPING_MS)
+    p->deadline_ms = n->stopping_ms + RELEASE_STOPPING_MS;
   if (n->now_ms >= p->deadline_ms)
     {
-      give_up (n, p);
+      expire_pending (n, p);
       return;
     }
   if (p->step >= STEP_APPLY_OBJECT)
@@ -684,7 +692,7 @@
 
   if (n->now_ms < n->next_pending_ms)
     return;
-  n->next_pending_ms = n->now_ms + PENDING_TICK_MS;
+  n->next_pending_ms = n->now_ms + PENDING_CHECK_MS;
   RB_FOREACH_SAFE (p, pending_tree, &n->pending, next)
     pending_tick (n, p);
 }
--- a/core/msg.c
+++ b/core/msg.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  /* Limit of numbers and array lengths that need no lower limit. */
+  /* Limit of numbers and array lengths that have no limit of their own. */
   NUMBER_MAX = INT32_MAX,
   /* Largest number of members of a gang. */
   MEMBERS_MAX = 1024,
--- a/core/service.c
+++ b/core/service.c
@@ -1,5 +1,6 @@
-/* Service requests: acquires a slot from a domain's lease holder, forwards the
-   request to the slot's executor, and releases the slot. */
+/* Handling of service requests.  For each request a slot is acquired from a
+   domain's lease holder, the request is forwarded to the slot's executor, and
+   the slot is released. */
 #include "node.h"
 
 #include <stdio.h>
@@ -8,16 +9,17 @@
 
 enum
 {
-  /* Time for the reply to a CALL_ACQUIRE to arrive, on top of its
-     old_leases_end_ms. */
+  /* Time for the reply to a CALL_ACQUIRE to arrive, in addition to its
+     call::wait_ms. */
   REPLY_SLACK_MS = 2000,
-  /* Largest number of executors to which one idempotent request is sent. */
+  /* Largest number of times that one idempotent request is forwarded. */
   FORWARD_TRIES = 3,
 };
 
-/* Calls the holder of @domain for a slot, under a new request id. */
+/* Calls the lease holder of @domain for a slot, with a new id for the service
+   request. */
 static void
-acquire (struct node *n, struct pending *p, const char *domain)
+acquire_slot (struct node *n, struct pending *p, const char *domain)
 {
   clb_copy (p->domain, domain, sizeof p->domain);
   snprintf (p->call.id, sizeof p->call.id, "%.30s.%.30s-%llx-%lld", domain,
@@ -28,7 +30,7 @@
   entry_pending_send (n, p);
 }
 
-/* The field that caused error @err of a service request, or NULL. */
+/* Returns the field that caused error @err of a service request, or NULL. */
 static const char *
 wrong_field (int err)
 {
@@ -83,7 +85,7 @@
   p->max_run_ms = q->max_run_ms;
   clb_copy (p->call.team, team, sizeof p->call.team);
   p->deadline_ms = n->now_ms + q->max_wait_ms + REPLY_SLACK_MS;
-  acquire (n, p, domain);
+  acquire_slot (n, p, domain);
 }
 
 void
@@ -92,7 +94,7 @@
   struct out *o;
 
   clb_copy (p->executor, r->executor, sizeof p->executor);
-  /* A holder may have granted the slot to another request since. */
+  /* By now the lease holder may have granted the slot to another request. */
   if (n->now_ms - r->call_sent_ms > FORWARD_DEADLINE_MS)
     {
       n->stats.stale_slots++;
@@ -121,13 +123,15 @@
          && now_ms - p->sent_ms <= FORWARD_DEADLINE_MS;
 }
 
-/* Sends an idempotent request without an answer to another executor, as a new
-   pending request that takes over the caller.  Returns false if there is no
-   try or time left, or no domain has a holder. */
+/* Forwards a request once more, if it is idempotent and its executor gave no
+   answer.  Creates a new pending request, which acquires a new slot, and moves
+   the caller from @p to it.  Returns true if this is done; false if no caller
+   waits, the request is not idempotent, no try or time is left, or no domain
+   has a lease holder. */
 static bool
 forward_again (struct node *n, struct pending *p)
 {
-  struct pending *again;
+  struct pending *again; /* the new pending request */
   const char *domain;
   int64_t left = p->arrival_ms + p->call.wait_ms - n->now_ms;
 
@@ -147,7 +151,7 @@
   again->arrival_ms = p->arrival_ms;
   again->max_run_ms = p->max_run_ms;
   again->deadline_ms = n->now_ms + left + REPLY_SLACK_MS;
-  acquire (n, again, domain);
+  acquire_slot (n, again, domain);
   return true;
 }
 
--- a/core/view.c
+++ b/core/view.c
@@ -1,4 +1,5 @@
-/* Reports of an instance: status as JSON, counters as Prometheus text. */
+/* Reports of an entry instance: its status as JSON, and its counters in
+   Prometheus text format. */
 #include "metric.h"
 #include "node.h"
 
@@ -6,11 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* By enum worker_state. */
+/* Worker states in the status, indexed by enum worker_state. */
 static const char *const worker_state_names[]
     = { "unseen", "live", "silent", "condemned", "gone" };
-/* By enum forward_end. */
-static const char *const end_names[]
+/* Values of the metric label "end", indexed by enum forward_end. */
+static const char *const forward_end_names[]
     = { "ok", "error", "unreached", "failed", "cut" };
 
 static void
@@ -32,7 +33,7 @@
 }
 
 static json_t *
-view_peers (struct node *n)
+peers_json (struct node *n)
 {
   json_t *list = json_array ();
 
@@ -54,7 +55,7 @@
 }
 
 static json_t *
-view_workers (struct node *n)
+workers_json (struct node *n)
 {
   json_t *list = json_array ();
   struct worker *w;
@@ -79,7 +80,7 @@
 }
 
 static json_t *
-view_teams (struct node *n)
+teams_json (struct node *n)
 {
   json_t *list = json_array ();
   struct team *t;
@@ -100,7 +101,7 @@
   return list;
 }
 
-/* Counts the tasks by enum task_state. */
+/* Sets @counts to the number of tasks in each enum task_state. */
 static void
 count_states (const struct node *n, int64_t counts[TASK_STATE_N])
 {
@@ -111,9 +112,9 @@
     counts[t->state]++;
 }
 
-/* State of the domain's scheduler. */
+/* Returns the state of the domain's scheduler. */
 static json_t *
-view_sched (struct node *n)
+sched_json (struct node *n)
 {
   json_t *obj = json_object ();
   json_t *tasks = json_object ();
@@ -127,8 +128,8 @@
   add_bool (obj, "may_start", n->sched->may_start);
   add_int (obj, "journal_row", n->sched->journal.seq);
   json_object_set_new (obj, "tasks", tasks);
-  json_object_set_new (obj, "teams", view_teams (n));
-  json_object_set_new (obj, "workers", view_workers (n));
+  json_object_set_new (obj, "teams", teams_json (n));
+  json_object_set_new (obj, "workers", workers_json (n));
   return obj;
 }
 
@@ -146,16 +147,16 @@
   add_int (obj, "requests_in_hand", n->n_pending);
   const char *holder = node_holder (n, n->settings.domain);
   add_str (obj, "holder", holder ? holder : "");
-  json_object_set_new (obj, "peers", view_peers (n));
+  json_object_set_new (obj, "peers", peers_json (n));
   if (n->sched)
-    json_object_set_new (obj, "scheduler", view_sched (n));
+    json_object_set_new (obj, "scheduler", sched_json (n));
   text = json_dumps (obj, JSON_COMPACT);
   return text;
 }
 
 /* Prints the counters that every instance has. */
 static void
-metrics_entry (FILE *f, const struct node *n)
+print_entry_metrics (FILE *f, const struct node *n)
 {
   const struct node_stats *st = &n->stats;
 
@@ -165,7 +166,7 @@
     metric_print (f, "answers_total", "error", clb_err_name (-i),
                   st->answers[i]);
   for (int i = 0; i <= FORWARD_ABORTED; i++)
-    metric_print (f, "forward_ends_total", "end", end_names[i],
+    metric_print (f, "forward_ends_total", "end", forward_end_names[i],
                   st->forward_ends[i]);
   metric_print (f, "call_retries_total", NULL, NULL, st->retries);
   metric_print (f, "late_replies_total", NULL, NULL, st->late_replies);
@@ -182,33 +183,35 @@
                 (uint64_t)(n->now_ms - n->conf_verified_ms));
 }
 
-/* Prints a Prometheus histogram of waits for each class; bucket counts are
-   cumulative. */
+/* Prints a Prometheus histogram of the waiting times of each task class.  The
+   bucket counts are cumulative. */
 static void
-metrics_waits (FILE *f, const struct sched_stats *st)
+print_wait_metrics (FILE *f, const struct sched_stats *st)
 {
   for (int c = 0; c < CLASS_N; c++)
     {
-      unsigned long long below = 0;
+      unsigned long long cumulative = 0;
       for (int b = 0; b < WAIT_BUCKETS; b++)
         {
-          below += st->waits[c][b];
+          cumulative += st->waits[c][b];
           fprintf (f, "citronlb_wait_ms_bucket{class=\"%s\",le=\"",
                    task_class_names[c]);
           if (b == WAIT_BUCKETS - 1)
-            fprintf (f, "+Inf\"} %llu\n", below);
+            fprintf (f, "+Inf\"} %llu\n", cumulative);
           else
-            fprintf (f, "%lld\"} %llu\n", (long long)wait_bucket_ms[b], below);
+            fprintf (f, "%lld\"} %llu\n", (long long)wait_bucket_ms[b],
+                     cumulative);
         }
       metric_print (f, "wait_ms_sum", "class", task_class_names[c],
                     st->wait_sum_ms[c]);
-      metric_print (f, "wait_ms_count", "class", task_class_names[c], below);
+      metric_print (f, "wait_ms_count", "class", task_class_names[c],
+                    cumulative);
     }
 }
 
 /* Prints the counters of the domain's scheduler. */
 static void
-metrics_sched (FILE *f, const struct node *n)
+print_sched_metrics (FILE *f, const struct node *n)
 {
   const struct sched_stats *st = &n->sched->stats;
   int64_t counts[TASK_STATE_N];
@@ -220,7 +223,7 @@
   for (int i = 0; i < TASK_STATE_N; i++)
     metric_print (f, "tasks", "state", task_state_names[i],
                   (uint64_t)counts[i]);
-  metrics_waits (f, st);
+  print_wait_metrics (f, st);
   metric_print (f, "journal_groups_total", NULL, NULL, st->groups);
   metric_print (f, "journal_records_total", NULL, NULL, st->records);
   metric_print (f, "journal_retries_total", NULL, NULL, st->group_retries);
@@ -241,10 +244,10 @@
 
   if (!f)
     return NULL;
-  metrics_entry (f, n);
+  print_entry_metrics (f, n);
   metric_print (f, "holder", NULL, NULL, n->sched != NULL);
   if (n->sched)
-    metrics_sched (f, n);
+    print_sched_metrics (f, n);
   fclose (f);
   return text;
 }
