--- a/core/node.c
+++ b/core/node.c
@@ -1,4 +1,5 @@
-/* The node: peers, configuration polling, and the scheduler's lease. */
+/* One entry instance: its peers, its polling of the configuration and of the
+   list of instances, and the scheduler that it runs as lease holder. */
 #include "node.h"
 
 #include <stdio.h>
@@ -10,16 +11,18 @@
   /* Period in which the head row is read. */
   HEAD_POLL_MS = 1000,
   /* Period in which the platform's list of instances is read. */
-  LIST_POLL_MS = 1000,
-  /* Timeout of a read of the head row or list; four times that for a
-     manifest. */
-  STORE_TIMEOUT_MS = 2500,
-  /* Period of the queries for slots in use, until a peer has answered. */
+  INST_LIST_POLL_MS = 1000,
+  /* Timeout of a read of the head row or of the list of instances.  The
+     timeout of a read of a manifest is four times as long. */
+  READ_TIMEOUT_MS = 2500,
+  /* Period in which a peer is queried for its slots in use, until it has
+     answered. */
   HELD_QUERY_MS = 500,
-  /* Call numbers available for each millisecond between two starts. */
+  /* Number of call::seq values that are reserved for each millisecond between
+     two starts of an instance. */
   CALLS_PER_BOOT = 65536,
-  /* Time after the start of an epoch by which all slots that were granted
-     before it are in use or too old to be used. */
+  /* Time after the start of a scheduler by which each slot that an earlier
+     scheduler granted is in use, or was granted too long ago to be used. */
   HELD_WAIT_MS = 3000,
 };
 
@@ -91,7 +94,7 @@
   o->u.peer.msg = *m;
 }
 
-/* Whether a peer is reachable. */
+/* Returns whether a hello from @p arrived within PEER_UNREACHABLE_MS. */
 static bool
 peer_reachable (const struct node *n, const struct peer *p)
 {
@@ -99,7 +102,8 @@
          && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS;
 }
 
-/* Whether this instance schedules its domain. */
+/* Returns whether this instance holds the domain's lease and its scheduler is
+   ready. */
 static bool
 is_holder (const struct node *n)
 {
@@ -169,7 +173,7 @@
 }
 
 static void
-head_read (struct node *n)
+read_head (struct node *n)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
@@ -180,8 +184,10 @@
   n->next_head_ms = n->now_ms + HEAD_POLL_MS;
 }
 
-/* Uses a peer's verification of the same configuration version.  On this
-   instance's clock it is conf_age_ms before the hello that the peer echoes. */
+/* Adopts a peer's verification of the same configuration version.  The peer
+   verified it conf_age_ms before sending this hello, which was after it got
+   the hello of this instance that it echoes.  So on this instance's clock the
+   verification is not older than conf_age_ms before echo_ms. */
 static void
 verify_conf_by_hello (struct node *n, const struct hello *h)
 {
@@ -198,9 +204,10 @@
     n->conf_verified_ms = verified_ms;
 }
 
-/* A new configuration can only come from an entry instance.  If none of them
-   has a newer version or a change in progress, the current version is the
-   newest, even while the platform is unreachable. */
+/* Verifies the configuration by the peers' hellos.  Only an entry instance can
+   change the configuration.  If none of them has another version or a change
+   in progress, the version in force is current, even while the platform is
+   unreachable. */
 static void
 verify_conf_by_peers (struct node *n)
 {
@@ -252,12 +259,13 @@
          && n->now_ms - n->conf_verified_ms < CONF_FRESH_MS;
 }
 
-/* Slots in use, which a new holder queries from all entry instances. */
+/* Slots in use, for which a new lease holder queries all entry instances. */
 
-/* Until all reachable peers have reported their slots, and HELD_WAIT_MS have
-   passed, the new scheduler does not know which slots are free. */
+/* Queries the peers for their slots in use, if this instance runs a new
+   scheduler.  The scheduler knows which slots are free once all reachable
+   peers have answered and HELD_WAIT_MS have passed. */
 static void
-held_tick (struct node *n)
+held_slots_tick (struct node *n)
 {
   struct sched *s = n->sched;
   bool all = true;
@@ -276,21 +284,21 @@
       p->held_query_ms = n->now_ms;
       node_send (n, p->id, &m);
     }
-  /* An instance that is paused and cannot report finds its slot too old to
-     be used when it continues. */
+  /* A paused instance cannot answer.  When it continues, the slots that were
+     granted to it are too old to be used. */
   if (!all || n->now_ms - s->started_ms < HELD_WAIT_MS)
     return;
-  struct held_list mine = { .n_items = 0 };
-  entry_held_slots (n, &mine);
-  sched_used_slots (s, &mine);
-  free (mine.items);
+  struct held_list own_slots = { .n_items = 0 };
+  entry_held_slots (n, &own_slots);
+  sched_used_slots (s, &own_slots);
+  free (own_slots.items);
   s->slots_known = true;
   s->dirty = true;
 }
 
-/* Reports this instance's slots in use to the new holder @to. */
+/* Reports the slots that this instance uses to the new lease holder @to. */
 static void
-answer_held (struct node *n, const char *to)
+report_held_slots (struct node *n, const char *to)
 {
   struct pmsg m = { .kind = PM_HELD };
 
@@ -299,7 +307,7 @@
 }
 
 static void
-handle_held (struct node *n, const struct pmsg *m)
+handle_held_slots (struct node *n, const struct pmsg *m)
 {
   struct peer *p = node_get_peer (n, m->from);
 
@@ -309,7 +317,7 @@
   p->held_reported = true;
 }
 
-/* Handles a peer message, perhaps one of this instance to itself. */
+/* Handles a message from a peer, or from this instance to itself. */
 static void
 handle_peer_msg (struct node *n, const struct pmsg *m)
 {
@@ -336,15 +344,15 @@
       role_promise (&n->role, m->from, m->boot, &m->u.promise);
       break;
     case PM_HELD_QUERY:
-      answer_held (n, m->from);
+      report_held_slots (n, m->from);
       break;
     case PM_HELD:
-      handle_held (n, m);
+      handle_held_slots (n, m);
       break;
     }
 }
 
-/* Configuration. */
+/* Reading and installing the configuration. */
 
 void
 node_install_conf (struct node *n, const struct head_row *head, int64_t ver,
@@ -376,13 +384,14 @@
   o->u.event.reason = WHY_CONFIG;
   o->u.event.detail = c->version;
   clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
-  /* Notify the peers at once, so that they need not wait for their poll. */
+  /* Notify the peers of the new version at once, so that they read it before
+     their next poll of the head row is due. */
   n->next_hello_ms = n->now_ms;
 }
 
-/* Reads the manifest that the head row @head names. */
+/* Reads the manifest that the head row @head, of row version @ver, names. */
 static void
-object_read (struct node *n, const struct head_row *head, int64_t ver)
+read_manifest (struct node *n, const struct head_row *head, int64_t ver)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char name[CLB_ID_MAX] = "manifest-";
@@ -397,7 +406,7 @@
 }
 
 static void
-head_answer (struct node *n, const struct store_rep *rep)
+handle_head (struct node *n, const struct store_rep *rep)
 {
   struct head_row head;
   struct codec_err ce;
@@ -416,11 +425,11 @@
         n->conf_verified_ms = n->head_sent_ms;
     }
   else if (head.version > n->head.version && !n->object_token)
-    object_read (n, &head, rep->rows[0].ver);
+    read_manifest (n, &head, rep->rows[0].ver);
 }
 
 static void
-object_answer (struct node *n, const struct store_rep *rep)
+handle_manifest (struct node *n, const struct store_rep *rep)
 {
   n->object_token = 0;
   if (rep->err || rep->n_rows == 0 || !rep->rows[0].value)
@@ -434,7 +443,7 @@
 /* The platform's list of instances. */
 
 static void
-list_read (struct node *n)
+read_inst_list (struct node *n)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char known[24];
@@ -445,10 +454,11 @@
   if (n->list_known)
     o->u.store.op.after = strdup (known);
   n->list_sent_ms = n->now_ms;
-  n->next_list_ms = n->now_ms + LIST_POLL_MS;
+  n->next_list_ms = n->now_ms + INST_LIST_POLL_MS;
 }
 
-/* Updates the peers from the list; removes unlisted ones without contact. */
+/* Updates the peers from the list of instances.  Removes peers that are not in
+   the list and from which no hello came for a long time. */
 static void
 update_peers (struct node *n)
 {
@@ -472,7 +482,7 @@
 }
 
 static void
-list_answer (struct node *n, const struct store_rep *rep)
+handle_inst_list (struct node *n, const struct store_rep *rep)
 {
   struct inst_list list;
   struct codec_err ce;
@@ -480,7 +490,7 @@
   n->list_token = 0;
   if (rep->err)
     return;
-  /* No row: the list has not changed since list_ver. */
+  /* An answer without rows: the list has not changed since list_ver. */
   if (rep->n_rows == 0 && n->list_known)
     {
       n->list_ms = n->list_sent_ms;
@@ -505,26 +515,27 @@
     sched_instances (n->sched, &n->list, n->list_ms);
 }
 
-/* Sends the reads that are due, and lets those without an answer time out. */
+/* Gives up reads that had no answer within their timeout, and sends the reads
+   that are due. */
 static void
 platform_tick (struct node *n)
 {
-  if (n->head_token && n->now_ms - n->head_sent_ms > STORE_TIMEOUT_MS)
+  if (n->head_token && n->now_ms - n->head_sent_ms > READ_TIMEOUT_MS)
     n->head_token = 0;
-  if (n->list_token && n->now_ms - n->list_sent_ms > STORE_TIMEOUT_MS)
+  if (n->list_token && n->now_ms - n->list_sent_ms > READ_TIMEOUT_MS)
     n->list_token = 0;
-  if (n->object_token && n->now_ms - n->object_sent_ms > 4 * STORE_TIMEOUT_MS)
+  if (n->object_token && n->now_ms - n->object_sent_ms > 4 * READ_TIMEOUT_MS)
     n->object_token = 0;
   if (!n->head_token && n->now_ms >= n->next_head_ms)
-    head_read (n);
+    read_head (n);
   if (!n->list_token && n->now_ms >= n->next_list_ms)
-    list_read (n);
+    read_inst_list (n);
 }
 
 /* The domain's lease and scheduler. */
 
 static void
-sched_begin (struct node *n)
+start_sched (struct node *n)
 {
   n->sched = sched_new (n->settings.domain, n->settings.id, n->settings.boot,
                         n->role.epoch, n->role.epoch_ver, n->now_ms, n->conf,
@@ -539,16 +550,17 @@
 }
 
 static void
-sched_end (struct node *n)
+stop_sched (struct node *n)
 {
   sched_free (n->sched);
   n->sched = NULL;
   n->next_hello_ms = n->now_ms;
 }
 
-/* Reports a change of this instance's role, for the log and for watchers. */
+/* Queues an event for a change of this instance's role, for the log and for
+   watchers. */
 static void
-node_event (struct node *n, int reason)
+report_role_change (struct node *n, int reason)
 {
   struct out *o = out_new (&n->out, OUT_EVENT);
 
@@ -558,24 +570,26 @@
   n->stats.role_changes[reason]++;
 }
 
-/* Reports when an extension of the lease begins, and when the table becomes
-   unreachable or reachable; @until: role_valid_until(). */
+/* Queues an event when an extension of the lease by promises begins, and when
+   the table service becomes unreachable or reachable.  @until is the result of
+   role_valid_until(). */
 static void
 report_extension (struct node *n, int64_t until)
 {
   bool extended = n->now_ms < until && n->now_ms >= n->role.lease_until_ms;
 
   if (extended && !n->extended)
-    node_event (n, WHY_LEASE_EXTENDED);
+    report_role_change (n, WHY_LEASE_EXTENDED);
   n->extended = extended;
   if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLDER)
     {
       n->store_down = !n->role.store_up;
-      node_event (n, n->store_down ? WHY_STORE_DOWN : WHY_STORE_BACK);
+      report_role_change (n, n->store_down ? WHY_STORE_DOWN : WHY_STORE_BACK);
     }
 }
 
-/* Advances the election; starts, updates or frees the scheduler. */
+/* Handles the timers of the election, and starts, updates or frees the
+   domain's scheduler as the lease requires. */
 static void
 role_step (struct node *n)
 {
@@ -588,11 +602,12 @@
   if (n->sched
       && (n->role.state != ROLE_HOLDER || n->role.epoch != n->sched->epoch))
     {
-      node_event (n, n->stopping ? WHY_LEASE_RELEASED : WHY_LEASE_LOST);
-      sched_end (n);
+      report_role_change (n,
+                          n->stopping ? WHY_LEASE_RELEASED : WHY_LEASE_LOST);
+      stop_sched (n);
     }
   if (!n->sched && n->role.state == ROLE_HOLDER && !n->stopping)
-    sched_begin (n);
+    start_sched (n);
   s = n->sched;
   if (!s)
     return;
@@ -605,11 +620,12 @@
   s->lapsed_since_ms = s->may_start ? 0 : until;
 }
 
-/* Releases the lease once no write is outstanding.  While the table is
-   unreachable, waits as long as a scheduler whose lease has expired renews its
-   tasks' leases. */
+/* Continues a shutdown: releases the lease once no write is outstanding, and
+   notifies the domain's other entry instances.  While the table service is
+   unreachable, the shutdown waits for LAPSED_RENEW_MS, the time for which a
+   scheduler whose lease has expired still renews its tasks' leases. */
 static void
-stop_tick (struct node *n)
+shutdown_tick (struct node *n)
 {
   if (!n->stopping || n->handed_over)
     return;
@@ -637,23 +653,23 @@
       }
 }
 
-/* Does what is due; called after each input. */
+/* Handles all timers and advances all parts of the node after an input. */
 static void
 node_step (struct node *n)
 {
   role_step (n);
   platform_tick (n);
-  held_tick (n);
+  held_slots_tick (n);
   if (n->sched)
     sched_tick (n->sched);
   entry_tick (n);
-  stop_tick (n);
+  shutdown_tick (n);
   send_hellos (n);
 }
 
 /* Inputs. */
 
-/* Sets the current time. */
+/* Sets the current time of the node and its parts. */
 static void
 set_now (struct node *n, int64_t now_ms)
 {
@@ -686,11 +702,11 @@
   if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EUNKNOWN)
     n->stats.store_errors++;
   if (token == n->head_token)
-    head_answer (n, rep);
+    handle_head (n, rep);
   else if (token == n->object_token)
-    object_answer (n, rep);
+    handle_manifest (n, rep);
   else if (token == n->list_token)
-    list_answer (n, rep);
+    handle_inst_list (n, rep);
   else if (!apply_store_answer (n, token, rep)
            && !role_store_answer (&n->role, token, rep) && n->sched)
     sched_store (n->sched, token, rep);
@@ -732,7 +748,7 @@
     {
       if (o->kind != OUT_PEER || strcmp (o->u.peer.to, n->settings.id) != 0)
         return o;
-      /* A message to this instance itself, such as a call to its own
+      /* The message is to this instance itself, such as a call to its own
          scheduler. */
       handle_peer_msg (n, &o->u.peer.msg);
       out_free (o);
