--- a/core/msg.h
+++ b/core/msg.h
@@ -160,8 +160,8 @@
  *
  * A worker must do the following.  It runs a task only until the latest lease
  * that it got expires.  After a stop it never starts the run with that id, and
- * its report confirms this.  It reports an ended run until the end is
- * acknowledged.
+ * its report confirms this.  It reports an ended run until sync_req::acks
+ * acknowledges the end.
  */
 struct sync_req
 {
@@ -269,17 +269,19 @@
 /** struct store_op - an operation of the table service */
 struct store_op
 {
-  int kind;  /* enum store_kind */
-  char *key; /* name of a row, object or table, or a prefix; see the kinds */
+  int kind; /* enum store_kind */
+  /* Key of a row, prefix of keys, or name of an object or table; enum
+     store_kind tells which. */
+  char *key;
   /* Of STORE_LIST: only rows with keys after this one are read; NULL: the list
      begins with the first row.  Of STORE_INSTANCES: decimal version of the
      list that the caller has, which is not sent again if it is current; NULL:
      the caller has no list.  Of other kinds: NULL. */
   char *after;
   char *value;        /* of STORE_OBJ_PUT: the object's text */
-  struct cond *conds; /* of STORE_TXN */
+  struct cond *conds; /* of STORE_TXN: conditions for writing the rows */
   size_t n_conds;
-  struct put *puts; /* of STORE_TXN */
+  struct put *puts; /* of STORE_TXN: rows to be written */
   size_t n_puts;
   /* Of STORE_FEED: version up to which the caller knows the changes. */
   int64_t since;
@@ -362,7 +364,8 @@
 {
   char domain[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX]; /* sender's address for peer messages */
-  int64_t conf_version;    /* configuration in force; 0: none accepted yet */
+  /* Version of the sender's configuration; 0: no manifest was accepted. */
+  int64_t conf_version;
   int64_t conf_age_ms;    /* time since conf_version was verified as current */
   bool apply_in_progress; /* the sender is writing a new manifest */
   bool holder;            /* the sender schedules its domain */
@@ -370,10 +373,11 @@
   bool stopping;          /* the sender is shutting down */
   bool knows_receiver; /* the sender counts the receiver as a domain member */
   int64_t sent_ms;     /* when the hello was sent, on the sender's clock */
-  /* sent_ms of the latest hello that the sender got from the receiver; 0: it
-     got none. */
+  /* hello::sent_ms of the latest hello that the sender got from the receiver;
+     0: the sender got none. */
   int64_t echo_ms;
-  int64_t echo_boot; /* boot of the receiver's process that sent echo_ms */
+  /* Boot of the receiver's process, from the same hello as echo_ms. */
+  int64_t echo_boot;
   /* Of a holder: free capacity of the domain. */
   struct clb_res free_capacity;
   /* Of a holder: whole capacity of the domain. */
@@ -492,9 +496,9 @@
   int64_t time_ms;         /* time of the event on the instance's clock */
   char id[CLB_ID_MAX];     /* id of the task concerned; empty: none */
   char team[CLB_NAME_MAX]; /* team concerned; empty: none */
-  char
-      where[CLB_ID_MAX]; /* worker, executor or instance concerned, or empty */
-  int64_t reason;        /* enum clb_reason */
+  /* Id of the worker, executor or instance concerned; empty: none. */
+  char where[CLB_ID_MAX];
+  int64_t reason; /* enum clb_reason */
   /* For WHY_CONFIG the version of the configuration that is now in force, for
      WHY_PREEMPTING the number of preempted tasks, for every other reason the
      number of candidates that were considered (0: none). */
--- a/core/node.h
+++ b/core/node.h
@@ -96,9 +96,9 @@
   char addr[CLB_ADDR_MAX]; /* address for peer messages */
   int64_t boot;            /* boot of the process that sent its last hello */
   int64_t last_contact_ms; /* when its latest hello arrived; 0: none yet */
-  int64_t hello_sent_ms;   /* hello::sent_ms of that hello, echoed to it */
-  struct hello hello;      /* its latest hello */
-  bool listed;             /* the platform's list of instances names it */
+  int64_t hello_sent_ms; /* hello::sent_ms of its latest hello; echoed to it */
+  struct hello hello;    /* its latest hello */
+  bool listed;           /* the platform's list of instances names it */
   /* True once the peer has reported its slots in use to the scheduler that
      this instance runs. */
   bool held_reported;
@@ -134,7 +134,8 @@
   struct call call;   /* call to the lease holder of domain */
   int step;           /* enum pending_step */
   char domain[CLB_NAME_MAX]; /* domain whose lease holder gets the call */
-  char holder[CLB_ID_MAX];   /* instance last sent the call; empty: none yet */
+  /* Instance to which the call was last sent; empty: not sent yet. */
+  char holder[CLB_ID_MAX];
   /* Of a forwarded request: reply::call_sent_ms of the reply that granted its
      slot.  Of others: when the latest call or store operation was sent. */
   int64_t sent_ms;
@@ -148,7 +149,7 @@
   char *manifest;       /* text of the manifest, freed with the request */
   /* Version of the configuration from which the change was made. */
   int64_t base_version;
-  int64_t head_ver; /* row version of the head row with base_version */
+  int64_t head_ver; /* row version of the head row that has base_version */
   /* True if a write of the head row has an unknown outcome. */
   bool may_have_applied;
   struct head_row head; /* the head row to be written */
@@ -163,13 +164,14 @@
 /** struct node_stats - counters of one entry instance */
 struct node_stats
 {
-  /* Answers to callers, indexed by negated enum clb_err; 0: success. */
+  /* Answers to callers, indexed by negated enum clb_err; index 0: success. */
   uint64_t answers[-CLB_ERR_LAST];
   uint64_t requests; /* callers' requests, including service requests */
   uint64_t service_requests;
   uint64_t retries;      /* calls that were sent again to a lease holder */
   uint64_t late_replies; /* replies whose call is not pending any more */
-  uint64_t stale_slots;  /* slots not used because granted too long ago */
+  /* Granted slots that were not used, since they were granted too long ago. */
+  uint64_t stale_slots;
   uint64_t forward_ends[FORWARD_ABORTED + 1]; /* by enum forward_end */
   /* Store operations for which the table service was unreachable or whose
      outcome is unknown. */
@@ -187,25 +189,29 @@
   struct outq out;           /* outputs for node_next_out() */
   uint64_t last_store_token; /* last token given to a store operation */
   struct role role;          /* this instance's part in the election */
-  struct sched *sched;  /* the domain's scheduler; NULL unless lease holder */
-  struct conf *conf;    /* in force; empty until a manifest is accepted */
+  struct sched *sched; /* the domain's scheduler; NULL unless lease holder */
+  /* Configuration in force; empty until a manifest is accepted. */
+  struct conf *conf;
   struct head_row head; /* head row of conf; version 0: none accepted yet */
   int64_t head_ver;     /* row version of head */
   /* Latest time at which conf is known to be current. */
   int64_t conf_verified_ms;
   /* Polling of the head row. */
-  uint64_t head_token;  /* token of the outstanding read; 0: none */
+  /* Token of the outstanding read of the head row; 0: none. */
+  uint64_t head_token;
   int64_t head_sent_ms; /* when the latest read of the head row was sent */
   int64_t next_head_ms; /* when the next read of the head row is due */
   /* Reading of a new manifest. */
-  uint64_t object_token;       /* token of the outstanding read; 0: none */
+  /* Token of the outstanding read of a manifest; 0: none. */
+  uint64_t object_token;
   struct head_row object_head; /* head row that names the manifest */
   int64_t object_ver;          /* row version of object_head */
   int64_t object_sent_ms;      /* when the read of object_head was sent */
   /* Polling of the platform's list of instances. */
-  uint64_t list_token;   /* token of the outstanding read; 0: none */
-  int64_t list_sent_ms;  /* when the latest read of the list was sent */
-  int64_t next_list_ms;  /* when the next read of the list is due */
+  /* Token of the outstanding read of the list of instances; 0: none. */
+  uint64_t list_token;
+  int64_t list_sent_ms;  /* when the latest read of instances was sent */
+  int64_t next_list_ms;  /* when the next read of instances is due */
   struct inst_list list; /* the platform's list of instances as last read */
   bool list_known;       /* true once list has been read */
   int64_t list_ver;      /* the platform's version number of list */
@@ -218,16 +224,19 @@
   /* True if WHY_STORE_DOWN was reported, and WHY_STORE_BACK not since. */
   bool store_down;
   bool reported_holder; /* hello::holder of the latest hellos */
-  /* Capacity of the domain as in the latest hellos; zero unless holder. */
+  /* Capacity of the domain as in the latest hellos; zero unless this instance
+     is the lease holder. */
   struct pool_sum capacity;
   struct pending_tree pending; /* all pending requests, by call::seq */
-  struct caller_tree callers;  /* those with a waiting caller, by http_call */
-  int n_pending;               /* number of pending requests */
-  int64_t last_call_seq;       /* call::seq of the latest new request */
-  int64_t next_pending_ms;     /* next check of deadlines and retries */
-  bool stopping;               /* node_stop() was called */
-  int64_t stopping_ms;         /* when node_stop() was called */
-  bool handed_over; /* the lease is released, or the release timed out */
+  /* The pending requests with a waiting caller, by http_call. */
+  struct caller_tree callers;
+  int n_pending;         /* number of pending requests */
+  int64_t last_call_seq; /* call::seq of the latest new request */
+  /* When the deadlines and retries of pending requests are checked next. */
+  int64_t next_pending_ms;
+  bool stopping;       /* node_stop() was called */
+  int64_t stopping_ms; /* when node_stop() was called */
+  bool handed_over;    /* the lease is released, or the release timed out */
   struct node_stats stats;
 };
 
--- a/core/role.h
+++ b/core/role.h
@@ -41,15 +41,16 @@
 struct role_peer
 {
   char id[CLB_ID_MAX];
-  int64_t boot; /* boot in its latest hello, or in the lease row */
-  /* When its latest hello arrived; INT64_MIN / 2: none yet. */
+  int64_t boot; /* boot in the peer's latest hello, or in the lease row */
+  /* When the peer's latest hello arrived; INT64_MIN / 2: none yet. */
   int64_t last_contact_ms;
   bool listed;     /* the platform's list of instances names it */
-  bool knows_self; /* it counts this instance as a member of the domain */
-  /* When the latest promise was requested from it. */
+  bool knows_self; /* the peer counts this instance as a domain member */
+  /* When the latest promise was requested from the peer. */
   int64_t promise_request_ms;
-  int64_t promise_request_seq; /* promise::seq of that request */
-  int64_t promised_until_ms; /* it does not claim the lease before this time */
+  int64_t promise_request_seq; /* promise::seq of the latest request */
+  /* The peer has promised not to claim the lease before this time. */
+  int64_t promised_until_ms;
 };
 
 /** struct role - election state of one entry instance in its domain */
@@ -65,7 +66,7 @@
   uint64_t *last_store_token;
   uint64_t store_token; /* token of the outstanding store op; 0: none */
   int64_t op_sent_ms;   /* when the latest store operation was sent */
-  int64_t next_op_ms;   /* when the next read or renewal is due */
+  int64_t next_op_ms;   /* when the next read or renewal of row is due */
   struct lease_row row; /* the lease row as last seen */
   int64_t row_ver;      /* version of row; 0: the row is absent */
   bool row_known;       /* row and row_ver are valid */
