--- a/core/apply.c
+++ b/core/apply.c
@@ -191,17 +191,17 @@
 static bool
 parse_change_id (const char *query, char out[CLB_ID_MAX])
 {
-  const char name[] = "change=";
-  const char *at = query ? strstr (query, name) : NULL;
+  const char prefix[] = "change=";
+  const char *value = query ? strstr (query, prefix) : NULL;
   size_t len;
 
-  if (!at)
+  if (!value)
     return false;
-  at += sizeof name - 1;
-  len = strcspn (at, "&");
+  value += sizeof prefix - 1;
+  len = strcspn (value, "&");
   if (len >= CLB_ID_MAX)
     return false;
-  memcpy (out, at, len);
+  memcpy (out, value, len);
   out[len] = '\0';
   return entry_id_ok (out);
 }
--- a/core/codec.c
+++ b/core/codec.c
@@ -122,8 +122,8 @@
       char item_path[sizeof ce->path];
       snprintf (item_path, sizeof item_path, "%.60s%s%s[%zu]", path,
                 *path ? "." : "", f->name, i);
-      size_t done = i + 1;
-      memcpy (base + f->len_off, &done, sizeof done);
+      size_t n_read = i + 1;
+      memcpy (base + f->len_off, &n_read, sizeof n_read);
       int err = read_obj (f->sub, json_array_get (v, i), mode,
                           items + i * f->sub->size, ce, item_path);
       if (err)
@@ -280,7 +280,7 @@
   double real;
   uint64_t set;
   int64_t n;
-  int e;
+  int enumerator;
 
   switch (f->kind)
     {
@@ -301,8 +301,8 @@
       memcpy (&text, p, sizeof text);
       return text ? json_string (text) : NULL;
     case FLD_ENUM:
-      memcpy (&e, p, sizeof e);
-      return json_string (f->names[e]);
+      memcpy (&enumerator, p, sizeof enumerator);
+      return json_string (f->names[enumerator]);
     case FLD_OBJ:
       return codec_write (f->sub, p);
     case FLD_VEC:
@@ -504,29 +504,29 @@
 {
   /* Sizes in bytes of the number types 0xca to 0xd3. */
   static const unsigned char number_bytes[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
-  unsigned char c = *p;
+  unsigned char type = *p;
 
   *t = (struct msgpack_token){ .header_bytes = 1 };
-  if (c >= 0xca && c <= 0xd3)
-    t->payload_bytes = number_bytes[c - 0xca];
-  else if ((c & 0xf0) == 0x80)
-    t->n_objects = 2u * (c & 0x0f);
-  else if ((c & 0xf0) == 0x90)
-    t->n_objects = c & 0x0f;
-  else if ((c & 0xe0) == 0xa0)
-    t->payload_bytes = c & 0x1f;
-  else if (c >= 0xd9 && c <= 0xdf)
+  if (type >= 0xca && type <= 0xd3)
+    t->payload_bytes = number_bytes[type - 0xca];
+  else if ((type & 0xf0) == 0x80)
+    t->n_objects = 2u * (type & 0x0f);
+  else if ((type & 0xf0) == 0x90)
+    t->n_objects = type & 0x0f;
+  else if ((type & 0xe0) == 0xa0)
+    t->payload_bytes = type & 0x1f;
+  else if (type >= 0xd9 && type <= 0xdf)
     {
-      size_t n = c <= 0xdb ? (size_t)1 << (c - 0xd9)
-                           : (size_t)2 << ((c - 0xdc) & 1);
+      size_t n = type <= 0xdb ? (size_t)1 << (type - 0xd9)
+                              : (size_t)2 << ((type - 0xdc) & 1);
       if (left <= n)
         return false;
       t->header_bytes += n;
       uint64_t count = read_count (p + 1, n);
-      t->payload_bytes = c <= 0xdb ? count : 0;
-      t->n_objects = c <= 0xdb ? 0 : c <= 0xdd ? count : 2 * count;
+      t->payload_bytes = type <= 0xdb ? count : 0;
+      t->n_objects = type <= 0xdb ? 0 : type <= 0xdd ? count : 2 * count;
     }
-  else if (c >= 0xc1 && c <= 0xd8 && c != 0xc2 && c != 0xc3)
+  else if (type >= 0xc1 && type <= 0xd8 && type != 0xc2 && type != 0xc3)
     return false; /* types that no message uses */
   return t->header_bytes + t->payload_bytes <= left && t->n_objects <= left;
 }
--- a/core/conf.c
+++ b/core/conf.c
@@ -198,16 +198,16 @@
 hex_digest (const char *a, size_t a_len, const char *b, size_t b_len,
             char out[CONF_HASH_HEX])
 {
-  unsigned char md[SHA256_BYTES] = { 0 };
+  unsigned char digest[SHA256_BYTES] = { 0 };
   EVP_MD_CTX *ctx = EVP_MD_CTX_new ();
 
   EVP_DigestInit_ex (ctx, EVP_sha256 (), NULL);
   EVP_DigestUpdate (ctx, a, a_len);
   EVP_DigestUpdate (ctx, b, b_len);
-  EVP_DigestFinal_ex (ctx, md, NULL);
+  EVP_DigestFinal_ex (ctx, digest, NULL);
   EVP_MD_CTX_free (ctx);
   for (int i = 0; i < SHA256_BYTES; i++)
-    snprintf (out + 2 * i, 3, "%02x", md[i]);
+    snprintf (out + 2 * i, 3, "%02x", digest[i]);
 }
 
 void
--- a/core/entry.c
+++ b/core/entry.c
@@ -285,20 +285,21 @@
 domain_fit (struct node *n, const char *domain, const struct spec *spec)
 {
   const char *holder = node_holder (n, domain);
-  const struct peer *p = holder ? node_find_peer (n, holder) : NULL;
-  struct pool_sum sum = n->capacity;
+  const struct peer *peer = holder ? node_find_peer (n, holder) : NULL;
+  struct pool_sum capacity = n->capacity;
   struct clb_res need = { 0 };
 
   if (!holder)
     return FIT_NO_HOLDER;
-  if (p)
-    sum = (struct pool_sum){ p->hello.free_capacity, p->hello.total_capacity,
-                             p->hello.largest_worker };
+  if (peer)
+    capacity = (struct pool_sum){ peer->hello.free_capacity,
+                                  peer->hello.total_capacity,
+                                  peer->hello.largest_worker };
   clb_res_add (&need, &spec->need, spec->members);
-  if (!clb_res_fits (&spec->need, &sum.largest)
-      || !clb_res_fits (&need, &sum.size))
+  if (!clb_res_fits (&spec->need, &capacity.largest)
+      || !clb_res_fits (&need, &capacity.size))
     return FIT_NEVER;
-  return clb_res_fits (&need, &sum.room) ? FIT_NOW : FIT_LATER;
+  return clb_res_fits (&need, &capacity.room) ? FIT_NOW : FIT_LATER;
 }
 
 /* Among domains with the same fit, prefers the domain of this instance. */
@@ -363,7 +364,7 @@
 
 /* Handles a request to run a task. */
 static void
-submit (struct node *n, const struct request *rq)
+submit_task (struct node *n, const struct request *rq)
 {
   struct spec spec;
   struct codec_err ce;
@@ -417,9 +418,9 @@
 int64_t
 entry_query_number (const char *query, const char *name)
 {
-  const char *at = query ? strstr (query, name) : NULL;
+  const char *found = query ? strstr (query, name) : NULL;
 
-  return at ? strtoll (at + strlen (name), NULL, 10) : 0;
+  return found ? strtoll (found + strlen (name), NULL, 10) : 0;
 }
 
 /* Handles a status, cancel or why request.  @rest is the rest of the path: the
@@ -480,7 +481,7 @@
 
 /* Handles the reply to a CALL_ACQUIRE: a granted slot or an error. */
 static void
-reply_acquire (struct node *n, struct pending *p, const struct reply *r)
+handle_acquire_reply (struct node *n, struct pending *p, const struct reply *r)
 {
   if (p->step != STEP_AWAIT_REPLY)
     return;
@@ -496,7 +497,7 @@
 
 /* Answers a caller's request about a task from a reply without an error. */
 static void
-reply_task (struct node *n, struct pending *p, const struct reply *r)
+handle_task_reply (struct node *n, struct pending *p, const struct reply *r)
 {
   json_t *json = reply_json (r);
   int status = p->call.verb == CALL_SUBMIT ? 202 : 200;
@@ -511,7 +512,7 @@
 /* Handles a reply whose request is not pending any more.  If the reply grants
    a slot, releases the slot at once. */
 static void
-reply_late (struct node *n, const struct reply *r)
+handle_late_reply (struct node *n, const struct reply *r)
 {
   struct pending *p;
   const char *dot = strchr (r->id, '.');
@@ -532,7 +533,7 @@
 
   if (!p)
     {
-      reply_late (n, r);
+      handle_late_reply (n, r);
       return;
     }
   /* The instance that was called is not the lease holder any more, or not yet.
@@ -546,17 +547,17 @@
       return;
     }
   if (p->call.verb == CALL_ACQUIRE)
-    reply_acquire (n, p, r);
+    handle_acquire_reply (n, p, r);
   else if (r->err)
     entry_finish_err (n, p, (int)r->err, r->retry_ms);
   else
-    reply_task (n, p, r);
+    handle_task_reply (n, p, r);
 }
 
 /* Answers a request for this instance's status, for which the caller needs a
    valid key of any kind. */
 static void
-show_status (struct node *n, const struct request *rq)
+answer_status (struct node *n, const struct request *rq)
 {
   char team[CLB_NAME_MAX];
   int err = node_authorize (n, n->now_ms, rq->bearer, team);
@@ -579,13 +580,13 @@
 
 /* Passes a request to the function that handles its path and method. */
 static void
-route (struct node *n, const struct request *rq)
+route_request (struct node *n, const struct request *rq)
 {
   const char *rest;
   bool get = rq->method == METHOD_GET;
 
   if (strcmp (rq->path, "/v1/tasks") == 0 && rq->method == METHOD_POST)
-    submit (n, rq);
+    submit_task (n, rq);
   else if ((rest = path_after (rq->path, "/v1/tasks/")) && get)
     task_call (n, rq, CALL_STATUS, rest);
   else if (rest && rq->method == METHOD_DELETE)
@@ -601,7 +602,7 @@
   else if (rest && get)
     apply_show (n, rq);
   else if (strcmp (rq->path, "/v1/status") == 0 && get)
-    show_status (n, rq);
+    answer_status (n, rq);
   else if (strcmp (rq->path, "/metrics") == 0 && get)
     entry_answer (n, rq->http_call, 200, view_metrics (n), 0);
   else
@@ -618,7 +619,7 @@
   else if (n->n_pending >= PENDING_MAX)
     entry_refuse (n, rq->http_call, CLB_EFULL, NULL);
   else
-    route (n, rq);
+    route_request (n, rq);
 }
 
 /* Deadlines and retries of pending requests. */
--- a/core/node.c
+++ b/core/node.c
@@ -268,7 +268,7 @@
 held_slots_tick (struct node *n)
 {
   struct sched *s = n->sched;
-  bool all = true;
+  bool all_reported = true;
 
   if (!s || s->slots_known || s->phase != SCHED_READY)
     return;
@@ -277,7 +277,7 @@
       struct peer *p = &n->peers[i];
       if (p->held_reported || !peer_reachable (n, p))
         continue;
-      all = false;
+      all_reported = false;
       if (n->now_ms - p->held_query_ms < HELD_QUERY_MS)
         continue;
       struct pmsg m = { .kind = PM_HELD_QUERY };
@@ -286,7 +286,7 @@
     }
   /* A paused instance cannot answer.  When it continues, the slots that were
      granted to it are too old to be used. */
-  if (!all || n->now_ms - s->started_ms < HELD_WAIT_MS)
+  if (!all_reported || n->now_ms - s->started_ms < HELD_WAIT_MS)
     return;
   struct held_list own_slots = { .n_items = 0 };
   entry_held_slots (n, &own_slots);
@@ -446,13 +446,13 @@
 read_inst_list (struct node *n)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
-  char known[24];
+  char known_ver[24];
 
   o->u.store.token = n->list_token = ++n->last_store_token;
   o->u.store.op.kind = STORE_INSTANCES;
-  snprintf (known, sizeof known, "%lld", (long long)n->list_ver);
+  snprintf (known_ver, sizeof known_ver, "%lld", (long long)n->list_ver);
   if (n->list_known)
-    o->u.store.op.after = strdup (known);
+    o->u.store.op.after = strdup (known_ver);
   n->list_sent_ms = n->now_ms;
   n->next_list_ms = n->now_ms + INST_LIST_POLL_MS;
 }
@@ -466,14 +466,14 @@
     n->peers[i].listed = false;
   for (size_t i = 0; i < n->list.n_items; i++)
     {
-      const struct inst *in = &n->list.items[i];
+      const struct inst *inst = &n->list.items[i];
       struct peer *p
-          = in->kind == INST_ENTRY ? node_get_peer (n, in->id) : NULL;
+          = inst->kind == INST_ENTRY ? node_get_peer (n, inst->id) : NULL;
       if (!p)
         continue;
       p->listed = true;
-      clb_copy (p->domain, in->domain, sizeof p->domain);
-      clb_copy (p->addr, in->addr, sizeof p->addr);
+      clb_copy (p->domain, inst->domain, sizeof p->domain);
+      clb_copy (p->addr, inst->addr, sizeof p->addr);
     }
   for (int i = 0; i < n->n_peers; i++)
     if (!n->peers[i].listed
@@ -591,7 +591,7 @@
 /* Handles the timers of the election, and starts, updates or frees the
    domain's scheduler as the lease requires. */
 static void
-role_step (struct node *n)
+update_role (struct node *n)
 {
   struct sched *s;
 
@@ -655,9 +655,9 @@
 
 /* Handles all timers and advances all parts of the node after an input. */
 static void
-node_step (struct node *n)
+run_timers (struct node *n)
 {
-  role_step (n);
+  update_role (n);
   platform_tick (n);
   held_slots_tick (n);
   if (n->sched)
@@ -683,7 +683,7 @@
 node_tick (struct node *n, int64_t now_ms)
 {
   set_now (n, now_ms);
-  node_step (n);
+  run_timers (n);
 }
 
 void
@@ -691,7 +691,7 @@
 {
   set_now (n, now_ms);
   handle_peer_msg (n, m);
-  node_step (n);
+  run_timers (n);
 }
 
 void
@@ -710,7 +710,7 @@
   else if (!apply_store_answer (n, token, rep)
            && !role_store_answer (&n->role, token, rep) && n->sched)
     sched_store (n->sched, token, rep);
-  node_step (n);
+  run_timers (n);
 }
 
 void
@@ -720,7 +720,7 @@
   set_now (n, now_ms);
   if (n->sched)
     sched_sync (n->sched, worker, seq, rep);
-  node_step (n);
+  run_timers (n);
 }
 
 void
@@ -730,7 +730,7 @@
   n->stopping = true;
   n->stopping_ms = now_ms;
   n->next_hello_ms = now_ms;
-  node_step (n);
+  run_timers (n);
 }
 
 bool
--- a/core/role.c
+++ b/core/role.c
@@ -55,7 +55,7 @@
 /* Queues a store operation of @kind and returns it, for the caller to fill in.
    Its answer is passed to role_store_answer(). */
 static struct store_op *
-op_new (struct role *r, int kind)
+new_store_op (struct role *r, int kind)
 {
   struct out *o = out_new (r->out, OUT_STORE);
 
@@ -71,7 +71,7 @@
   char key[KEY_SIZE];
 
   lease_key (r, key);
-  op_new (r, STORE_GET)->key = strdup (key);
+  new_store_op (r, STORE_GET)->key = strdup (key);
   r->next_op_ms = r->now_ms + LEASE_ROW_POLL_MS;
 }
 
@@ -81,7 +81,7 @@
 static void
 write_lease_row (struct role *r, const struct lease_row *row, bool claim)
 {
-  struct store_op *op = op_new (r, STORE_TXN);
+  struct store_op *op = new_store_op (r, STORE_TXN);
   clb_auto char *text = codec_text (&lease_row_desc, row);
   char key[KEY_SIZE];
 
@@ -90,10 +90,10 @@
   store_put (op, key, text);
   if (!claim)
     return;
-  char number[32];
+  char epoch_text[32];
   epoch_key (r, key);
-  snprintf (number, sizeof number, "%lld", (long long)row->epoch);
-  store_put (op, key, number);
+  snprintf (epoch_text, sizeof epoch_text, "%lld", (long long)row->epoch);
+  store_put (op, key, epoch_text);
 }
 
 static bool
@@ -104,7 +104,7 @@
 
 /* Renews the lease, or releases it while handing over. */
 static void
-renew (struct role *r)
+renew_lease (struct role *r)
 {
   struct lease_row row = r->row;
 
@@ -117,7 +117,7 @@
 
 /* Tries to become the holder, with the next epoch. */
 static void
-claim (struct role *r)
+claim_lease (struct role *r)
 {
   struct lease_row row = { .boot = r->boot, .epoch = r->row.epoch + 1 };
 
@@ -131,7 +131,7 @@
 }
 
 static struct role_peer *
-peer_find (struct role *r, const char *id)
+find_peer (struct role *r, const char *id)
 {
   for (int i = 0; i < r->n_peers; i++)
     if (strcmp (r->peers[i].id, id) == 0)
@@ -145,7 +145,7 @@
 static bool
 holder_may_be_active (struct role *r)
 {
-  struct role_peer *p = peer_find (r, r->row.holder);
+  struct role_peer *p = find_peer (r, r->row.holder);
 
   if (r->now_ms < r->promise_until_ms)
     return true;
@@ -232,7 +232,7 @@
 
 /* Handles the answer to a claim. */
 static void
-claim_answer (struct role *r, const struct store_rep *rep)
+handle_claim_answer (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
@@ -268,7 +268,7 @@
 /* Handles the answer to the read of the lease row that follows a claim of
    unknown outcome. */
 static void
-check_answer (struct role *r, const struct store_rep *rep)
+handle_check_answer (struct role *r, const struct store_rep *rep)
 {
   if (rep->err && rep->err != CLB_ENOTFOUND)
     return;
@@ -276,7 +276,7 @@
   /* The claim took effect, but the version of the epoch row is not known.
      Claim again, with the next epoch. */
   if (row_names_self (r))
-    claim (r);
+    claim_lease (r);
   else if (r->now_ms - r->claim_sent_ms >= CLAIM_UNCERTAIN_MS)
     {
       r->state = ROLE_FOLLOWER;
@@ -286,7 +286,7 @@
 
 /* Handles the answer to a renewal or release. */
 static void
-renew_answer (struct role *r, const struct store_rep *rep)
+handle_renew_answer (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
@@ -326,13 +326,13 @@
   switch (r->state)
     {
     case ROLE_CLAIMING:
-      claim_answer (r, rep);
+      handle_claim_answer (r, rep);
       break;
     case ROLE_CHECKING:
-      check_answer (r, rep);
+      handle_check_answer (r, rep);
       break;
     case ROLE_HOLDER:
-      renew_answer (r, rep);
+      handle_renew_answer (r, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
@@ -351,7 +351,7 @@
 role_hello (struct role *r, const char *from, int64_t boot,
             const struct hello *h)
 {
-  struct role_peer *p = peer_find (r, from);
+  struct role_peer *p = find_peer (r, from);
 
   if (!p)
     {
@@ -379,7 +379,7 @@
     r->peers[i].listed = false;
   for (size_t i = 0; i < list->n_items; i++)
     {
-      struct role_peer *p = peer_find (r, list->items[i].id);
+      struct role_peer *p = find_peer (r, list->items[i].id);
       if (p)
         p->listed = true;
       /* A listed holder may be active although no hello came from it. */
@@ -439,7 +439,7 @@
 role_promise (struct role *r, const char *from, int64_t boot,
               const struct promise *p)
 {
-  struct role_peer *peer = peer_find (r, from);
+  struct role_peer *peer = find_peer (r, from);
 
   if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
       || p->seq != peer->promise_request_seq)
@@ -554,11 +554,11 @@
     return;
   if (r->state == ROLE_FOLLOWER && may_claim (r)
       && r->now_ms >= r->next_claim_ms)
-    claim (r);
+    claim_lease (r);
   else if (r->now_ms >= r->next_op_ms)
     {
       if (r->state == ROLE_HOLDER)
-        renew (r);
+        renew_lease (r);
       else
         read_lease_row (r);
     }
--- a/core/service.c
+++ b/core/service.c
@@ -133,10 +133,10 @@
 {
   struct pending *again; /* the new pending request */
   const char *domain;
-  int64_t left = p->arrival_ms + p->call.wait_ms - n->now_ms;
+  int64_t remaining_ms = p->arrival_ms + p->call.wait_ms - n->now_ms;
 
   if (!p->http_call || !p->call.idempotent || ++p->tries >= FORWARD_TRIES
-      || left <= 0)
+      || remaining_ms <= 0)
     return false;
   domain = entry_pick_domain (n, &p->call.spec);
   if (!domain)
@@ -150,7 +150,7 @@
   again->tries = p->tries;
   again->arrival_ms = p->arrival_ms;
   again->max_run_ms = p->max_run_ms;
-  again->deadline_ms = n->now_ms + left + REPLY_SLACK_MS;
+  again->deadline_ms = n->now_ms + remaining_ms + REPLY_SLACK_MS;
   acquire_slot (n, again, domain);
   return true;
 }
