--- a/core/apply.c
+++ b/core/apply.c
@@ -15,7 +15,7 @@
   /* Time after which a store operation without an answer is repeated, or its
      outcome is read. */
   STORE_RETRY_MS = 1000,
-  /* Timeout of a new manifest. */
+  /* Longest time for a new manifest to be written. */
   APPLY_WAIT_MS = 10000,
 };
 
--- a/core/clb.h
+++ b/core/clb.h
@@ -54,8 +54,9 @@
   CLB_EFIELD = -2, /* a field is unknown, missing, duplicate or mistyped */
   CLB_ERANGE = -3, /* a value is outside its range */
   CLB_EREF = -4,   /* the named team or queue does not exist */
-  CLB_EDUP = -5,   /* two entries have the same name, or two different
-                      requests the same id */
+  /* Two entries of a manifest have the same name, or two different requests
+     have the same id. */
+  CLB_EDUP = -5,
   CLB_ENOMEM = -6,
   CLB_ECONFLICT = -7, /* another writer changed the row first */
   /* The platform refused the operation or was not reached. */
@@ -68,8 +69,10 @@
   CLB_EFULL = -13,     /* a queue or the journal's backlog is full */
   CLB_ENOHOLDER = -14, /* no instance holds the domain's lease */
   CLB_ENOTFOUND = -15, /* the task, row or path does not exist */
-  CLB_ETIMEOUT = -16,  /* no capacity became free before the deadline */
-  CLB_ENOFIT = -17,    /* the need exceeds every worker or the team's limit */
+  /* No capacity became free before the deadline. */
+  CLB_ETIMEOUT = -16,
+  /* The need exceeds every worker's capacity or the team's limit. */
+  CLB_ENOFIT = -17,
   CLB_ESTOPPING = -18, /* this instance is shutting down */
   CLB_ETOOBIG = -19,   /* a body or header exceeds its size limit */
   CLB_EDONE = -20,     /* a non-idempotent request with this id exists */
@@ -84,7 +87,7 @@
 {
   CLB_NOT_RUN, /* the request has not run and will not run */
   CLB_UNKNOWN, /* the request may have run */
-  CLB_RAN,     /* the request ran */
+  CLB_RAN,     /* the request has run */
 };
 
 /** enum clb_res_kind - the dimensions of a resource vector */
@@ -110,7 +113,7 @@
 enum task_state
 {
   TASK_PENDING,  /* waiting for capacity */
-  TASK_STARTING, /* placed, not yet reported running by the worker */
+  TASK_STARTING, /* placed, but not yet reported as running by its workers */
   TASK_RUNNING,
   /* Members are being stopped on their workers; the task will be cancelled or
      retried. */
--- a/core/codec.c
+++ b/core/codec.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  JSON_DEPTH_MAX = 8, /* deepest nesting of arrays and maps in msgpack */
+  NESTING_MAX = 8, /* deepest nesting of arrays and maps in msgpack */
 };
 
 /* Sets @ce to error @err at field @name of the object at @path, and returns
@@ -176,7 +176,7 @@
 
 /* Returns whether the struct that @d describes has a field @name. */
 static bool
-known_field (const struct desc *d, const char *name)
+has_field (const struct desc *d, const char *name)
 {
   for (size_t i = 0; i < d->n_fields; i++)
     if (strcmp (d->fields[i].name, name) == 0)
@@ -194,7 +194,7 @@
   if (!json_is_object (json))
     return set_error (ce, CLB_EFIELD, path, "(object expected)");
   json_object_foreach ((json_t *)json, key, value)
-    if (mode == CODEC_STRICT && !known_field (d, key))
+    if (mode == CODEC_STRICT && !has_field (d, key))
       return set_error (ce, CLB_EFIELD, path, key);
   for (size_t i = 0; i < d->n_fields; i++)
     {
@@ -411,7 +411,7 @@
 {
   json_t *v = NULL;
 
-  if (depth > JSON_DEPTH_MAX)
+  if (depth > NESTING_MAX)
     return NULL;
   switch (o->type)
     {
@@ -474,7 +474,7 @@
 
 /* Reads a big-endian number of @n bytes at @p. */
 static uint64_t
-read_count (const unsigned char *p, size_t n)
+read_big_endian (const unsigned char *p, size_t n)
 {
   uint64_t v = 0;
 
@@ -522,7 +522,7 @@
       if (left <= n)
         return false;
       t->header_bytes += n;
-      uint64_t count = read_count (p + 1, n);
+      uint64_t count = read_big_endian (p + 1, n);
       t->payload_bytes = type <= 0xdb ? count : 0;
       t->n_objects = type <= 0xdb ? 0 : type <= 0xdd ? count : 2 * count;
     }
--- a/core/entry.c
+++ b/core/entry.c
@@ -273,10 +273,14 @@
  * request; a higher value is preferred */
 enum domain_fit
 {
-  FIT_NO_HOLDER, /* no lease holder of the domain is known */
-  FIT_NEVER,     /* need exceeds the domain's or every worker's capacity */
-  FIT_LATER,     /* need exceeds only the domain's free capacity */
-  FIT_NOW,       /* need is within the domain's free capacity */
+  /* No lease holder of the domain is known. */
+  FIT_NO_HOLDER,
+  /* The need exceeds the whole capacity of the domain or of every worker. */
+  FIT_NEVER,
+  /* The need exceeds only the free capacity of the domain. */
+  FIT_LATER,
+  /* The need is within the free capacity of the domain. */
+  FIT_NOW,
 };
 
 /* Returns the enum domain_fit of @domain for @spec, by the capacity in the
@@ -424,7 +428,7 @@
 }
 
 /* Handles a status, cancel or why request.  @rest is the rest of the path: the
-   task's id, which begins with its domain's name, and any query string. */
+   task's id, which begins with its domain's name, and maybe a query string. */
 static void
 task_call (struct node *n, const struct request *rq, int verb,
            const char *rest)
@@ -631,7 +635,7 @@
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the HTTP client aborts the request: node_forward_done() */
+      return; /* the HTTP client aborts it and node_forward_done() follows */
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
--- a/core/node.c
+++ b/core/node.c
@@ -184,10 +184,10 @@
   n->next_head_ms = n->now_ms + HEAD_POLL_MS;
 }
 
-/* Adopts a peer's verification of the same configuration version.  The peer
-   verified it conf_age_ms before sending this hello, which was after it got
-   the hello of this instance that it echoes.  So on this instance's clock the
-   verification is not older than conf_age_ms before echo_ms. */
+/* Adopts a peer's verification that the same configuration version is current.
+   The peer sent this hello conf_age_ms after the verification, and after it
+   got the hello of this instance that it echoes.  So on this instance's clock
+   the verification is at most conf_age_ms older than echo_ms. */
 static void
 verify_conf_by_hello (struct node *n, const struct hello *h)
 {
@@ -458,7 +458,7 @@
 }
 
 /* Updates the peers from the list of instances.  Removes peers that are not in
-   the list and from which no hello came for a long time. */
+   the list and from which no hello came for 10 * PEER_UNREACHABLE_MS. */
 static void
 update_peers (struct node *n)
 {
@@ -622,8 +622,8 @@
 
 /* Continues a shutdown: releases the lease once no write is outstanding, and
    notifies the domain's other entry instances.  While the table service is
-   unreachable, the shutdown waits for LAPSED_RENEW_MS, the time for which a
-   scheduler whose lease has expired still renews its tasks' leases. */
+   unreachable, the shutdown waits at most LAPSED_RENEW_MS, the time for which
+   a scheduler whose lease has expired still renews its tasks' leases. */
 static void
 shutdown_tick (struct node *n)
 {
@@ -667,7 +667,7 @@
   send_hellos (n);
 }
 
-/* Inputs. */
+/* Inputs of the node. */
 
 /* Sets the current time of the node and its parts. */
 static void
--- a/core/role.c
+++ b/core/role.c
@@ -12,7 +12,7 @@
   LEASE_ROW_POLL_MS = 1000,
   /* Timeout of a store operation. */
   STORE_OP_TIMEOUT_MS = 2500,
-  /* Time in which a claim of unknown outcome can still take effect. */
+  /* Time after which a claim of unknown outcome can no longer take effect. */
   CLAIM_UNCERTAIN_MS = 6000,
   /* Period of the holder's requests for promises. */
   PROMISE_PERIOD_MS = 500,
@@ -102,7 +102,7 @@
   return strcmp (r->row.holder, r->self_id) == 0 && r->row.boot == r->boot;
 }
 
-/* Renews the lease, or releases it while handing over. */
+/* Renews the lease.  If handing_over is set, releases the lease instead. */
 static void
 renew_lease (struct role *r)
 {
@@ -115,7 +115,7 @@
   r->next_op_ms = r->now_ms + RENEW_MS;
 }
 
-/* Tries to become the holder, with the next epoch. */
+/* Claims the lease for this instance, with the next epoch. */
 static void
 claim_lease (struct role *r)
 {
