--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -49,7 +49,7 @@
     case WHY_WORKER_BACK:
     case WHY_WORKER_LOST:
     case WHY_WORKER_REBOOTED:
-      log_info ("%s: %s", clb_reason_name (e->reason), e->where);
+      log_info ("%s: %s", clb_reason_name (e->reason), e->instance_id);
       break;
     case WHY_CONFIG:
       log_info ("config: version %lld", (long long)e->detail);
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -39,7 +39,7 @@
   else if (end == HTTPC_FAILED || status != 200
            || codec_parse (&store_rep_desc, body, len, CODEC_LENIENT, rep,
                            &ce))
-    rep->err = CLB_EUNKNOWN;
+    rep->err = CLB_EOUTCOME;
 }
 
 static void
@@ -49,7 +49,7 @@
   struct store_rep rep;
 
   read_rep (&rep, end, status, body, len);
-  node_store_answer (&c->d->node, now_ms (), c->token, &rep);
+  node_store_reply (&c->d->node, now_ms (), c->token, &rep);
   codec_free (&store_rep_desc, &rep);
   process_outputs (c->d);
   free (c);
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -299,7 +299,7 @@
 forward_result (const struct forward *f, int end, int status)
 {
   if (end == HTTPC_OK)
-    return status >= 500 ? FORWARD_ERROR : FORWARD_OK;
+    return status >= 500 ? FORWARD_SERVER_ERROR : FORWARD_OK;
   if (f->begun || f->caller_gone)
     return FORWARD_ABORTED;
   return end == HTTPC_UNREACHED ? FORWARD_UNREACHED : FORWARD_FAILED;
--- a/core/apply.c
+++ b/core/apply.c
@@ -1,7 +1,7 @@
 /*
  * Handling of new manifests.  The text of a manifest is checked and written as
  * an object.  Then the head row that names the object is written, on condition
- * that the head row has not changed.  If the answer to that write is lost, the
+ * that the head row has not changed.  If the reply to that write is lost, the
  * head row is read to find the outcome.
  */
 #include "node.h"
@@ -12,7 +12,7 @@
 
 enum
 {
-  /* Time after which a store operation without an answer is repeated, or its
+  /* Time after which a store operation without a reply is repeated, or its
      outcome is read. */
   STORE_RETRY_MS = 1000,
   /* Longest time for a new manifest to be written. */
@@ -29,7 +29,7 @@
   strcat (name, p->head.hash);
   p->step = STEP_APPLY_OBJECT;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->last_store_token;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_OBJ_PUT;
   o->u.store.op.key = strdup (name);
   o->u.store.op.value = strdup (p->manifest);
@@ -44,7 +44,7 @@
 
   p->step = STEP_APPLY_HEAD;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->last_store_token;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, "head", p->head_ver);
   store_put (&o->u.store.op, "head", text);
@@ -59,7 +59,7 @@
 
   p->step = STEP_APPLY_CHECK;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->last_store_token;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
 }
@@ -119,13 +119,13 @@
     finish_conflict (n, p, head.version);
   else
     /* This change may have been in force before a later one replaced it. */
-    entry_finish_err (n, p, CLB_EUNKNOWN, 0);
+    entry_finish_err (n, p, CLB_EOUTCOME, 0);
 }
 
-/* Handles the answer to a write of the head row. */
+/* Handles the reply to a write of the head row. */
 static void
-head_write_answer (struct node *n, struct pending *p,
-                   const struct store_rep *rep)
+handle_head_write_reply (struct node *n, struct pending *p,
+                         const struct store_rep *rep)
 {
   if (rep->err == 0)
     finish_applied (n, p, rep->n_rows ? rep->rows[0].ver : 0);
@@ -138,8 +138,7 @@
 }
 
 bool
-apply_store_answer (struct node *n, uint64_t token,
-                    const struct store_rep *rep)
+apply_store_reply (struct node *n, uint64_t token, const struct store_rep *rep)
 {
   struct pending *p;
 
@@ -156,7 +155,7 @@
         write_head (n, p);
       break; /* after an error apply_tick() writes the same object again */
     case STEP_APPLY_HEAD:
-      head_write_answer (n, p, rep);
+      handle_head_write_reply (n, p, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
@@ -166,9 +165,9 @@
   return true;
 }
 
-/* Checks that the key of @rq may change the configuration: it is an operator's
-   key, or the first key of the settings while no manifest is accepted yet.
-   Returns 0 or enum clb_err. */
+/* Checks that the key of @rq may change the configuration.  An operator's key
+   may.  Until the first manifest is accepted, only the key of
+   settings::first_hash may, if that is set.  Returns 0 or enum clb_err. */
 static int
 check_apply_key (struct node *n, const struct request *rq)
 {
@@ -269,9 +268,9 @@
   entry_answer_json (n, rq->http_call, 200, json, 0);
 }
 
-/* An unanswered write of the object is repeated; that is safe since the name
-   of the object is the hash of its text.  An unanswered write of the head row
-   may have taken effect, so the row is read first. */
+/* A write of the object without a reply is repeated; that is safe since the
+   name of the object is the hash of its text.  A write of the head row without
+   a reply may have taken effect, so the row is read first. */
 void
 apply_tick (struct node *n, struct pending *p)
 {
--- a/core/calls.c
+++ b/core/calls.c
@@ -69,7 +69,7 @@
   struct reply r = task_reply_now (t, c->seq);
   r.reason = WHY_DUPLICATE;
   if (c->verb == CALL_ACQUIRE)
-    r.err = CLB_EDONE;
+    r.err = CLB_ERECORDED;
   /* Its accept may still be on the way to the table. */
   if (t->accept_durable)
     sched_reply (s, entry, &r);
@@ -191,7 +191,7 @@
                struct task *t)
 {
   if (task_state_final (t->state))
-    reply_err (s, entry, c->seq, CLB_EDONE, t->reason);
+    reply_err (s, entry, c->seq, CLB_ERECORDED, t->reason);
   else if (t->n_members > 0 && t->members[0].worker)
     service_reply (s, t, entry, c->seq, c->sent_ms);
   else if (TAILQ_EMPTY (&t->waiters))
@@ -256,7 +256,7 @@
   struct effect *e;
 
   if (t && t->n_members > 0 && t->members[0].worker)
-    recon_service_end (s, t->members[0].worker, c->bad_server);
+    recon_service_end (s, t->members[0].worker, c->executor_failed);
   if (t && !task_state_final (t->state))
     service_release (s, t, c->state);
   e = journal_effect (s, EFFECT_REPLY, c->id);
--- a/core/clb.c
+++ b/core/clb.c
@@ -22,7 +22,7 @@
   [-CLB_ENOMEM] = { "no-memory", CLB_NOT_RUN, 503 },
   [-CLB_ECONFLICT] = { "conflict", CLB_NOT_RUN, 409 },
   [-CLB_EUNAVAIL] = { "platform-unavailable", CLB_NOT_RUN, 503 },
-  [-CLB_EUNKNOWN] = { "outcome-unknown", CLB_UNKNOWN, 504 },
+  [-CLB_EOUTCOME] = { "outcome-unknown", CLB_MAY_HAVE_RUN, 504 },
   [-CLB_EKEY] = { "key-refused", CLB_NOT_RUN, 401 },
   [-CLB_EDENIED] = { "not-permitted", CLB_NOT_RUN, 403 },
   [-CLB_ESTALE] = { "configuration-not-fresh", CLB_NOT_RUN, 503 },
@@ -33,7 +33,7 @@
   [-CLB_ENOFIT] = { "never-fits", CLB_NOT_RUN, 422 },
   [-CLB_ESTOPPING] = { "instance-stopping", CLB_NOT_RUN, 503 },
   [-CLB_ETOOBIG] = { "too-large", CLB_NOT_RUN, 413 },
-  [-CLB_EDONE] = { "already-recorded", CLB_RAN, 409 },
+  [-CLB_ERECORDED] = { "already-recorded", CLB_RAN, 409 },
   [-CLB_ELEASE] = { "lease-lapsed", CLB_NOT_RUN, 503 },
   [-CLB_ECANCELLED] = { "cancelled", CLB_NOT_RUN, 409 },
   [-CLB_EREACH] = { "backend-unreachable", CLB_NOT_RUN, 503 },
@@ -109,7 +109,7 @@
 err_lookup (int err)
 {
   if (err > 0 || err <= CLB_ERR_LAST)
-    err = CLB_EUNKNOWN;
+    err = CLB_EOUTCOME;
   return &err_table[-err];
 }
 
@@ -140,7 +140,7 @@
       return "not-run";
     case CLB_RAN:
       return "ran";
-    case CLB_UNKNOWN:
+    case CLB_MAY_HAVE_RUN:
       break;
     }
   return "unknown";
--- a/core/clb.h
+++ b/core/clb.h
@@ -18,7 +18,7 @@
   CLB_NAME_MAX = 48,
   /* Size of an "ip:port" address, in bytes including the NUL. */
   CLB_ADDR_MAX = 64,
-  /* Delay that a refused caller is told to wait before it retries. */
+  /* Retry delay that is suggested to a refused caller. */
   RETRY_HINT_MS = 1000,
   /* Largest number of failure domains in one fleet. */
   CLB_DOMAINS_MAX = 8,
@@ -62,7 +62,7 @@
   /* The platform refused the operation or was not reached. */
   CLB_EUNAVAIL = -8,
   /* The request was sent, but its outcome is not known. */
-  CLB_EUNKNOWN = -9,
+  CLB_EOUTCOME = -9,
   CLB_EKEY = -10,      /* the key is missing, unknown or wrong */
   CLB_EDENIED = -11,   /* the key does not permit this request */
   CLB_ESTALE = -12,    /* the configuration is not verified as current */
@@ -75,19 +75,20 @@
   CLB_ENOFIT = -17,
   CLB_ESTOPPING = -18, /* this instance is shutting down */
   CLB_ETOOBIG = -19,   /* a body or header exceeds its size limit */
-  CLB_EDONE = -20,     /* a non-idempotent request with this id exists */
-  CLB_ELEASE = -21,    /* the lease expired before the work could start */
+  /* A non-idempotent request with this id is already recorded. */
+  CLB_ERECORDED = -20,
+  CLB_ELEASE = -21, /* the lease expired before the work could start */
   CLB_ECANCELLED = -22,
   CLB_EREACH = -23,  /* no backend server could be reached */
   CLB_ERR_LAST = -24 /* one below the last error number */
 };
 
-/** enum clb_outcome - whether a request has run, as its answer tells */
+/** enum clb_outcome - whether a request has run, as told to its caller */
 enum clb_outcome
 {
-  CLB_NOT_RUN, /* the request has not run and will not run */
-  CLB_UNKNOWN, /* the request may have run */
-  CLB_RAN,     /* the request has run */
+  CLB_NOT_RUN,      /* the request has not run and will not run */
+  CLB_MAY_HAVE_RUN, /* the request may have run */
+  CLB_RAN,          /* the request has run */
 };
 
 /** enum clb_res_kind - the dimensions of a resource vector */
@@ -156,7 +157,7 @@
   WHY_ENDED_OK,
   WHY_ENDED_FAILED,
   WHY_WORKER_REFUSED,
-  /* No contact with the worker until the task's lease expired. */
+  /* There was no contact with the worker until the task's lease expired. */
   WHY_WORKER_LOST,
   WHY_WORKER_REBOOTED,
   WHY_WORKER_QUARANTINED,
@@ -184,7 +185,7 @@
 
 /**
  * clb_err_name() - Stable name of an error.
- * @err: enum clb_err; any other number is named as %CLB_EUNKNOWN
+ * @err: enum clb_err; any other number is named as %CLB_EOUTCOME
  */
 const char *clb_err_name (int err);
 /** clb_err_outcome() - Whether a request that got @err may have run. */
--- a/core/codec.c
+++ b/core/codec.c
@@ -60,7 +60,7 @@
 }
 
 static int
-read_set (const json_t *v, uint64_t *out)
+read_bits (const json_t *v, uint64_t *out)
 {
   size_t i;
   json_t *item;
@@ -147,8 +147,8 @@
     case FLD_F64:
       err = read_f64 (f, v, (double *)(void *)(base + f->off));
       break;
-    case FLD_SET:
-      err = read_set (v, (uint64_t *)(void *)(base + f->off));
+    case FLD_BITS:
+      err = read_bits (v, (uint64_t *)(void *)(base + f->off));
       break;
     case FLD_BOOL:
       if (!json_is_boolean (v))
@@ -261,12 +261,12 @@
 }
 
 static json_t *
-write_set (uint64_t set)
+write_bits (uint64_t bits)
 {
   json_t *array = json_array ();
 
   for (int i = 0; i < 64; i++)
-    if (set >> i & 1)
+    if (bits >> i & 1)
       json_array_append_new (array, json_integer (i));
   return array;
 }
@@ -278,7 +278,7 @@
   const char *p = base + f->off;
   const char *text;
   double real;
-  uint64_t set;
+  uint64_t bits;
   int64_t n;
   int enumerator;
 
@@ -290,9 +290,9 @@
     case FLD_F64:
       memcpy (&real, p, sizeof real);
       return real != 0 ? json_real (real) : NULL;
-    case FLD_SET:
-      memcpy (&set, p, sizeof set);
-      return set ? write_set (set) : NULL;
+    case FLD_BITS:
+      memcpy (&bits, p, sizeof bits);
+      return bits ? write_bits (bits) : NULL;
     case FLD_BOOL:
       return *(const bool *)p ? json_true () : NULL;
     case FLD_STR:
@@ -527,7 +527,7 @@
       t->n_objects = type <= 0xdb ? 0 : type <= 0xdd ? count : 2 * count;
     }
   else if (type >= 0xc1 && type <= 0xd8 && type != 0xc2 && type != 0xc3)
-    return false; /* types that no message uses */
+    return false; /* msgpack types that no message contains */
   return t->header_bytes + t->payload_bytes <= left && t->n_objects <= left;
 }
 
--- a/core/codec.h
+++ b/core/codec.h
@@ -1,9 +1,9 @@
 /**
  * DOC: Struct codec.
  *
- * A table of fields describes a struct.  By this table the codec reads the
- * struct from JSON (with errors that name the field), writes it as JSON, and
- * encodes and decodes it as msgpack for messages between instances.
+ * A table of fields describes a struct.  The codec uses the table to read the
+ * struct from JSON (with errors that name the field), to write it as JSON, and
+ * to encode and decode it as msgpack for messages between instances.
  */
 #ifndef CODEC_H
 #define CODEC_H
@@ -15,16 +15,19 @@
 /** enum fld_kind - C type of a field and how it is encoded */
 enum fld_kind
 {
-  FLD_I64,  /* int64_t from min to max */
-  FLD_F64,  /* double from min to max; the JSON value may be an integer */
-  FLD_SET,  /* uint64_t of bits, encoded as an array of bit numbers 0 to 63 */
+  FLD_I64, /* int64_t from fld::min to fld::max */
+  /* double from fld::min to fld::max; the JSON value may be an integer. */
+  FLD_F64,
+  /* uint64_t bit mask, encoded as an array of the numbers of its set bits, 0
+     to 63. */
+  FLD_BITS,
   FLD_BOOL, /* bool */
-  FLD_STR,  /* char array of size bytes */
+  FLD_STR,  /* char array of fld::size bytes */
   FLD_TEXT, /* char *, owned by the struct */
-  FLD_ENUM, /* int, encoded as one of names */
-  FLD_OBJ,  /* struct described by sub */
-  /* Owned array of structs described by sub; its length is a size_t member at
-     len_off. */
+  FLD_ENUM, /* int, encoded as one of fld::names */
+  FLD_OBJ,  /* struct described by fld::sub */
+  /* Owned array of structs described by fld::sub; the length of the array is a
+     size_t member at fld::len_off. */
   FLD_VEC,
 };
 
@@ -52,14 +55,14 @@
 /** struct desc - description of a struct */
 struct desc
 {
-  const char *name; /* for error messages */
+  const char *name; /* name of the struct in error messages */
   size_t size;      /* sizeof the struct */
   const struct fld *fields;
   size_t n_fields;
 };
 
-/* Offset of member f of type s.  Fails to compile unless f is as wide as
-   int64_t. */
+/* Offset of member f of type s.  The macro fails to compile unless f is as
+   wide as int64_t. */
 #define FLD_OFF64(s, f)                                                       \
   (offsetof (s, f)                                                            \
    + 0 * sizeof (char[sizeof (((s *)0)->f) == sizeof (int64_t) ? 1 : -1]))
@@ -84,7 +87,7 @@
   }
 #define FLD_SET_AS(wire, s, f)                                                \
   {                                                                           \
-    .name = (wire), .kind = FLD_SET, .off = FLD_OFF64 (s, f)                  \
+    .name = (wire), .kind = FLD_BITS, .off = FLD_OFF64 (s, f)                 \
   }
 #define FLD_FLAG_AS(wire, s, f)                                               \
   {                                                                           \
@@ -147,8 +150,8 @@
 struct codec_err
 {
   int err; /* enum clb_err */
-  /* The wrong field, such as "teams[2].weight"; of CLB_EPARSE the place of the
-     error in the text. */
+  /* The wrong field, such as "teams[2].weight"; for CLB_EPARSE the place of
+     the error in the text. */
   char path[128];
 };
 
--- a/core/conf.h
+++ b/core/conf.h
@@ -34,7 +34,8 @@
 struct conf_team
 {
   char name[CLB_NAME_MAX];
-  /* Share of the fleet when it is full, relative to other teams' weights. */
+  /* Weight of the team's share of a full fleet, relative to the weights of the
+     other teams. */
   int64_t weight;
   /* Largest amount that may run on the whole fleet; 0 allows none. */
   struct clb_res limit;
--- a/core/entry.c
+++ b/core/entry.c
@@ -19,7 +19,7 @@
      holder that does not confirm it. */
   RELEASE_REPORT_MS = 60000,
   /* Longest time after the beginning of a shutdown for which the ends of
-     service requests are reported. */
+     service requests are reported to the lease holder. */
   RELEASE_STOPPING_MS = 10000,
   /* Largest call::wait_ms of a status, cancel or why request. */
   WAIT_MAX_MS = 300000,
@@ -190,7 +190,7 @@
   return http_call ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
 
-/* A call that was sent before is sent again, and counted as a retry. */
+/* If the call was sent before, this counts as a retry. */
 void
 entry_pending_send (struct node *n, struct pending *p)
 {
@@ -226,7 +226,7 @@
   p->holder[0] = '\0';
   p->call.verb = CALL_RELEASE;
   p->call.state = state;
-  p->call.bad_server = executor_failed;
+  p->call.executor_failed = executor_failed;
   p->deadline_ms = n->now_ms + RELEASE_REPORT_MS;
   entry_pending_send (n, p);
 }
@@ -267,7 +267,7 @@
   return err;
 }
 
-/* Choice of the domain that runs a task or service request. */
+/* Selection of the domain to which a new task or service request is sent. */
 
 /* enum domain_fit - whether a domain has the capacity for a task or service
  * request; a higher value is preferred */
@@ -306,7 +306,8 @@
   return clb_res_fits (&need, &capacity.room) ? FIT_NOW : FIT_LATER;
 }
 
-/* Among domains with the same fit, prefers the domain of this instance. */
+/* Returns the domain with the best enum domain_fit.  Among domains with the
+   same fit, the domain of this instance is preferred. */
 const char *
 entry_pick_domain (struct node *n, const struct spec *spec)
 {
@@ -430,8 +431,8 @@
 /* Handles a status, cancel or why request.  @rest is the rest of the path: the
    task's id, which begins with its domain's name, and maybe a query string. */
 static void
-task_call (struct node *n, const struct request *rq, int verb,
-           const char *rest)
+call_about_task (struct node *n, const struct request *rq, int verb,
+                 const char *rest)
 {
   struct pending *p;
   const char *query = strchr (rest, '?');
@@ -476,7 +477,7 @@
   if (p->call.verb == CALL_ACQUIRE)
     entry_pending_release (n, p, TASK_CANCELLED, false);
   else if (p->step != STEP_AWAIT_REPLY)
-    entry_pending_detach (n, p); /* the new manifest is written regardless */
+    entry_pending_detach (n, p); /* the write of the manifest continues */
   else
     entry_pending_free (n, p);
 }
@@ -592,11 +593,11 @@
   if (strcmp (rq->path, "/v1/tasks") == 0 && rq->method == METHOD_POST)
     submit_task (n, rq);
   else if ((rest = path_after (rq->path, "/v1/tasks/")) && get)
-    task_call (n, rq, CALL_STATUS, rest);
+    call_about_task (n, rq, CALL_STATUS, rest);
   else if (rest && rq->method == METHOD_DELETE)
-    task_call (n, rq, CALL_CANCEL, rest);
+    call_about_task (n, rq, CALL_CANCEL, rest);
   else if ((rest = path_after (rq->path, "/v1/why/")) && get)
-    task_call (n, rq, CALL_WHY, rest);
+    call_about_task (n, rq, CALL_WHY, rest);
   else if ((rest = path_after (rq->path, "/v1/service/"))
            && rq->method == METHOD_POST)
     service_request (n, rq, rest);
@@ -635,7 +636,7 @@
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the HTTP client aborts it and node_forward_done() follows */
+      return; /* the HTTP client aborts the request and reports its end */
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
@@ -645,7 +646,7 @@
     case STEP_AWAIT_REPLY:
       break;
     default:
-      entry_finish_err (n, p, CLB_EUNKNOWN, 0);
+      entry_finish_err (n, p, CLB_EOUTCOME, 0);
       return;
     }
   if (p->call.verb == CALL_ACQUIRE)
@@ -656,7 +657,7 @@
       entry_pending_release (n, p, TASK_CANCELLED, false);
     }
   else if (p->call.verb == CALL_SUBMIT || p->call.verb == CALL_CANCEL)
-    entry_finish_err (n, p, CLB_EUNKNOWN, RETRY_HINT_MS);
+    entry_finish_err (n, p, CLB_EOUTCOME, RETRY_HINT_MS);
   else
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
@@ -668,8 +669,8 @@
   const char *holder;
 
   if (n->stopping && p->step == STEP_RELEASING
-      && p->deadline_ms > n->stopping_ms + RELEASE_STOPPING_MS)
-    p->deadline_ms = n->stopping_ms + RELEASE_STOPPING_MS;
+      && p->deadline_ms > n->stop_requested_ms + RELEASE_STOPPING_MS)
+    p->deadline_ms = n->stop_requested_ms + RELEASE_STOPPING_MS;
   if (n->now_ms >= p->deadline_ms)
     {
       expire_pending (n, p);
--- a/core/journal.c
+++ b/core/journal.c
@@ -314,7 +314,7 @@
 {
   struct journal *j = &s->journal;
   struct task *t = sched_task (s, id);
-  int err = t && t->lane == LANE_SERVICE ? CLB_EDONE : 0;
+  int err = t && t->lane == LANE_SERVICE ? CLB_ERECORDED : 0;
   struct waiter *a;
 
   /* Doubled calls may wait for it in the next group too. */
@@ -324,7 +324,7 @@
     return;
   while ((a = TAILQ_FIRST (&t->waiters)))
     {
-      struct reply r = { .call_seq = a->call_seq, .err = CLB_EDONE };
+      struct reply r = { .call_seq = a->call_seq, .err = CLB_ERECORDED };
       clb_copy (r.id, first, sizeof r.id);
       sched_reply (s, a->entry, &r);
       TAILQ_REMOVE (&t->waiters, a, link);
--- a/core/msg.c
+++ b/core/msg.c
@@ -149,7 +149,7 @@
 static const struct fld sync_rep_fields[] = {
   FLD_INT (struct sync_rep, boot, 0, INT64_MAX),
   FLD_FLAG (struct sync_rep, leaving),
-  FLD_INT (struct sync_rep, busy, 0, NUMBER_MAX),
+  FLD_INT_AS ("busy", struct sync_rep, busy_slots, 0, NUMBER_MAX),
   FLD_ARRAY (struct sync_rep, runs, n_runs, &run_desc, NUMBER_MAX),
 };
 DESC (sync_rep_desc, struct sync_rep, sync_rep_fields);
@@ -218,7 +218,7 @@
   FLD_INT (struct call, max_waiting, 0, NUMBER_MAX),
   FLD_INT (struct call, wait_ms, 0, NUMBER_MAX),
   FLD_INT_AS ("stamp", struct call, sent_ms, 0, INT64_MAX),
-  FLD_FLAG (struct call, bad_server),
+  FLD_FLAG_AS ("bad_server", struct call, executor_failed),
   FLD_NAMED (struct call, state, task_state_names),
 };
 static DESC (call_desc, struct call, call_fields);
@@ -282,7 +282,7 @@
   FLD_INT_AS ("ms", struct event, time_ms, 0, INT64_MAX),
   FLD_CHARS (struct event, id, false),
   FLD_CHARS (struct event, team, false),
-  FLD_CHARS (struct event, where, false),
+  FLD_CHARS_AS ("where", struct event, instance_id, false),
   FLD_INT (struct event, reason, 0, WHY_N - 1),
   FLD_INT_AS ("looked_at", struct event, detail, 0, INT64_MAX),
 };
@@ -301,8 +301,8 @@
       return &call_desc;
     case PM_REPLY:
       return &reply_desc;
-    case PM_HELD_QUERY:
-    case PM_HELD:
+    case PM_HELD_SLOTS_QUERY:
+    case PM_HELD_SLOTS:
       return &held_list_desc;
     default:
       return &promise_desc;
--- a/core/msg.h
+++ b/core/msg.h
@@ -96,7 +96,7 @@
 };
 extern const struct desc lease_row_desc;
 
-/** struct head_row - row "head", which names the current configuration */
+/** struct head_row - table row "head"; names the current configuration */
 struct head_row
 {
   int64_t version; /* raised by one with each change */
@@ -200,7 +200,7 @@
 {
   int64_t boot; /* changes when the worker restarts and loses its state */
   bool leaving; /* the worker is shutting down and takes no new runs */
-  int64_t busy; /* of an executor: number of its slots in use; else 0 */
+  int64_t busy_slots; /* of an executor: number of its slots in use; else 0 */
   struct run *runs;
   size_t n_runs;
 };
@@ -248,7 +248,7 @@
   char *key;   /* key of the row */
   char *value; /* new value of the row; NULL: delete the row */
 };
-/** struct row - one row in an answer */
+/** struct row - one row in a reply of the table service */
 struct row
 {
   char *key;
@@ -290,12 +290,12 @@
 extern const struct desc store_op_desc;
 
 /**
- * struct store_rep - answer to a store operation
+ * struct store_rep - reply to a store operation
  * @err: 0; %CLB_ECONFLICT with the rows whose conditions failed;
  *       %CLB_ENOTFOUND, which for STORE_FEED means that the changes since
  *       store_op::since are no longer kept and the table must be listed again;
  *       %CLB_EUNAVAIL if the operation certainly had no effect;
- *       %CLB_EUNKNOWN if the operation may have had an effect
+ *       %CLB_EOUTCOME if the operation may have had an effect
  */
 struct store_rep
 {
@@ -303,13 +303,13 @@
   struct row *rows;
   size_t n_rows;
   bool more;   /* of STORE_LIST: more rows follow after the last key */
-  int64_t ver; /* newest version covered by the answer; 0: not given */
+  int64_t ver; /* newest version covered by the reply; 0: not given */
 };
 extern const struct desc store_rep_desc;
 
 /* Peer messages, between entry instances. */
 
-/** enum call_verb - what an entry instance asks of a domain's scheduler */
+/** enum call_verb - what a call tells a domain's scheduler to do */
 enum call_verb
 {
   CALL_SUBMIT,  /* accept a new task */
@@ -339,8 +339,8 @@
   int64_t wait_ms; /* longest wait for a slot, or for the task's end */
   /* When this copy of the call was sent, on the entry instance's clock. */
   int64_t sent_ms;
-  bool bad_server; /* of CALL_RELEASE: the executor failed */
-  /* Of CALL_RELEASE: enum task_state, how the service request ended. */
+  bool executor_failed; /* of CALL_RELEASE: true if the executor failed */
+  /* Of CALL_RELEASE: enum task_state with which the service request ended. */
   int state;
 };
 
@@ -369,12 +369,12 @@
   int64_t conf_age_ms;    /* time since conf_version was verified as current */
   bool apply_in_progress; /* the sender is writing a new manifest */
   bool holder;            /* the sender schedules its domain */
-  int64_t epoch;          /* of a holder: epoch of its lease; otherwise 0 */
+  int64_t epoch;          /* of a holder: epoch of its lease; else 0 */
   bool stopping;          /* the sender is shutting down */
   bool knows_receiver; /* the sender counts the receiver as a domain member */
   int64_t sent_ms;     /* when the hello was sent, on the sender's clock */
-  /* hello::sent_ms of the latest hello that the sender got from the receiver;
-     0: the sender got none. */
+  /* hello::sent_ms of the latest hello that the sender got from the receiver,
+     on the receiver's clock; 0: the sender got none. */
   int64_t echo_ms;
   /* Boot of the receiver's process, from the same hello as echo_ms. */
   int64_t echo_boot;
@@ -413,7 +413,7 @@
   int64_t epoch;       /* epoch of the holder's lease */
   int64_t seq;         /* number of the request, echoed in the answer */
   int64_t duration_ms; /* how long the promise is valid */
-  bool granted;        /* of an answer: the peer has made the promise */
+  bool granted;        /* of an answer: true if the peer has promised */
 };
 
 /** enum pmsg_kind - kind of a peer message */
@@ -423,10 +423,10 @@
   PM_CALL,
   PM_REPLY,
   PM_HANDOVER, /* the sender has released the lease; it may be claimed now */
-  PM_PROMISE_REQUEST, /* a lease holder requests a promise */
-  PM_PROMISE,         /* answer to PM_PROMISE_REQUEST */
-  PM_HELD_QUERY,      /* a new lease holder queries the slots in use */
-  PM_HELD,            /* answer to PM_HELD_QUERY */
+  PM_PROMISE_REQUEST,  /* a lease holder requests a promise */
+  PM_PROMISE,          /* answer to PM_PROMISE_REQUEST */
+  PM_HELD_SLOTS_QUERY, /* a new lease holder queries the slots in use */
+  PM_HELD_SLOTS,       /* answer to PM_HELD_SLOTS_QUERY */
   PM_N
 };
 
@@ -496,8 +496,8 @@
   int64_t time_ms;         /* time of the event on the instance's clock */
   char id[CLB_ID_MAX];     /* id of the task concerned; empty: none */
   char team[CLB_NAME_MAX]; /* team concerned; empty: none */
-  /* Id of the worker, executor or instance concerned; empty: none. */
-  char where[CLB_ID_MAX];
+  /* Id of the worker, executor or entry instance concerned; empty: none. */
+  char instance_id[CLB_ID_MAX];
   int64_t reason; /* enum clb_reason */
   /* For WHY_CONFIG the version of the configuration that is now in force, for
      WHY_PREEMPTING the number of preempted tasks, for every other reason the
@@ -527,7 +527,7 @@
     } peer;
     struct
     {
-      uint64_t token; /* identifies the operation when its answer arrives */
+      uint64_t token; /* identifies the operation when its reply arrives */
       struct store_op op;
     } store;
     struct
@@ -542,7 +542,7 @@
       char executor[CLB_ID_MAX]; /* id of the executor */
       char addr[CLB_ADDR_MAX];   /* address of the executor */
       char id[CLB_ID_MAX];       /* id of the service request */
-      int64_t max_run_ms;        /* the request is aborted after this time */
+      int64_t max_run_ms; /* run time after which the request is aborted */
     } forward;
     struct event event;
     struct order *order; /* freed by out_free() */
--- a/core/node.c
+++ b/core/node.c
@@ -17,13 +17,13 @@
   READ_TIMEOUT_MS = 2500,
   /* Period in which a peer is queried for its slots in use, until it has
      answered. */
-  HELD_QUERY_MS = 500,
+  SLOTS_QUERY_PERIOD_MS = 500,
   /* Number of call::seq values that are reserved for each millisecond between
      two starts of an instance. */
   CALLS_PER_BOOT = 65536,
   /* Time after the start of a scheduler by which each slot that an earlier
      scheduler granted is in use, or was granted too long ago to be used. */
-  HELD_WAIT_MS = 3000,
+  SLOTS_WAIT_MS = 3000,
 };
 
 void
@@ -39,10 +39,12 @@
   if (!n->conf)
     abort ();
   n->conf_verified_ms = now_ms - 2 * CONF_FRESH_MS;
-  /* A reply to an earlier process of this instance must match no call. */
+  /* call::seq must not repeat the numbers of an earlier process of this
+     instance.  Otherwise a late reply to a call of that process could be taken
+     for the reply to a call of this process. */
   n->last_call_seq = set->boot * CALLS_PER_BOOT;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
-             &n->last_store_token);
+             &n->last_token);
 }
 
 void
@@ -177,17 +179,19 @@
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
-  o->u.store.token = n->head_token = ++n->last_store_token;
+  o->u.store.token = n->head_token = ++n->last_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
   n->head_sent_ms = n->now_ms;
   n->next_head_ms = n->now_ms + HEAD_POLL_MS;
 }
 
-/* Adopts a peer's verification that the same configuration version is current.
-   The peer sent this hello conf_age_ms after the verification, and after it
-   got the hello of this instance that it echoes.  So on this instance's clock
-   the verification is at most conf_age_ms older than echo_ms. */
+/* Updates node::conf_verified_ms from the hello @h of a peer that has the same
+   configuration version as this instance.  The peer verified that this version
+   is current hello::conf_age_ms before it sent @h, and it sent @h later than
+   hello::echo_ms, at which this instance sent the hello that @h echoes.  So on
+   this instance's clock the peer's verification took place no earlier than
+   echo_ms - conf_age_ms. */
 static void
 verify_conf_by_hello (struct node *n, const struct hello *h)
 {
@@ -204,10 +208,10 @@
     n->conf_verified_ms = verified_ms;
 }
 
-/* Verifies the configuration by the peers' hellos.  Only an entry instance can
-   change the configuration.  If none of them has another version or a change
-   in progress, the version in force is current, even while the platform is
-   unreachable. */
+/* Updates node::conf_verified_ms from the latest hellos of all peers.  Only an
+   entry instance can change the configuration.  If no entry instance has
+   another version or a change in progress, the version in force is current,
+   even while the platform is unreachable. */
 static void
 verify_conf_by_peers (struct node *n)
 {
@@ -238,7 +242,7 @@
   if (!p)
     return;
   if (p->boot != m->boot)
-    p->held_reported = false;
+    p->slots_reported = false;
   p->boot = m->boot;
   p->last_contact_ms = n->now_ms;
   p->hello_sent_ms = m->u.hello.sent_ms;
@@ -261,9 +265,10 @@
 
 /* Slots in use, for which a new lease holder queries all entry instances. */
 
-/* Queries the peers for their slots in use, if this instance runs a new
-   scheduler.  The scheduler knows which slots are free once all reachable
-   peers have answered and HELD_WAIT_MS have passed. */
+/* Queries the peers for their slots in use, if this instance has started a
+   scheduler that does not know the free slots yet.  The scheduler knows which
+   slots are free once all reachable peers have answered and SLOTS_WAIT_MS have
+   passed. */
 static void
 held_slots_tick (struct node *n)
 {
@@ -275,18 +280,18 @@
   for (int i = 0; i < n->n_peers; i++)
     {
       struct peer *p = &n->peers[i];
-      if (p->held_reported || !peer_reachable (n, p))
+      if (p->slots_reported || !peer_reachable (n, p))
         continue;
       all_reported = false;
-      if (n->now_ms - p->held_query_ms < HELD_QUERY_MS)
+      if (n->now_ms - p->slots_query_ms < SLOTS_QUERY_PERIOD_MS)
         continue;
-      struct pmsg m = { .kind = PM_HELD_QUERY };
-      p->held_query_ms = n->now_ms;
+      struct pmsg m = { .kind = PM_HELD_SLOTS_QUERY };
+      p->slots_query_ms = n->now_ms;
       node_send (n, p->id, &m);
     }
   /* A paused instance cannot answer.  When it continues, the slots that were
      granted to it are too old to be used. */
-  if (!all_reported || n->now_ms - s->started_ms < HELD_WAIT_MS)
+  if (!all_reported || n->now_ms - s->started_ms < SLOTS_WAIT_MS)
     return;
   struct held_list own_slots = { .n_items = 0 };
   entry_held_slots (n, &own_slots);
@@ -300,7 +305,7 @@
 static void
 report_held_slots (struct node *n, const char *to)
 {
-  struct pmsg m = { .kind = PM_HELD };
+  struct pmsg m = { .kind = PM_HELD_SLOTS };
 
   entry_held_slots (n, &m.u.held);
   node_send (n, to, &m);
@@ -314,7 +319,7 @@
   if (!p || !n->sched)
     return;
   sched_used_slots (n->sched, &m->u.held);
-  p->held_reported = true;
+  p->slots_reported = true;
 }
 
 /* Handles a message from a peer, or from this instance to itself. */
@@ -343,10 +348,10 @@
     case PM_PROMISE:
       role_promise (&n->role, m->from, m->boot, &m->u.promise);
       break;
-    case PM_HELD_QUERY:
+    case PM_HELD_SLOTS_QUERY:
       report_held_slots (n, m->from);
       break;
-    case PM_HELD:
+    case PM_HELD_SLOTS:
       handle_held_slots (n, m);
       break;
     }
@@ -383,13 +388,14 @@
   o->u.event.time_ms = n->now_ms;
   o->u.event.reason = WHY_CONFIG;
   o->u.event.detail = c->version;
-  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
+  clb_copy (o->u.event.instance_id, n->settings.id,
+            sizeof o->u.event.instance_id);
   /* Notify the peers of the new version at once, so that they read it before
      their next poll of the head row is due. */
   n->next_hello_ms = n->now_ms;
 }
 
-/* Reads the manifest that the head row @head, of row version @ver, names. */
+/* Reads the manifest that @head names.  @ver is the row version of @head. */
 static void
 read_manifest (struct node *n, const struct head_row *head, int64_t ver)
 {
@@ -397,10 +403,10 @@
   char name[CLB_ID_MAX] = "manifest-";
 
   strcat (name, head->hash);
-  n->object_head = *head;
-  n->object_ver = ver;
-  n->object_sent_ms = n->head_sent_ms;
-  o->u.store.token = n->object_token = ++n->last_store_token;
+  n->manifest_head = *head;
+  n->manifest_head_ver = ver;
+  n->manifest_sent_ms = n->head_sent_ms;
+  o->u.store.token = n->manifest_token = ++n->last_token;
   o->u.store.op.kind = STORE_OBJ_GET;
   o->u.store.op.key = strdup (name);
 }
@@ -424,20 +430,21 @@
       if (n->head_sent_ms > n->conf_verified_ms)
         n->conf_verified_ms = n->head_sent_ms;
     }
-  else if (head.version > n->head.version && !n->object_token)
+  else if (head.version > n->head.version && !n->manifest_token)
     read_manifest (n, &head, rep->rows[0].ver);
 }
 
 static void
 handle_manifest (struct node *n, const struct store_rep *rep)
 {
-  n->object_token = 0;
+  n->manifest_token = 0;
   if (rep->err || rep->n_rows == 0 || !rep->rows[0].value)
     return;
-  node_install_conf (n, &n->object_head, n->object_ver, rep->rows[0].value);
-  if (n->head.version == n->object_head.version
-      && n->object_sent_ms > n->conf_verified_ms)
-    n->conf_verified_ms = n->object_sent_ms;
+  node_install_conf (n, &n->manifest_head, n->manifest_head_ver,
+                     rep->rows[0].value);
+  if (n->head.version == n->manifest_head.version
+      && n->manifest_sent_ms > n->conf_verified_ms)
+    n->conf_verified_ms = n->manifest_sent_ms;
 }
 
 /* The platform's list of instances. */
@@ -448,7 +455,7 @@
   struct out *o = out_new (&n->out, OUT_STORE);
   char known_ver[24];
 
-  o->u.store.token = n->list_token = ++n->last_store_token;
+  o->u.store.token = n->list_token = ++n->last_token;
   o->u.store.op.kind = STORE_INSTANCES;
   snprintf (known_ver, sizeof known_ver, "%lld", (long long)n->list_ver);
   if (n->list_known)
@@ -490,12 +497,13 @@
   n->list_token = 0;
   if (rep->err)
     return;
-  /* An answer without rows: the list has not changed since list_ver. */
+  /* A reply without rows means that the list has not changed since version
+     list_ver. */
   if (rep->n_rows == 0 && n->list_known)
     {
-      n->list_ms = n->list_sent_ms;
+      n->list_confirmed_ms = n->list_sent_ms;
       if (n->sched)
-        n->sched->list_ms = n->list_ms;
+        n->sched->list_ms = n->list_confirmed_ms;
       return;
     }
   if (rep->n_rows == 0 || !rep->rows[0].value)
@@ -508,14 +516,14 @@
   n->list = list;
   n->list_known = true;
   n->list_ver = rep->rows[0].ver;
-  n->list_ms = n->list_sent_ms;
+  n->list_confirmed_ms = n->list_sent_ms;
   update_peers (n);
   role_instances (&n->role, &n->list);
   if (n->sched)
-    sched_instances (n->sched, &n->list, n->list_ms);
+    sched_instances (n->sched, &n->list, n->list_confirmed_ms);
 }
 
-/* Gives up reads that had no answer within their timeout, and sends the reads
+/* Gives up reads that had no reply within their timeout, and sends the reads
    that are due. */
 static void
 platform_tick (struct node *n)
@@ -524,8 +532,9 @@
     n->head_token = 0;
   if (n->list_token && n->now_ms - n->list_sent_ms > READ_TIMEOUT_MS)
     n->list_token = 0;
-  if (n->object_token && n->now_ms - n->object_sent_ms > 4 * READ_TIMEOUT_MS)
-    n->object_token = 0;
+  if (n->manifest_token
+      && n->now_ms - n->manifest_sent_ms > 4 * READ_TIMEOUT_MS)
+    n->manifest_token = 0;
   if (!n->head_token && n->now_ms >= n->next_head_ms)
     read_head (n);
   if (!n->list_token && n->now_ms >= n->next_list_ms)
@@ -539,13 +548,13 @@
 {
   n->sched = sched_new (n->settings.domain, n->settings.id, n->settings.boot,
                         n->role.epoch, n->role.epoch_ver, n->now_ms, n->conf,
-                        &n->out, &n->last_store_token);
+                        &n->out, &n->last_token);
   if (n->settings.snap_every)
     n->sched->snap_every = n->settings.snap_every;
   if (n->list_known)
-    sched_instances (n->sched, &n->list, n->list_ms);
+    sched_instances (n->sched, &n->list, n->list_confirmed_ms);
   for (int i = 0; i < n->n_peers; i++)
-    n->peers[i].held_reported = false;
+    n->peers[i].slots_reported = false;
   n->next_hello_ms = n->now_ms;
 }
 
@@ -566,7 +575,8 @@
 
   o->u.event.time_ms = n->now_ms;
   o->u.event.reason = reason;
-  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
+  clb_copy (o->u.event.instance_id, n->settings.id,
+            sizeof o->u.event.instance_id);
   n->stats.role_changes[reason]++;
 }
 
@@ -578,9 +588,9 @@
 {
   bool extended = n->now_ms < until && n->now_ms >= n->role.lease_until_ms;
 
-  if (extended && !n->extended)
+  if (extended && !n->lease_extended)
     report_role_change (n, WHY_LEASE_EXTENDED);
-  n->extended = extended;
+  n->lease_extended = extended;
   if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLDER)
     {
       n->store_down = !n->role.store_up;
@@ -629,7 +639,7 @@
 {
   if (!n->stopping || n->handed_over)
     return;
-  if (n->now_ms - n->stopping_ms >= LAPSED_RENEW_MS)
+  if (n->now_ms - n->stop_requested_ms >= LAPSED_RENEW_MS)
     {
       n->handed_over = true;
       return;
@@ -653,7 +663,7 @@
       }
 }
 
-/* Handles all timers and advances all parts of the node after an input. */
+/* Runs the timers of all parts of the node.  Called after each input. */
 static void
 run_timers (struct node *n)
 {
@@ -695,20 +705,20 @@
 }
 
 void
-node_store_answer (struct node *n, int64_t now_ms, uint64_t token,
-                   const struct store_rep *rep)
+node_store_reply (struct node *n, int64_t now_ms, uint64_t token,
+                  const struct store_rep *rep)
 {
   set_now (n, now_ms);
-  if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EUNKNOWN)
+  if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EOUTCOME)
     n->stats.store_errors++;
   if (token == n->head_token)
     handle_head (n, rep);
-  else if (token == n->object_token)
+  else if (token == n->manifest_token)
     handle_manifest (n, rep);
   else if (token == n->list_token)
     handle_inst_list (n, rep);
-  else if (!apply_store_answer (n, token, rep)
-           && !role_store_answer (&n->role, token, rep) && n->sched)
+  else if (!apply_store_reply (n, token, rep)
+           && !role_store_reply (&n->role, token, rep) && n->sched)
     sched_store (n->sched, token, rep);
   run_timers (n);
 }
@@ -728,7 +738,7 @@
 {
   set_now (n, now_ms);
   n->stopping = true;
-  n->stopping_ms = now_ms;
+  n->stop_requested_ms = now_ms;
   n->next_hello_ms = now_ms;
   run_timers (n);
 }
--- a/core/node.h
+++ b/core/node.h
@@ -65,7 +65,7 @@
   /* The whole answer was passed to the caller; its status is below 500. */
   FORWARD_OK,
   /* The whole answer was passed to the caller; its status is at least 500. */
-  FORWARD_ERROR,
+  FORWARD_SERVER_ERROR,
   /* Nothing was sent to the executor, so the request did not run. */
   FORWARD_UNREACHED,
   /* The request was sent, but no part of an answer was received. */
@@ -94,32 +94,40 @@
   char id[CLB_ID_MAX];
   char domain[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX]; /* address for peer messages */
-  int64_t boot;            /* boot of the process that sent its last hello */
-  int64_t last_contact_ms; /* when its latest hello arrived; 0: none yet */
-  int64_t hello_sent_ms; /* hello::sent_ms of its latest hello; echoed to it */
-  struct hello hello;    /* its latest hello */
-  bool listed;           /* the platform's list of instances names it */
+  /* Boot of the process that sent the peer's latest hello. */
+  int64_t boot;
+  /* When the peer's latest hello arrived; 0: none yet. */
+  int64_t last_contact_ms;
+  /* hello::sent_ms of the peer's latest hello, which the next hello to the
+     peer echoes. */
+  int64_t hello_sent_ms;
+  struct hello hello; /* the peer's latest hello */
+  /* True if the platform's list of instances contains the peer. */
+  bool listed;
   /* True once the peer has reported its slots in use to the scheduler that
      this instance runs. */
-  bool held_reported;
-  int64_t held_query_ms; /* when it was last queried for its slots in use */
+  bool slots_reported;
+  /* When the peer was last queried for its slots in use. */
+  int64_t slots_query_ms;
 };
 
 /** enum pending_step - what a pending request waits for */
 enum pending_step
 {
-  /* The lease holder's reply to a call. */
+  /* Waiting for the lease holder's reply to a call. */
   STEP_AWAIT_REPLY,
-  /* An executor's answer to a service request. */
+  /* Waiting for an executor's answer to a service request. */
   STEP_FORWARDED,
-  /* The lease holder's reply to CALL_RELEASE; the caller has its answer. */
+  /* Waiting for the lease holder's reply to CALL_RELEASE.  The caller has got
+     its answer. */
   STEP_RELEASING,
-  /* The answer to the write of a new manifest's text. */
+  /* Waiting for the reply to the write of a new manifest's text. */
   STEP_APPLY_OBJECT,
-  /* The answer to the write of the head row that names a new manifest. */
+  /* Waiting for the reply to the write of the head row that names a new
+     manifest. */
   STEP_APPLY_HEAD,
-  /* The answer to a read of the head row.  The row is read if the answer to
-     the write of the head row was lost. */
+  /* Waiting for the reply to a read of the head row.  The row is read if the
+     reply to the write of the head row was lost. */
   STEP_APPLY_CHECK,
 };
 
@@ -137,7 +145,8 @@
   /* Instance to which the call was last sent; empty: not sent yet. */
   char holder[CLB_ID_MAX];
   /* Of a forwarded request: reply::call_sent_ms of the reply that granted its
-     slot.  Of others: when the latest call or store operation was sent. */
+     slot.  Of other requests: when the latest call or store operation was
+     sent. */
   int64_t sent_ms;
   int64_t deadline_ms;       /* the request fails at this time */
   int64_t arrival_ms;        /* when the caller's request arrived */
@@ -185,47 +194,47 @@
 struct node
 {
   struct settings settings;
-  int64_t now_ms;            /* time of the latest input */
-  struct outq out;           /* outputs for node_next_out() */
-  uint64_t last_store_token; /* last token given to a store operation */
-  struct role role;          /* this instance's part in the election */
+  int64_t now_ms;      /* time of the latest input */
+  struct outq out;     /* outputs for node_next_out() */
+  uint64_t last_token; /* last token given to a store operation */
+  struct role role;    /* this instance's part in the election */
   struct sched *sched; /* the domain's scheduler; NULL unless lease holder */
   /* Configuration in force; empty until a manifest is accepted. */
   struct conf *conf;
   struct head_row head; /* head row of conf; version 0: none accepted yet */
   int64_t head_ver;     /* row version of head */
-  /* Latest time at which conf is known to be current. */
+  /* Latest time at which conf was verified to be the current configuration. */
   int64_t conf_verified_ms;
-  /* Polling of the head row. */
   /* Token of the outstanding read of the head row; 0: none. */
   uint64_t head_token;
   int64_t head_sent_ms; /* when the latest read of the head row was sent */
   int64_t next_head_ms; /* when the next read of the head row is due */
-  /* Reading of a new manifest. */
   /* Token of the outstanding read of a manifest; 0: none. */
-  uint64_t object_token;
-  struct head_row object_head; /* head row that names the manifest */
-  int64_t object_ver;          /* row version of object_head */
-  int64_t object_sent_ms;      /* when the read of object_head was sent */
-  /* Polling of the platform's list of instances. */
+  uint64_t manifest_token;
+  struct head_row
+      manifest_head;         /* head row that names the manifest being read */
+  int64_t manifest_head_ver; /* row version of manifest_head */
+  int64_t manifest_sent_ms;  /* when the read that returned manifest_head was
+                                sent */
   /* Token of the outstanding read of the list of instances; 0: none. */
   uint64_t list_token;
-  int64_t list_sent_ms;  /* when the latest read of instances was sent */
-  int64_t next_list_ms;  /* when the next read of instances is due */
+  int64_t list_sent_ms;  /* when the latest read of the list was sent */
+  int64_t next_list_ms;  /* when the next read of the list is due */
   struct inst_list list; /* the platform's list of instances as last read */
   bool list_known;       /* true once list has been read */
   int64_t list_ver;      /* the platform's version number of list */
-  /* When the latest read was sent whose answer gave or confirmed list. */
-  int64_t list_ms;
+  /* When the read that last returned or confirmed list was sent. */
+  int64_t list_confirmed_ms;
   struct peer peers[PEERS_MAX];
   int n_peers;
   int64_t next_hello_ms; /* when the next hellos to the peers are due */
-  bool extended;         /* the peers' promises extend the lease now */
-  /* True if WHY_STORE_DOWN was reported, and WHY_STORE_BACK not since. */
+  /* True while the peers' promises extend this instance's lease. */
+  bool lease_extended;
+  /* True from a report of WHY_STORE_DOWN until that of WHY_STORE_BACK. */
   bool store_down;
-  bool reported_holder; /* hello::holder of the latest hellos */
-  /* Capacity of the domain as in the latest hellos; zero unless this instance
-     is the lease holder. */
+  bool reported_holder; /* value of hello::holder in the last sent hellos */
+  /* Capacity of the domain as in the last sent hellos; zero unless this
+     instance is the lease holder. */
   struct pool_sum capacity;
   struct pending_tree pending; /* all pending requests, by call::seq */
   /* The pending requests with a waiting caller, by http_call. */
@@ -234,49 +243,52 @@
   int64_t last_call_seq; /* call::seq of the latest new request */
   /* When the deadlines and retries of pending requests are checked next. */
   int64_t next_pending_ms;
-  bool stopping;       /* node_stop() was called */
-  int64_t stopping_ms; /* when node_stop() was called */
-  bool handed_over;    /* the lease is released, or the release timed out */
+  bool stopping;             /* true once node_stop() was called */
+  int64_t stop_requested_ms; /* when node_stop() was called; 0: it was not */
+  /* True once this instance has released the lease, does not hold it, or has
+     given up the release after a timeout. */
+  bool handed_over;
   struct node_stats stats;
 };
 
 /**
  * node_init() - Initialize a node.
- * @set: copied
- * @now_ms: time of a monotonic clock
+ * @set: settings, which are copied
+ * @now_ms: current time of a monotonic clock, in milliseconds
  *
- * The caller frees what @n owns with node_fini().
+ * Call node_fini() to free the memory that @n owns.
  */
 void node_init (struct node *n, const struct settings *set, int64_t now_ms);
 /** node_fini() - Free what @n owns, but not @n itself. */
 void node_fini (struct node *n);
 
-/* Inputs.  @now_ms is the time of a monotonic clock. */
+/* Inputs.  @now_ms is the current time of a monotonic clock, in
+   milliseconds. */
 
-/** node_request() - A caller's request has arrived. */
+/** node_request() - Handle a caller's request. */
 void node_request (struct node *n, int64_t now_ms, const struct request *rq);
-/** node_caller_gone() - The caller of request @http_call has disconnected. */
+/** node_caller_gone() - Handle the disconnect of @http_call's caller. */
 void node_caller_gone (struct node *n, int64_t now_ms, uint64_t http_call);
 /**
- * node_forward_done() - A forwarded service request has ended.
+ * node_forward_done() - Handle the end of a forwarded service request.
  * @http_call: request::http_call
  * @end: enum forward_end
  *
- * With %FORWARD_OK and %FORWARD_ERROR the caller already has the executor's
- * answer.  For every other end the node answers the caller.
+ * With %FORWARD_OK and %FORWARD_SERVER_ERROR the caller already has the
+ * executor's answer.  For every other end the node answers the caller.
  */
 void node_forward_done (struct node *n, int64_t now_ms, uint64_t http_call,
                         int end);
-/** node_peer_msg() - A message from another entry instance has arrived. */
+/** node_peer_msg() - Handle a message from another entry instance. */
 void node_peer_msg (struct node *n, int64_t now_ms, const struct pmsg *m);
 /**
- * node_store_answer() - The answer to a store operation has arrived.
+ * node_store_reply() - Handle the reply to a store operation.
  * @token: token of the operation's output
  */
-void node_store_answer (struct node *n, int64_t now_ms, uint64_t token,
-                        const struct store_rep *rep);
+void node_store_reply (struct node *n, int64_t now_ms, uint64_t token,
+                       const struct store_rep *rep);
 /**
- * node_sync_done() - A sync with a worker has ended.
+ * node_sync_done() - Handle the end of a sync with a worker.
  * @worker: id of the worker
  * @seq: sync_req::seq of the request
  * @rep: the worker's report, or NULL if there was no answer
@@ -317,15 +329,19 @@
 bool node_may_forward (const struct node *n, int64_t now_ms,
                        uint64_t http_call);
 
-/** node_find_peer() - Find the peer @id; NULL if there is none. */
+/** node_find_peer() - Find the peer @id; return NULL if there is none. */
 const struct peer *node_find_peer (const struct node *n, const char *id);
 
 /* view.c */
 
-/** view_status() - State of the instance as JSON text; the caller frees it. */
+/**
+ * view_status() - Describe the state of the instance.
+ *
+ * Return: JSON text, which the caller frees.
+ */
 char *view_status (struct node *n);
 /**
- * view_metrics() - Counters in Prometheus text format.
+ * view_metrics() - Write the counters in Prometheus text format.
  *
  * Return: the text, which the caller frees; NULL if memory is exhausted.
  */
@@ -357,7 +373,11 @@
  */
 void entry_pending_release (struct node *n, struct pending *p, int state,
                             bool executor_failed);
-/** entry_pending_detach() - Detach a request's caller, who waits no longer. */
+/**
+ * entry_pending_detach() - Detach the caller from request @p.
+ *
+ * The caller no longer waits for an answer; the request itself continues.
+ */
 void entry_pending_detach (struct node *n, struct pending *p);
 /**
  * entry_team_for() - Find the team that is charged for a request.
@@ -447,9 +467,9 @@
 /** apply_show() - Answer a request for the configuration in force. */
 void apply_show (struct node *n, const struct request *rq);
 /**
- * apply_tick() - Continue a new manifest whose store operation is unanswered.
+ * apply_tick() - Continue a new manifest whose store operation had no reply.
  *
- * Does nothing until the operation's time for an answer is over.
+ * Does nothing before the timeout of the operation.
  */
 void apply_tick (struct node *n, struct pending *p);
 
@@ -460,13 +480,13 @@
 /** entry_reply() - Handle a lease holder's reply to a call. */
 void entry_reply (struct node *n, const struct reply *r);
 /**
- * apply_store_answer() - Handle the answer to a store operation.
+ * apply_store_reply() - Handle the reply to a store operation.
  *
  * Return: true if @token is that of an operation for a new manifest; false if
  * it is not, and nothing was done.
  */
-bool apply_store_answer (struct node *n, uint64_t token,
-                         const struct store_rep *rep);
+bool apply_store_reply (struct node *n, uint64_t token,
+                        const struct store_rep *rep);
 /**
  * entry_answer() - Answer a caller.
  * @http_call: request::http_call; 0: no caller waits, send nothing
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -224,7 +224,7 @@
 void
 proxy_tick (struct fleet *f)
 {
-  struct store_rep lost = { .err = CLB_EUNKNOWN };
+  struct store_rep lost = { .err = CLB_EOUTCOME };
   struct proxy_call *c, *next;
 
   TAILQ_FOREACH_SAFE (c, &f->proxy_sent, link, next)
--- a/core/recon.c
+++ b/core/recon.c
@@ -373,7 +373,7 @@
   w->leaving |= rep->leaving;
   if (w->inst.kind == INST_EXECUTOR)
     {
-      count_phantoms (w, rep->busy);
+      count_phantoms (w, rep->busy_slots);
       return;
     }
   if (w->boot != rep->boot)
--- a/core/role.c
+++ b/core/role.c
@@ -28,7 +28,7 @@
 void
 role_init (struct role *r, const char *domain, const char *self_id,
            int64_t boot, int64_t now_ms, struct outq *out,
-           uint64_t *last_store_token)
+           uint64_t *last_token)
 {
   memset (r, 0, sizeof *r);
   clb_copy (r->domain, domain, sizeof r->domain);
@@ -37,7 +37,7 @@
   r->now_ms = now_ms;
   r->row_changed_ms = now_ms;
   r->out = out;
-  r->last_store_token = last_store_token;
+  r->last_token = last_token;
 }
 
 static void
@@ -53,13 +53,13 @@
 }
 
 /* Queues a store operation of @kind and returns it, for the caller to fill in.
-   Its answer is passed to role_store_answer(). */
+   The reply is passed to role_store_reply(). */
 static struct store_op *
 new_store_op (struct role *r, int kind)
 {
   struct out *o = out_new (r->out, OUT_STORE);
 
-  o->u.store.token = r->store_token = ++*r->last_store_token;
+  o->u.store.token = r->store_token = ++*r->last_token;
   o->u.store.op.kind = kind;
   r->op_sent_ms = r->now_ms;
   return &o->u.store.op;
@@ -177,8 +177,8 @@
   return !holder_may_be_active (r);
 }
 
-/* Updates the lease row of @r from an answer.  @row is NULL if the table has
-   no lease row. */
+/* Updates role::row from a reply.  @row is NULL if the table has no lease
+   row. */
 static void
 update_lease_row (struct role *r, const struct row *row)
 {
@@ -220,7 +220,7 @@
   r->next_op_ms = r->now_ms;
 }
 
-/* Returns the row with key @key in an answer, or NULL. */
+/* Returns the row of @rep with the key @key, or NULL. */
 static const struct row *
 row_by_key (const struct store_rep *rep, const char *key)
 {
@@ -230,9 +230,9 @@
   return NULL;
 }
 
-/* Handles the answer to a claim. */
+/* Handles the reply to a claim. */
 static void
-handle_claim_answer (struct role *r, const struct store_rep *rep)
+handle_claim_reply (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
@@ -250,7 +250,7 @@
     }
   if (rep->err)
     {
-      r->state = ROLE_CHECKING;
+      r->state = ROLE_CHECKING_CLAIM;
       r->next_op_ms = r->now_ms + RENEW_MS;
       return;
     }
@@ -265,10 +265,10 @@
   become_holder (r, row ? row->ver : 0);
 }
 
-/* Handles the answer to the read of the lease row that follows a claim of
+/* Handles the reply to the read of the lease row that follows a claim of
    unknown outcome. */
 static void
-handle_check_answer (struct role *r, const struct store_rep *rep)
+handle_claim_check_reply (struct role *r, const struct store_rep *rep)
 {
   if (rep->err && rep->err != CLB_ENOTFOUND)
     return;
@@ -284,9 +284,9 @@
     }
 }
 
-/* Handles the answer to a renewal or release. */
+/* Handles the reply to a renewal or release. */
 static void
-handle_renew_answer (struct role *r, const struct store_rep *rep)
+handle_renew_reply (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
@@ -309,7 +309,7 @@
     return;
   update_lease_row (r, row);
   /* The lease row has changed because an earlier renewal took effect although
-     its answer was lost.  Renew again. */
+     its reply was lost.  Renew again. */
   if (row_names_self (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
@@ -317,22 +317,22 @@
 }
 
 bool
-role_store_answer (struct role *r, uint64_t token, const struct store_rep *rep)
+role_store_reply (struct role *r, uint64_t token, const struct store_rep *rep)
 {
   if (token == 0 || token != r->store_token)
     return false;
   r->store_token = 0;
-  r->store_up = rep->err != CLB_EUNAVAIL && rep->err != CLB_EUNKNOWN;
+  r->store_up = rep->err != CLB_EUNAVAIL && rep->err != CLB_EOUTCOME;
   switch (r->state)
     {
     case ROLE_CLAIMING:
-      handle_claim_answer (r, rep);
+      handle_claim_reply (r, rep);
       break;
-    case ROLE_CHECKING:
-      handle_check_answer (r, rep);
+    case ROLE_CHECKING_CLAIM:
+      handle_claim_check_reply (r, rep);
       break;
     case ROLE_HOLDER:
-      handle_renew_answer (r, rep);
+      handle_renew_reply (r, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
@@ -406,8 +406,9 @@
   return false;
 }
 
-/* Sends a request for a promise, or the answer to one.  @kind is
-   PM_PROMISE_REQUEST or PM_PROMISE, @to the id of the receiving instance. */
+/* Sends a request for a promise, or the answer to such a request.  @kind is
+   PM_PROMISE_REQUEST or PM_PROMISE.  @to is the id of the receiving
+   instance. */
 static void
 send_promise (struct role *r, int kind, const char *to,
               const struct promise *p)
@@ -535,9 +536,9 @@
 static void
 handle_op_timeout (struct role *r)
 {
-  struct store_rep rep = { .err = CLB_EUNKNOWN };
+  struct store_rep rep = { .err = CLB_EOUTCOME };
 
-  role_store_answer (r, r->store_token, &rep);
+  role_store_reply (r, r->store_token, &rep);
 }
 
 void
--- a/core/role.h
+++ b/core/role.h
@@ -19,7 +19,8 @@
 {
   /* Length of the lease. */
   LEASE_MS = 5000,
-  /* Margin for short pauses of a process and for different clock rates. */
+  /* Subtracted from the length of the lease on the holder and added on other
+     instances, for short pauses of a process and for different clock rates. */
   LEASE_MARGIN_MS = 500,
   /* Period of the holder's renewals. */
   RENEW_MS = 1000,
@@ -33,7 +34,7 @@
   ROLE_FOLLOWER, /* does not hold the lease and has no claim outstanding */
   ROLE_CLAIMING, /* a claim was sent and has no answer yet */
   /* The outcome of a claim is unknown; the instance reads the lease row. */
-  ROLE_CHECKING,
+  ROLE_CHECKING_CLAIM,
   ROLE_HOLDER, /* holds the lease */
 };
 
@@ -44,8 +45,10 @@
   int64_t boot; /* boot in the peer's latest hello, or in the lease row */
   /* When the peer's latest hello arrived; INT64_MIN / 2: none yet. */
   int64_t last_contact_ms;
-  bool listed;     /* the platform's list of instances names it */
-  bool knows_self; /* the peer counts this instance as a domain member */
+  /* True if the platform's list of instances contains the peer. */
+  bool listed;
+  /* True if the peer counts this instance as a domain member. */
+  bool knows_self;
   /* When the latest promise was requested from the peer. */
   int64_t promise_request_ms;
   int64_t promise_request_seq; /* promise::seq of the latest request */
@@ -59,17 +62,18 @@
   char domain[CLB_NAME_MAX];
   char self_id[CLB_ID_MAX]; /* id of this instance */
   int64_t boot;             /* boot of this instance */
-  int64_t now_ms;           /* set by the caller before each call */
-  int state;                /* enum role_state */
-  struct outq *out;         /* queue for outputs, borrowed */
+  /* Current time, set by the caller before each call. */
+  int64_t now_ms;
+  int state;        /* enum role_state */
+  struct outq *out; /* queue for outputs, borrowed */
   /* Last token given to a store operation; shared with the node. */
-  uint64_t *last_store_token;
+  uint64_t *last_token;
   uint64_t store_token; /* token of the outstanding store op; 0: none */
   int64_t op_sent_ms;   /* when the latest store operation was sent */
-  int64_t next_op_ms;   /* when the next read or renewal of row is due */
+  int64_t next_op_ms;   /* when row is next to be read or renewed */
   struct lease_row row; /* the lease row as last seen */
   int64_t row_ver;      /* version of row; 0: the row is absent */
-  bool row_known;       /* row and row_ver are valid */
+  bool row_known;       /* true if row and row_ver are valid */
   /* True if the answer to the outstanding read may be out of date, so that the
      lease row must be read once more. */
   bool read_again;
@@ -80,12 +84,13 @@
   int64_t epoch_ver;     /* of the holder: row version of the epoch row */
   int64_t claim_sent_ms; /* when the latest claim was sent */
   int64_t next_claim_ms; /* no claim is sent before this time */
-  bool claim_uncertain;  /* a claim may still take effect */
-  bool stopping;         /* this instance claims no lease any more */
-  bool handing_over;     /* this holder is releasing the lease */
+  bool claim_uncertain;  /* true while a claim may still take effect */
+  bool stopping;         /* true once this instance makes no more claims */
+  bool handing_over;     /* true while this holder releases the lease */
   /* This instance has promised not to claim the lease before this time. */
   int64_t promise_until_ms;
-  bool list_known; /* the platform's list of instances was read */
+  /* True once the platform's list of instances has been read. */
+  bool list_known;
   /* Other entry instances of the domain.  The holder requests promises from
      all of them. */
   struct role_peer peers[DOMAIN_MEMBERS_MAX];
@@ -101,14 +106,15 @@
  * @self_id: id of this instance
  * @boot: boot of this instance
  * @out: queue for outputs
- * @last_store_token: last token given to a store operation
+ * @last_token: the node's last token of a store operation, which is raised by
+ *              one for each operation
  *
- * @out and @last_store_token are borrowed and must outlive @r, which needs no
+ * @out and @last_token are borrowed and must outlive @r, which needs no
  * cleanup.
  */
 void role_init (struct role *r, const char *domain, const char *self_id,
                 int64_t boot, int64_t now_ms, struct outq *out,
-                uint64_t *last_store_token);
+                uint64_t *last_token);
 /**
  * role_tick() - Handle timers; the caller calls this regularly.
  *
@@ -116,17 +122,17 @@
  */
 void role_tick (struct role *r);
 /**
- * role_store_answer() - Handle the answer to a store operation.
+ * role_store_reply() - Handle the reply to a store operation.
  *
  * Return: true if @token is that of the outstanding operation; false if it is
  * not, and nothing was done.
  */
-bool role_store_answer (struct role *r, uint64_t token,
-                        const struct store_rep *rep);
-/** role_hello() - A hello from another instance of this domain has arrived. */
+bool role_store_reply (struct role *r, uint64_t token,
+                       const struct store_rep *rep);
+/** role_hello() - Handle a hello from another entry instance of the domain. */
 void role_hello (struct role *r, const char *from, int64_t boot,
                  const struct hello *h);
-/** role_instances() - The platform's list of instances was read. */
+/** role_instances() - Update the peers from the platform's list @list. */
 void role_instances (struct role *r, const struct inst_list *list);
 /**
  * role_promise_request() - Answer a holder's request for a promise.
@@ -137,14 +143,18 @@
 void role_promise_request (struct role *r, const char *from, int64_t boot,
                            const struct promise *p);
 /**
- * role_promise() - The answer to a request for a promise has arrived.
+ * role_promise() - Handle a peer's answer to a request for a promise.
  * @from: id of the peer
  * @boot: boot of the peer
  * @p: the answer
  */
 void role_promise (struct role *r, const char *from, int64_t boot,
                    const struct promise *p);
-/** role_handover() - Read the lease row at once: the lease was released. */
+/**
+ * role_handover() - Handle a message that the holder has released the lease.
+ *
+ * The lease row is read at once.
+ */
 void role_handover (struct role *r);
 /**
  * role_release() - Release the lease and stop claiming it.
@@ -156,19 +166,23 @@
  * outstanding; otherwise false.
  */
 bool role_release (struct role *r);
-/** role_lease_lost() - Become a follower, as the lease is lost or released. */
+/** role_lease_lost() - Become a follower after the lease ended. */
 void role_lease_lost (struct role *r);
 /**
- * role_valid_until() - End of the time in which this instance may start work.
+ * role_valid_until() - Get the time until which this instance may start work.
+ *
+ * That is the end of the holder's lease.  If the lease has expired and the
+ * table service is unreachable, it is the time until which all peers have
+ * promised not to claim the lease, if that is later.
  *
- * Return: the end of the lease or of its extension by promises, perhaps in the
- * past; 0 if this instance is not the holder.
+ * Return: the time in milliseconds on the clock of role::now_ms, which may be
+ * in the past; 0 if this instance is not the holder or is releasing the lease.
  */
 int64_t role_valid_until (const struct role *r);
 /**
  * role_is_member() - Whether a process is a known member of the domain.
- * @id: its instance id
- * @boot: its boot
+ * @id: instance id of the process
+ * @boot: boot of the process
  */
 bool role_is_member (const struct role *r, const char *id, int64_t boot);
 
--- a/core/sched.c
+++ b/core/sched.c
@@ -153,7 +153,7 @@
   e->detail = looked_at;
   clb_copy (e->id, id, sizeof e->id);
   clb_copy (e->team, team, sizeof e->team);
-  clb_copy (e->where, where, sizeof e->where);
+  clb_copy (e->instance_id, where, sizeof e->instance_id);
   s->stats.reasons[reason]++;
   out_new (s->out, OUT_EVENT)->u.event = *e;
 }
--- a/core/service.c
+++ b/core/service.c
@@ -131,7 +131,7 @@
 static bool
 forward_again (struct node *n, struct pending *p)
 {
-  struct pending *again; /* the new pending request */
+  struct pending *retry; /* the new pending request */
   const char *domain;
   int64_t remaining_ms = p->arrival_ms + p->call.wait_ms - n->now_ms;
 
@@ -143,15 +143,15 @@
     return false;
   uint64_t http_call = p->http_call;
   entry_pending_detach (n, p);
-  again = entry_pending_new (n, http_call, CALL_ACQUIRE);
-  int64_t seq = again->call.seq;
-  again->call = p->call;
-  again->call.seq = seq;
-  again->tries = p->tries;
-  again->arrival_ms = p->arrival_ms;
-  again->max_run_ms = p->max_run_ms;
-  again->deadline_ms = n->now_ms + remaining_ms + REPLY_SLACK_MS;
-  acquire_slot (n, again, domain);
+  retry = entry_pending_new (n, http_call, CALL_ACQUIRE);
+  int64_t seq = retry->call.seq;
+  retry->call = p->call;
+  retry->call.seq = seq;
+  retry->tries = p->tries;
+  retry->arrival_ms = p->arrival_ms;
+  retry->max_run_ms = p->max_run_ms;
+  retry->deadline_ms = n->now_ms + remaining_ms + REPLY_SLACK_MS;
+  acquire_slot (n, retry, domain);
   return true;
 }
 
@@ -169,7 +169,7 @@
     case FORWARD_OK:
       entry_pending_release (n, p, TASK_DONE, false);
       break;
-    case FORWARD_ERROR:
+    case FORWARD_SERVER_ERROR:
       entry_pending_release (n, p, TASK_FAILED, true);
       break;
     case FORWARD_UNREACHED:
@@ -180,11 +180,11 @@
       break;
     case FORWARD_FAILED:
       if (!forward_again (n, p))
-        entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
+        entry_answer_err (n, p->http_call, CLB_EOUTCOME, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, true);
       break;
     case FORWARD_ABORTED:
-      entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
+      entry_answer_err (n, p->http_call, CLB_EOUTCOME, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, false);
       break;
     }
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -219,7 +219,7 @@
 reply (struct fsim *s, struct request *q)
 {
   if (s->inst[q->inst]->store_cut_until_ms > s->now_ms || q->mute)
-    fail (s, q, CLB_EUNKNOWN, 700);
+    fail (s, q, CLB_EOUTCOME, 700);
   else
     fsim_at (s, FSIM_LINK_MS, answer, q);
 }
@@ -286,7 +286,7 @@
   t->calls++;
   if (s->inst[i]->store_cut_until_ms > s->now_ms)
     {
-      fail (s, q, CLB_EUNKNOWN, 700);
+      fail (s, q, CLB_EOUTCOME, 700);
       return;
     }
   if (t->down_until_ms > s->now_ms
@@ -299,7 +299,7 @@
     {
       fsim_at (s, 1000 + (int64_t)(fsim_random (s) * 5000), carry_out_late,
                request_new (s, i, token, op));
-      fail (s, q, CLB_EUNKNOWN, 700);
+      fail (s, q, CLB_EOUTCOME, 700);
       return;
     }
   q->mute = write && fsim_random (s) < t->lost;
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -138,7 +138,7 @@
 static void
 send_store (struct world *w, struct wnode *n, const struct out *o)
 {
-  struct store_rep lost = { .err = CLB_EUNKNOWN };
+  struct store_rep lost = { .err = CLB_EOUTCOME };
   struct event_item *it
       = item_new (w, ITEM_STORE_REQ, n,
                   perhaps_late (w, jitter (w, STORE_MS) + w->store_slow_ms));
@@ -225,7 +225,7 @@
 {
   if (w->trace)
     printf ("%8lld %s: %s %s %s\n", (long long)w->now_ms, n->set.id,
-            clb_reason_name (e->reason), e->id, e->where);
+            clb_reason_name (e->reason), e->id, e->instance_id);
 }
 
 static void
@@ -312,7 +312,7 @@
   if (codec_parse (&store_rep_desc, it->text, it->len, CODEC_STRICT, &rep,
                    &ce))
     abort ();
-  node_store_answer (&n->node, w->now_ms, it->token, &rep);
+  node_store_reply (&n->node, w->now_ms, it->token, &rep);
   codec_free (&store_rep_desc, &rep);
 }
 
@@ -379,7 +379,7 @@
   check_served (w->check, s, it->call, true);
   struct event_item *end
       = served_at (w, n, it->call, it->server,
-                   s->w.fail_all ? FORWARD_ERROR : FORWARD_OK, run);
+                   s->w.fail_all ? FORWARD_SERVER_ERROR : FORWARD_OK, run);
   if (!s->breaks)
     return;
   end->generation = NOBODY;
@@ -390,7 +390,7 @@
 arrive_served (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct wcall *c = &w->calls[it->call];
-  bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
+  bool ran = it->end == FORWARD_OK || it->end == FORWARD_SERVER_ERROR;
 
   if (ran && !c->status)
     {
@@ -410,7 +410,7 @@
 executor_done (struct world *w, struct event_item *it)
 {
   struct wserver *s = world_server (w, it->server);
-  bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
+  bool ran = it->end == FORWARD_OK || it->end == FORWARD_SERVER_ERROR;
 
   if (!ran || !s || it->seq_no)
     return;
--- a/regress/standin/fworker.c
+++ b/regress/standin/fworker.c
@@ -138,7 +138,7 @@
   memset (rep, 0, sizeof *rep);
   rep->boot = w->boot;
   rep->leaving = w->leaving;
-  rep->busy = w->busy;
+  rep->busy_slots = w->busy;
   rep->runs = calloc (n ? n : 1, sizeof *rep->runs);
   if (!rep->runs)
     abort ();
