--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -221,11 +221,11 @@
 
   if (!v)
     return;
-  if (!colon || (size_t)(colon - v) >= sizeof opt->node.first_salt
+  if (!colon || (size_t)(colon - v) >= sizeof opt->node.first_key_salt
       || strlen (colon + 1) != CONF_HASH_HEX - 1)
     bad (OPT_FIRST_KEY, "must be SALT:HASH as 'citronctl key' prints it");
-  memcpy (opt->node.first_salt, v, (size_t)(colon - v));
-  clb_copy (opt->node.first_hash, colon + 1, CONF_HASH_HEX);
+  memcpy (opt->node.first_key_salt, v, (size_t)(colon - v));
+  clb_copy (opt->node.first_key_hash, colon + 1, CONF_HASH_HEX);
 }
 
 void
--- a/core/apply.c
+++ b/core/apply.c
@@ -167,7 +167,7 @@
 
 /* Checks that the key of @rq may change the configuration.  An operator's key
    may.  Until the first manifest is accepted, only the key of
-   settings::first_hash may, if that is set.  Returns 0 or enum clb_err. */
+   settings::first_key_hash may, if that is set.  Returns 0 or enum clb_err. */
 static int
 check_apply_key (struct node *n, const struct request *rq)
 {
@@ -175,11 +175,11 @@
   char hash[CONF_HASH_HEX];
   int err;
 
-  if (n->head.version == 0 && *n->settings.first_hash)
+  if (n->head.version == 0 && *n->settings.first_key_hash)
     {
-      conf_key_hash (n->settings.first_salt, rq->bearer ? rq->bearer : "",
+      conf_key_hash (n->settings.first_key_salt, rq->bearer ? rq->bearer : "",
                      hash);
-      return strcmp (hash, n->settings.first_hash) == 0 ? 0 : CLB_EKEY;
+      return strcmp (hash, n->settings.first_key_hash) == 0 ? 0 : CLB_EKEY;
     }
   err = node_authorize (n, n->now_ms, rq->bearer, team);
   return err ? err : *team ? CLB_EDENIED : 0;
--- a/core/codec.h
+++ b/core/codec.h
@@ -45,7 +45,7 @@
   /* Of FLD_I64 and FLD_F64 the largest value, of FLD_TEXT the largest number
      of bytes, of FLD_VEC the largest length. */
   int64_t max;
-  bool required; /* reading fails if the field is absent */
+  bool required; /* true if reading fails when the field is absent */
   /* Of FLD_OBJ and FLD_VEC: description of the struct or array element. */
   const struct desc *sub;
   /* Of FLD_ENUM: names by enumerator value; the array ends with NULL. */
--- a/core/conf.h
+++ b/core/conf.h
@@ -55,11 +55,11 @@
 struct conf_queue
 {
   char name[CLB_NAME_MAX];
-  bool open;               /* the queue accepts work without a key */
+  bool open;               /* true if the queue accepts work without a key */
   char team[CLB_NAME_MAX]; /* of an open queue: team charged for its work */
   int lane;                /* enum queue_lane */
   int class;               /* enum task_class */
-  bool idempotent;         /* its work may run more than once */
+  bool idempotent;         /* true if its work may run more than once */
   /* Work is refused while this many of the team's tasks wait in a domain. */
   int64_t max_waiting;
   /* Of a LANE_SERVICE queue: longest wait of a request for a slot. */
--- a/core/entry.c
+++ b/core/entry.c
@@ -190,7 +190,7 @@
   return http_call ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
 
-/* If the call was sent before, this counts as a retry. */
+/* A call that was sent before is counted as a retry. */
 void
 entry_pending_send (struct node *n, struct pending *p)
 {
@@ -636,7 +636,8 @@
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the HTTP client aborts the request and reports its end */
+      /* The HTTP client aborts the request; node_forward_done() follows. */
+      return;
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
--- a/core/msg.c
+++ b/core/msg.c
@@ -243,7 +243,7 @@
   FLD_INT (struct hello, conf_version, 0, INT64_MAX),
   FLD_INT (struct hello, conf_age_ms, 0, INT64_MAX),
   FLD_FLAG_AS ("apply_open", struct hello, apply_in_progress),
-  FLD_FLAG (struct hello, holder),
+  FLD_FLAG_AS ("holder", struct hello, is_holder),
   FLD_INT (struct hello, epoch, 0, INT64_MAX),
   FLD_FLAG (struct hello, stopping),
   FLD_FLAG_AS ("known", struct hello, knows_receiver),
--- a/core/msg.h
+++ b/core/msg.h
@@ -25,9 +25,11 @@
   /* Number of members: 1, or more for a gang, whose members start together or
      not at all. */
   int64_t members;
-  /* Preference, not a requirement: place the members near each other. */
+  /* True if the members should be placed near each other, as a preference and
+     not a requirement. */
   bool same_rack;
-  /* Preference, not a requirement: place the members on different racks. */
+  /* True if the members should be placed on different racks, as a preference
+     and not a requirement. */
   bool spread;
   /* Declared run time; 0: a long-lived service. */
   int64_t duration_ms;
@@ -111,7 +113,8 @@
 {
   char domain[CLB_NAME_MAX];
   struct clb_res amount;
-  bool wants_more; /* waiting work in the domain needs a larger amount */
+  /* True if waiting work in the domain needs a larger amount. */
+  bool wants_more;
 };
 /** struct grant_row - a team's upper limit, split among the domains */
 struct grant_row
@@ -199,7 +202,8 @@
 struct sync_rep
 {
   int64_t boot; /* changes when the worker restarts and loses its state */
-  bool leaving; /* the worker is shutting down and takes no new runs */
+  /* True if the worker is shutting down and takes no new runs. */
+  bool leaving;
   int64_t busy_slots; /* of an executor: number of its slots in use; else 0 */
   struct run *runs;
   size_t n_runs;
@@ -224,7 +228,7 @@
   char rack[CLB_NAME_MAX];
   char addr[CLB_ADDR_MAX]; /* "ip:port" */
   struct clb_res capacity; /* whole capacity, in use or not */
-  bool leaving;            /* the instance takes no new work */
+  bool leaving;            /* true if the instance takes no new work */
 };
 /** struct inst_list - the platform's list of all instances */
 struct inst_list
@@ -302,7 +306,7 @@
   int64_t err;
   struct row *rows;
   size_t n_rows;
-  bool more;   /* of STORE_LIST: more rows follow after the last key */
+  bool more;   /* of STORE_LIST: true if more rows follow after the last key */
   int64_t ver; /* newest version covered by the reply; 0: not given */
 };
 extern const struct desc store_rep_desc;
@@ -331,8 +335,9 @@
   struct spec spec;
   int class;       /* enum task_class */
   int lane;        /* enum queue_lane */
-  bool idempotent; /* the work may run more than once */
-  /* The caller sent no key, so the call covers only tasks of open queues. */
+  bool idempotent; /* true if the work may run more than once */
+  /* True if the caller sent no key, so that the call covers only tasks of open
+     queues. */
   bool open_only;
   /* Limit of the number of the team's waiting tasks; 0: no limit. */
   int64_t max_waiting;
@@ -366,13 +371,15 @@
   char addr[CLB_ADDR_MAX]; /* sender's address for peer messages */
   /* Version of the sender's configuration; 0: no manifest was accepted. */
   int64_t conf_version;
-  int64_t conf_age_ms;    /* time since conf_version was verified as current */
-  bool apply_in_progress; /* the sender is writing a new manifest */
-  bool holder;            /* the sender schedules its domain */
-  int64_t epoch;          /* of a holder: epoch of its lease; else 0 */
-  bool stopping;          /* the sender is shutting down */
-  bool knows_receiver; /* the sender counts the receiver as a domain member */
-  int64_t sent_ms;     /* when the hello was sent, on the sender's clock */
+  int64_t conf_age_ms; /* time since conf_version was verified as current */
+  /* True if the sender is writing a new manifest. */
+  bool apply_in_progress;
+  bool is_holder; /* true if the sender schedules its domain */
+  int64_t epoch;  /* of a holder: epoch of its lease; else 0 */
+  bool stopping;  /* true if the sender is shutting down */
+  /* True if the sender counts the receiver as a domain member. */
+  bool knows_receiver;
+  int64_t sent_ms; /* when the hello was sent, on the sender's clock */
   /* hello::sent_ms of the latest hello that the sender got from the receiver,
      on the receiver's clock; 0: the sender got none. */
   int64_t echo_ms;
@@ -382,7 +389,7 @@
   struct clb_res free_capacity;
   /* Of a holder: whole capacity of the domain. */
   struct clb_res total_capacity;
-  /* Of a holder: in each dimension the largest amount of any worker. */
+  /* Of a holder: largest amount that any one worker has in each dimension. */
   struct clb_res largest_worker;
 };
 
--- a/core/node.c
+++ b/core/node.c
@@ -20,9 +20,10 @@
   SLOTS_QUERY_PERIOD_MS = 500,
   /* Number of call::seq values that are reserved for each millisecond between
      two starts of an instance. */
-  CALLS_PER_BOOT = 65536,
-  /* Time after the start of a scheduler by which each slot that an earlier
-     scheduler granted is in use, or was granted too long ago to be used. */
+  CALL_SEQS_PER_MS = 65536,
+  /* Shortest time from the start of a scheduler until it counts slots as free.
+     By then each slot that an earlier scheduler granted is in use, or was
+     granted too long ago to be used. */
   SLOTS_WAIT_MS = 3000,
 };
 
@@ -42,7 +43,7 @@
   /* call::seq must not repeat the numbers of an earlier process of this
      instance.  Otherwise a late reply to a call of that process could be taken
      for the reply to a call of this process. */
-  n->last_call_seq = set->boot * CALLS_PER_BOOT;
+  n->last_call_seq = set->boot * CALL_SEQS_PER_MS;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
              &n->last_token);
 }
@@ -122,7 +123,7 @@
   for (int i = 0; i < n->n_peers; i++)
     {
       const struct peer *p = &n->peers[i];
-      if (!peer_reachable (n, p) || !p->hello.holder
+      if (!peer_reachable (n, p) || !p->hello.is_holder
           || strcmp (p->domain, domain) != 0)
         continue;
       if (!best || p->hello.epoch > best->hello.epoch)
@@ -142,7 +143,7 @@
   h->conf_version = n->head.version;
   h->conf_age_ms = n->now_ms - n->conf_verified_ms;
   h->apply_in_progress = entry_apply_in_progress (n);
-  h->holder = is_holder (n);
+  h->is_holder = is_holder (n);
   h->epoch = n->sched ? n->sched->epoch : 0;
   h->stopping = n->stopping;
   h->knows_receiver = role_is_member (&n->role, p->id, p->boot);
@@ -161,9 +162,9 @@
 {
   /* Notify the peers at once when this instance starts or stops scheduling
      its domain. */
-  if (is_holder (n) != n->reported_holder)
+  if (is_holder (n) != n->reported_as_holder)
     n->next_hello_ms = n->now_ms;
-  n->reported_holder = is_holder (n);
+  n->reported_as_holder = is_holder (n);
   if (n->now_ms < n->next_hello_ms)
     return;
   n->next_hello_ms = n->now_ms + HELLO_PERIOD_MS;
--- a/core/node.h
+++ b/core/node.h
@@ -84,8 +84,8 @@
   int64_t snap_every; /* journal rows between snapshots; 0: the default */
   /* Salt and hash of an operator key that is valid only until the first
      manifest is accepted.  Empty strings: there is no such key. */
-  char first_salt[CLB_NAME_MAX];
-  char first_hash[CONF_HASH_HEX];
+  char first_key_salt[CLB_NAME_MAX];
+  char first_key_hash[CONF_HASH_HEX];
 };
 
 /** struct peer - another entry instance */
@@ -211,11 +211,11 @@
   int64_t next_head_ms; /* when the next read of the head row is due */
   /* Token of the outstanding read of a manifest; 0: none. */
   uint64_t manifest_token;
-  struct head_row
-      manifest_head;         /* head row that names the manifest being read */
+  /* Head row that names the manifest being read. */
+  struct head_row manifest_head;
   int64_t manifest_head_ver; /* row version of manifest_head */
-  int64_t manifest_sent_ms;  /* when the read that returned manifest_head was
-                                sent */
+  /* When the read that returned manifest_head was sent. */
+  int64_t manifest_sent_ms;
   /* Token of the outstanding read of the list of instances; 0: none. */
   uint64_t list_token;
   int64_t list_sent_ms;  /* when the latest read of the list was sent */
@@ -232,7 +232,7 @@
   bool lease_extended;
   /* True from a report of WHY_STORE_DOWN until that of WHY_STORE_BACK. */
   bool store_down;
-  bool reported_holder; /* value of hello::holder in the last sent hellos */
+  bool reported_as_holder; /* value of hello::holder in the last sent hellos */
   /* Capacity of the domain as in the last sent hellos; zero unless this
      instance is the lease holder. */
   struct pool_sum capacity;
@@ -243,8 +243,9 @@
   int64_t last_call_seq; /* call::seq of the latest new request */
   /* When the deadlines and retries of pending requests are checked next. */
   int64_t next_pending_ms;
-  bool stopping;             /* true once node_stop() was called */
-  int64_t stop_requested_ms; /* when node_stop() was called; 0: it was not */
+  bool stopping; /* true once node_stop() was called */
+  /* When node_stop() was called; 0 before that. */
+  int64_t stop_requested_ms;
   /* True once this instance has released the lease, does not hold it, or has
      given up the release after a timeout. */
   bool handed_over;
--- a/core/role.h
+++ b/core/role.h
@@ -19,8 +19,9 @@
 {
   /* Length of the lease. */
   LEASE_MS = 5000,
-  /* Subtracted from the length of the lease on the holder and added on other
-     instances, for short pauses of a process and for different clock rates. */
+  /* Margin for short pauses of a process and for different clock rates.  The
+     holder subtracts it from the length of its lease and of promises, other
+     instances add it to the length of the lease. */
   LEASE_MARGIN_MS = 500,
   /* Period of the holder's renewals. */
   RENEW_MS = 1000,
--- a/core/view.c
+++ b/core/view.c
@@ -46,7 +46,7 @@
       add_bool (item, "alive",
                 p->last_contact_ms
                     && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS);
-      add_bool (item, "holder", p->hello.holder);
+      add_bool (item, "holder", p->hello.is_holder);
       add_int (item, "epoch", p->hello.epoch);
       add_int (item, "config_version", p->hello.conf_version);
       json_array_append_new (list, item);
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -607,8 +607,8 @@
   clb_copy (n->set.domain, domain, sizeof n->set.domain);
   clb_copy (n->set.peer_addr, id, sizeof n->set.peer_addr);
   n->set.snap_every = SNAP_EVERY;
-  clb_copy (n->set.first_salt, "first", sizeof n->set.first_salt);
-  conf_key_hash ("first", "ops.first", n->set.first_hash);
+  clb_copy (n->set.first_key_salt, "first", sizeof n->set.first_key_salt);
+  conf_key_hash ("first", "ops.first", n->set.first_key_hash);
   world_boot (w, n);
   return n;
 }
