--- a/core/clb.h
+++ b/core/clb.h
@@ -80,7 +80,7 @@
   CLB_ELEASE = -21, /* the lease expired before the work could start */
   CLB_ECANCELLED = -22,
   CLB_EREACH = -23,  /* no backend server could be reached */
-  CLB_ERR_LAST = -24 /* one below the last error number */
+  CLB_ERR_LAST = -24 /* lower bound: one less than the last error */
 };
 
 /** enum clb_outcome - whether a request has run, as told to its caller */
@@ -132,7 +132,7 @@
   CLASS_URGENT,  /* may preempt idempotent tasks of lower classes */
   CLASS_WATCHED, /* a person is waiting for the result */
   CLASS_NORMAL,
-  CLASS_PATIENT, /* may wait longest */
+  CLASS_PATIENT, /* may wait longer than the other classes */
   CLASS_N
 };
 
--- a/core/conf.h
+++ b/core/conf.h
@@ -98,9 +98,9 @@
 /** conf_free() - Free what @c owns, but not @c itself. */
 void conf_free (struct conf *c);
 
-/** conf_team() - Find the team @name; NULL if there is none. */
+/** conf_team() - Find the team @name; return NULL if there is none. */
 const struct conf_team *conf_team (const struct conf *c, const char *name);
-/** conf_queue() - Find the queue @name; NULL if there is none. */
+/** conf_queue() - Find the queue @name; return NULL if there is none. */
 const struct conf_queue *conf_queue (const struct conf *c, const char *name);
 
 /**
--- a/core/msg.h
+++ b/core/msg.h
@@ -98,7 +98,7 @@
 };
 extern const struct desc lease_row_desc;
 
-/** struct head_row - table row "head"; names the current configuration */
+/** struct head_row - row with key "head"; names the current configuration */
 struct head_row
 {
   int64_t version; /* raised by one with each change */
@@ -328,7 +328,7 @@
 /** struct call - call of an entry instance to a domain's lease holder */
 struct call
 {
-  int64_t seq; /* chosen by the entry instance, echoed in the reply */
+  int64_t seq; /* number chosen by the entry instance, echoed in the reply */
   int verb;    /* enum call_verb */
   char team[CLB_NAME_MAX]; /* team of the caller; empty: an operator's call */
   char id[CLB_ID_MAX];     /* id of the task or service request */
--- a/core/node.h
+++ b/core/node.h
@@ -218,8 +218,10 @@
   int64_t manifest_sent_ms;
   /* Token of the outstanding read of the list of instances; 0: none. */
   uint64_t list_token;
-  int64_t list_sent_ms;  /* when the latest read of the list was sent */
-  int64_t next_list_ms;  /* when the next read of the list is due */
+  /* When the latest read of the list of instances was sent. */
+  int64_t list_sent_ms;
+  /* When the next read of the list of instances is due. */
+  int64_t next_list_ms;
   struct inst_list list; /* the platform's list of instances as last read */
   bool list_known;       /* true once list has been read */
   int64_t list_ver;      /* the platform's version number of list */
@@ -232,7 +234,8 @@
   bool lease_extended;
   /* True from a report of WHY_STORE_DOWN until that of WHY_STORE_BACK. */
   bool store_down;
-  bool reported_as_holder; /* value of hello::holder in the last sent hellos */
+  /* Value of hello::is_holder in the last sent hellos. */
+  bool reported_as_holder;
   /* Capacity of the domain as in the last sent hellos; zero unless this
      instance is the lease holder. */
   struct pool_sum capacity;
@@ -246,8 +249,8 @@
   bool stopping; /* true once node_stop() was called */
   /* When node_stop() was called; 0 before that. */
   int64_t stop_requested_ms;
-  /* True once this instance has released the lease, does not hold it, or has
-     given up the release after a timeout. */
+  /* True at the end of a shutdown: this instance does not hold the lease any
+     more, or the release of the lease timed out. */
   bool handed_over;
   struct node_stats stats;
 };
@@ -468,9 +471,10 @@
 /** apply_show() - Answer a request for the configuration in force. */
 void apply_show (struct node *n, const struct request *rq);
 /**
- * apply_tick() - Continue a new manifest whose store operation had no reply.
+ * apply_tick() - Continue the write of a new manifest without a reply.
  *
- * Does nothing before the timeout of the operation.
+ * Repeats the store operation or reads its outcome.  Does nothing before the
+ * timeout of the operation.
  */
 void apply_tick (struct node *n, struct pending *p);
 
@@ -532,7 +536,7 @@
 bool node_conf_fresh (const struct node *n);
 /**
  * node_install_conf() - Put a newer configuration into force.
- * @head: its head row
+ * @head: head row of the configuration
  * @ver: row version of @head
  * @text: text of the manifest
  *
--- a/core/role.h
+++ b/core/role.h
@@ -71,7 +71,7 @@
   uint64_t *last_token;
   uint64_t store_token; /* token of the outstanding store op; 0: none */
   int64_t op_sent_ms;   /* when the latest store operation was sent */
-  int64_t next_op_ms;   /* when row is next to be read or renewed */
+  int64_t next_op_ms;   /* when the lease row is next read or renewed */
   struct lease_row row; /* the lease row as last seen */
   int64_t row_ver;      /* version of row; 0: the row is absent */
   bool row_known;       /* true if row and row_ver are valid */
@@ -172,9 +172,9 @@
 /**
  * role_valid_until() - Get the time until which this instance may start work.
  *
- * That is the end of the holder's lease.  If the lease has expired and the
- * table service is unreachable, it is the time until which all peers have
- * promised not to claim the lease, if that is later.
+ * For the holder, this is the end of its lease.  If the lease has expired and
+ * the table service is unreachable, it is the later of that end and the time
+ * until which all peers have promised not to claim the lease.
  *
  * Return: the time in milliseconds on the clock of role::now_ms, which may be
  * in the past; 0 if this instance is not the holder or is releasing the lease.
--- a/core/view.c
+++ b/core/view.c
@@ -154,7 +154,7 @@
   return text;
 }
 
-/* Prints the counters that every instance has. */
+/* Prints the counters that every entry instance has. */
 static void
 print_entry_metrics (FILE *f, const struct node *n)
 {
