--- a/core/clb.h
+++ b/core/clb.h
@@ -80,7 +80,7 @@
   CLB_ELEASE = -21, /* the lease expired before the work could start */
   CLB_ECANCELLED = -22,
   CLB_EREACH = -23,  /* no backend server could be reached */
-  CLB_ERR_LAST = -24 /* lower bound: one less than the last error */
+  CLB_ERR_LAST = -24 /* one less than the last error number */
 };
 
 /** enum clb_outcome - whether a request has run, as told to its caller */
