--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -39,17 +39,17 @@
 {
   switch (e->reason)
     {
-    case WHY_TOOK_OVER:
+    case WHY_LEASE_ACQUIRED:
     case WHY_LEASE_LOST:
-    case WHY_HANDED_OVER:
-    case WHY_EXTENDED:
+    case WHY_LEASE_RELEASED:
+    case WHY_LEASE_EXTENDED:
     case WHY_STORE_DOWN:
     case WHY_STORE_BACK:
     case WHY_WORKER_QUARANTINED:
     case WHY_WORKER_BACK:
     case WHY_WORKER_LOST:
     case WHY_WORKER_REBOOTED:
-      log_info ("%s: %s", clb_reason_name (e->reason), e->where);
+      log_info ("%s: %s", clb_reason_name (e->reason), e->instance_id);
       break;
     case WHY_CONFIG:
       log_info ("config: version %lld", (long long)e->detail);
--- a/core/apply.c
+++ b/core/apply.c
@@ -1,4 +1,9 @@
-/* Manifests: checked, written, made current, or found to have been. */
+/*
+ * Handling of new manifests.  The text of a manifest is checked and written as
+ * an object.  Then the head row that names the object is written, on condition
+ * that the head row has not changed.  If the reply to that write is lost, the
+ * head row is read to find the outcome.
+ */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,12 +12,16 @@
 
 enum
 {
-  CALL_RETRY_MS = 1000, /* a call without a reply is sent again */
+  /* Time after which a store operation without a reply is repeated, or its
+     outcome is read. */
+  STORE_RETRY_MS = 1000,
+  /* Longest time for a new manifest to be written. */
   APPLY_WAIT_MS = 10000,
 };
 
+/* Writes the manifest's text as an object named by its hash. */
 static void
-apply_object (struct node *n, struct pending *p)
+write_object (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char name[CLB_ID_MAX] = "manifest-";
@@ -20,41 +29,45 @@
   strcat (name, p->head.hash);
   p->step = STEP_APPLY_OBJECT;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_OBJ_PUT;
   o->u.store.op.key = strdup (name);
   o->u.store.op.value = strdup (p->manifest);
 }
 
+/* Writes the head row that names the manifest. */
 static void
-apply_head (struct node *n, struct pending *p)
+write_head (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char *text = codec_text (&head_row_desc, &p->head);
 
   p->step = STEP_APPLY_HEAD;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, "head", p->head_ver);
   store_put (&o->u.store.op, "head", text);
   free (text);
 }
 
+/* Reads the head row, to find the outcome of a write. */
 static void
-apply_check (struct node *n, struct pending *p)
+read_head (struct node *n, struct pending *p)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
   p->step = STEP_APPLY_CHECK;
   p->sent_ms = n->now_ms;
-  o->u.store.token = p->store_token = ++n->tokens;
+  o->u.store.token = p->store_token = ++n->last_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
 }
 
+/* Installs the manifest, whose head row has been written with row version
+   @ver, and answers the caller. */
 static void
-apply_done (struct node *n, struct pending *p, int64_t ver)
+finish_applied (struct node *n, struct pending *p, int64_t ver)
 {
   json_t *json = json_object ();
 
@@ -72,8 +85,10 @@
   entry_pending_free (n, p);
 }
 
+/* Refuses the manifest, because its base is not the current configuration
+   version @version. */
 static void
-apply_conflict (struct node *n, struct pending *p, int64_t version)
+finish_conflict (struct node *n, struct pending *p, int64_t version)
 {
   char field[64];
 
@@ -84,9 +99,10 @@
   entry_pending_free (n, p);
 }
 
-/* What the head row says of this change. */
+/* Determines from the current head row whether this change took effect, and
+   continues or ends it.  @row is NULL if the table has no head row. */
 static void
-apply_seen (struct node *n, struct pending *p, const struct row *row)
+resolve_outcome (struct node *n, struct pending *p, const struct row *row)
 {
   struct head_row head = { .version = 0 };
   struct codec_err ce;
@@ -96,24 +112,25 @@
                  CODEC_LENIENT, &head, &ce);
   if (row && head.version == p->head.version
       && strcmp (head.change_id, p->head.change_id) == 0)
-    apply_done (n, p, row->ver);
+    finish_applied (n, p, row->ver);
   else if (head.version <= p->base_version)
-    apply_head (n, p);
+    write_head (n, p);
   else if (head.version == p->head.version || !p->may_have_applied)
-    apply_conflict (n, p, head.version);
+    finish_conflict (n, p, head.version);
   else
-    entry_finish_err (n, p, CLB_EUNKNOWN,
-                      0); /* perhaps ours came in between */
+    /* This change may have been in force before a later one replaced it. */
+    entry_finish_err (n, p, CLB_EOUTCOME, 0);
 }
 
+/* Handles the reply to a write of the head row. */
 static void
-apply_head_answer (struct node *n, struct pending *p,
-                   const struct store_rep *rep)
+handle_head_write_reply (struct node *n, struct pending *p,
+                         const struct store_rep *rep)
 {
   if (rep->err == 0)
-    apply_done (n, p, rep->n_rows ? rep->rows[0].ver : 0);
+    finish_applied (n, p, rep->n_rows ? rep->rows[0].ver : 0);
   else if (rep->err == CLB_ECONFLICT)
-    apply_seen (n, p, rep->n_rows ? &rep->rows[0] : NULL);
+    resolve_outcome (n, p, rep->n_rows ? &rep->rows[0] : NULL);
   else if (rep->err == CLB_EUNAVAIL && !p->may_have_applied)
     entry_finish_err (n, p, CLB_EUNAVAIL, RETRY_HINT_MS);
   else
@@ -121,7 +138,7 @@
 }
 
 bool
-apply_store (struct node *n, uint64_t token, const struct store_rep *rep)
+apply_store_reply (struct node *n, uint64_t token, const struct store_rep *rep)
 {
   struct pending *p;
 
@@ -135,52 +152,55 @@
     {
     case STEP_APPLY_OBJECT:
       if (rep->err == 0)
-        apply_head (n, p);
-      break; /* else tried again: it is named by its content */
+        write_head (n, p);
+      break; /* after an error apply_tick() writes the same object again */
     case STEP_APPLY_HEAD:
-      apply_head_answer (n, p, rep);
+      handle_head_write_reply (n, p, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-        apply_seen (n, p, rep->n_rows ? &rep->rows[0] : NULL);
+        resolve_outcome (n, p, rep->n_rows ? &rep->rows[0] : NULL);
       break;
     }
   return true;
 }
 
-/* Until a manifest is accepted one key from the settings may apply. */
+/* Checks that the key of @rq may change the configuration.  An operator's key
+   may.  Until the first manifest is accepted, only the key of
+   settings::first_key_hash may, if that is set.  Returns 0 or enum clb_err. */
 static int
-may_apply (struct node *n, const struct request *rq)
+check_apply_key (struct node *n, const struct request *rq)
 {
   char team[CLB_NAME_MAX] = "";
   char hash[CONF_HASH_HEX];
   int err;
 
-  if (n->head.version == 0 && *n->settings.first_hash)
+  if (n->head.version == 0 && *n->settings.first_key_hash)
     {
-      conf_key_hash (n->settings.first_salt, rq->bearer ? rq->bearer : "",
+      conf_key_hash (n->settings.first_key_salt, rq->bearer ? rq->bearer : "",
                      hash);
-      return strcmp (hash, n->settings.first_hash) == 0 ? 0 : CLB_EKEY;
+      return strcmp (hash, n->settings.first_key_hash) == 0 ? 0 : CLB_EKEY;
     }
   err = node_authorize (n, n->now_ms, rq->bearer, team);
   return err ? err : *team ? CLB_EDENIED : 0;
 }
 
-/* The change's id out of the query; false without a good one. */
+/* Sets @out to the id of the change in the query string.  Returns false if the
+   id is missing or not valid. */
 static bool
-read_change (const char *query, char out[CLB_ID_MAX])
+parse_change_id (const char *query, char out[CLB_ID_MAX])
 {
-  const char name[] = "change=";
-  const char *at = query ? strstr (query, name) : NULL;
+  const char prefix[] = "change=";
+  const char *value = query ? strstr (query, prefix) : NULL;
   size_t len;
 
-  if (!at)
+  if (!value)
     return false;
-  at += sizeof name - 1;
-  len = strcspn (at, "&");
+  value += sizeof prefix - 1;
+  len = strcspn (value, "&");
   if (len >= CLB_ID_MAX)
     return false;
-  memcpy (out, at, len);
+  memcpy (out, value, len);
   out[len] = '\0';
   return entry_id_ok (out);
 }
@@ -191,10 +211,10 @@
   struct conf c;
   struct codec_err ce = { .err = 0 };
   struct pending *p;
-  char change[CLB_ID_MAX];
-  int err = may_apply (n, rq);
+  char change_id[CLB_ID_MAX];
+  int err = check_apply_key (n, rq);
 
-  if (!err && !read_change (query, change))
+  if (!err && !parse_change_id (query, change_id))
     {
       err = CLB_EFIELD;
       clb_copy (ce.path, "change", sizeof ce.path);
@@ -211,18 +231,18 @@
   p->base_version = entry_query_number (query, "base=");
   p->head_ver = n->head_ver;
   p->head.version = p->base_version + 1;
-  clb_copy (p->head.change_id, change, sizeof p->head.change_id);
+  clb_copy (p->head.change_id, change_id, sizeof p->head.change_id);
   p->deadline_ms = n->now_ms + APPLY_WAIT_MS;
   if (p->base_version != n->head.version)
     {
-      apply_conflict (n, p, n->head.version);
+      finish_conflict (n, p, n->head.version);
       return;
     }
   p->manifest = strndup (rq->body ? rq->body : "", rq->body_len);
   if (!p->manifest)
     abort ();
   conf_text_hash (p->manifest, rq->body_len, p->head.hash);
-  apply_object (n, p);
+  write_object (n, p);
 }
 
 void
@@ -233,7 +253,7 @@
   json_t *json;
 
   if (n->head.version == 0)
-    err = may_apply (n, rq);
+    err = check_apply_key (n, rq);
   if (err)
     {
       entry_refuse (n, rq->http_call, err, NULL);
@@ -248,17 +268,19 @@
   entry_answer_json (n, rq->http_call, 200, json, 0);
 }
 
-/* An operation without an answer is tried again, or found out about. */
+/* A write of the object without a reply is repeated; that is safe since the
+   name of the object is the hash of its text.  A write of the head row without
+   a reply may have taken effect, so the row is read first. */
 void
 apply_tick (struct node *n, struct pending *p)
 {
-  if (n->now_ms - p->sent_ms < CALL_RETRY_MS)
+  if (n->now_ms - p->sent_ms < STORE_RETRY_MS)
     return;
   if (p->step == STEP_APPLY_OBJECT)
     {
-      apply_object (n, p);
+      write_object (n, p);
       return;
     }
   p->may_have_applied |= p->step == STEP_APPLY_HEAD;
-  apply_check (n, p);
+  read_head (n, p);
 }
--- a/core/clb.c
+++ b/core/clb.c
@@ -1,15 +1,17 @@
+/* Names and texts of errors, reasons and states; resource vectors. */
 #include "clb.h"
 
 #include <string.h>
 
+/* struct err_info - how an error is reported to callers */
 struct err_info
 {
   const char *name;
   enum clb_outcome outcome;
-  int http;
+  int http; /* HTTP status of the answer */
 };
 
-/* Indexed by the negated error number. */
+/* Errors as reported to callers, indexed by the negated error number. */
 static const struct err_info err_table[-CLB_ERR_LAST] = {
   [-CLB_OK] = { "ok", CLB_RAN, 200 },
   [-CLB_EPARSE] = { "parse-error", CLB_NOT_RUN, 400 },
@@ -20,7 +22,7 @@
   [-CLB_ENOMEM] = { "no-memory", CLB_NOT_RUN, 503 },
   [-CLB_ECONFLICT] = { "conflict", CLB_NOT_RUN, 409 },
   [-CLB_EUNAVAIL] = { "platform-unavailable", CLB_NOT_RUN, 503 },
-  [-CLB_EUNKNOWN] = { "outcome-unknown", CLB_UNKNOWN, 504 },
+  [-CLB_EOUTCOME] = { "outcome-unknown", CLB_MAY_HAVE_RUN, 504 },
   [-CLB_EKEY] = { "key-refused", CLB_NOT_RUN, 401 },
   [-CLB_EDENIED] = { "not-permitted", CLB_NOT_RUN, 403 },
   [-CLB_ESTALE] = { "configuration-not-fresh", CLB_NOT_RUN, 503 },
@@ -31,56 +33,70 @@
   [-CLB_ENOFIT] = { "never-fits", CLB_NOT_RUN, 422 },
   [-CLB_ESTOPPING] = { "instance-stopping", CLB_NOT_RUN, 503 },
   [-CLB_ETOOBIG] = { "too-large", CLB_NOT_RUN, 413 },
-  [-CLB_EDONE] = { "already-recorded", CLB_RAN, 409 },
+  [-CLB_ERECORDED] = { "already-recorded", CLB_RAN, 409 },
   [-CLB_ELEASE] = { "lease-lapsed", CLB_NOT_RUN, 503 },
   [-CLB_ECANCELLED] = { "cancelled", CLB_NOT_RUN, 409 },
   [-CLB_EREACH] = { "backend-unreachable", CLB_NOT_RUN, 503 },
 };
 
+/* struct reason_info - how the reason of a decision is reported */
 struct reason_info
 {
-  const char *name;
-  const char *text;
+  const char *name; /* stable code */
+  const char *text; /* explanation for people */
 };
 
 static const struct reason_info reason_table[WHY_N] = {
   [WHY_NONE] = { "none", "no reason recorded" },
   [WHY_ACCEPTED] = { "accepted", "recorded in the domain's journal" },
-  [WHY_DUPLICATE] = { "duplicate", "a request with this id was found" },
-  [WHY_BEST_FIT] = { "best-fit", "placed where least room is left over" },
-  [WHY_SPREAD] = { "spread", "placed away from its other members" },
-  [WHY_NO_ROOM] = { "no-room", "no worker has room now" },
+  [WHY_DUPLICATE] = { "duplicate", "a request with this id exists" },
+  [WHY_BEST_FIT]
+  = { "best-fit", "placed on the worker with the least capacity left over" },
+  [WHY_SPREAD] = { "spread", "placed with its members on different racks" },
+  [WHY_NO_ROOM] = { "no-room", "no worker has enough free capacity" },
   [WHY_TEAM_LIMIT] = { "team-limit", "the team is at its upper limit" },
-  [WHY_NO_WORKER_FITS] = { "no-worker-fits", "larger than every worker" },
-  [WHY_STARTED] = { "started", "the worker reports it running" },
+  [WHY_NO_WORKER_FITS]
+  = { "no-worker-fits", "the need exceeds every worker's whole capacity" },
+  [WHY_STARTED] = { "started", "the worker reports that it is running" },
   [WHY_ENDED_OK] = { "ended", "the worker reports success" },
   [WHY_ENDED_FAILED] = { "ended-failed", "the worker reports failure" },
   [WHY_WORKER_REFUSED] = { "worker-refused", "the worker refused the start" },
-  [WHY_WORKER_LOST] = { "worker-lost", "no contact past the task lease" },
+  [WHY_WORKER_LOST]
+  = { "worker-lost",
+      "no contact with the worker until the task's lease expired" },
   [WHY_WORKER_REBOOTED] = { "worker-rebooted", "the worker restarted" },
   [WHY_WORKER_QUARANTINED]
-  = { "worker-quarantined", "too many starts failed there in a row" },
+  = { "worker-quarantined", "too many tasks failed on the worker in a row" },
   [WHY_WORKER_BACK] = { "worker-back", "the worker may be used again" },
   [WHY_START_UNSEEN]
-  = { "start-unseen", "the worker proved that it never had the start" },
+  = { "start-unseen",
+      "the worker confirmed that it never received the start" },
   [WHY_TOO_MANY_FAILURES]
-  = { "too-many-failures", "failed on several workers" },
-  [WHY_CANCELLED] = { "cancelled", "its owner cancelled it" },
-  [WHY_TOOK_OVER] = { "took-over", "took the domain's lease" },
-  [WHY_LEASE_LOST] = { "lease-lost", "another instance took the lease" },
-  [WHY_HANDED_OVER] = { "handed-over", "gave the lease back" },
+  = { "too-many-failures", "too many attempts failed" },
+  [WHY_CANCELLED] = { "cancelled", "cancelled by its owner" },
+  [WHY_LEASE_ACQUIRED]
+  = { "took-over", "this instance acquired the domain's lease" },
+  [WHY_LEASE_LOST]
+  = { "lease-lost", "another instance acquired the domain's lease" },
+  [WHY_LEASE_RELEASED]
+  = { "handed-over", "this instance released the domain's lease" },
   [WHY_STORE_DOWN] = { "store-down", "the table service does not answer" },
   [WHY_STORE_BACK] = { "store-back", "the table service answers again" },
-  [WHY_EXTENDED] = { "extended", "went on under its peers' promises" },
+  [WHY_LEASE_EXTENDED]
+  = { "extended", "the peers' promises extend the domain's lease" },
   [WHY_CONFIG] = { "config", "a newer configuration is in force" },
-  [WHY_GRANT_RAISED] = { "grant-raised", "the domain took more of a limit" },
-  [WHY_GRANT_LOWERED] = { "grant-lowered", "the domain gave up unused limit" },
+  [WHY_GRANT_RAISED]
+  = { "grant-raised", "the domain's part of the team's limit was raised" },
+  [WHY_GRANT_LOWERED]
+  = { "grant-lowered", "the domain's part of the team's limit was lowered" },
   [WHY_DEADLINE] = { "deadline", "its deadline passed before it started" },
-  [WHY_ENTRY_LOST] = { "entry-lost", "the entry instance serving it is gone" },
+  [WHY_ENTRY_LOST]
+  = { "entry-lost", "the entry instance of the request is gone" },
   [WHY_GANG_MEMBER_FAILED]
   = { "member-failed", "another member of the gang failed" },
-  [WHY_PREEMPTED] = { "gave-way", "stopped to make room for urgent work" },
-  [WHY_PREEMPTING] = { "makes-room", "the cheapest others are being stopped" },
+  [WHY_PREEMPTED] = { "gave-way", "preempted by urgent work" },
+  [WHY_PREEMPTING]
+  = { "makes-room", "tasks of lower classes are being preempted for it" },
 };
 
 const char *const task_state_names[TASK_STATE_N + 1]
@@ -93,7 +109,7 @@
 err_lookup (int err)
 {
   if (err > 0 || err <= CLB_ERR_LAST)
-    err = CLB_EUNKNOWN;
+    err = CLB_EOUTCOME;
   return &err_table[-err];
 }
 
@@ -124,7 +140,7 @@
       return "not-run";
     case CLB_RAN:
       return "ran";
-    case CLB_UNKNOWN:
+    case CLB_MAY_HAVE_RUN:
       break;
     }
   return "unknown";
@@ -194,19 +210,20 @@
 }
 
 void
-clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t times)
+clb_res_add (struct clb_res *to, const struct clb_res *r, int64_t factor)
 {
-  to->cores += times * r->cores;
-  to->mem_mb += times * r->mem_mb;
-  to->accels += times * r->accels;
-  to->slots += times * r->slots;
+  to->cores += factor * r->cores;
+  to->mem_mb += factor * r->mem_mb;
+  to->accels += factor * r->accels;
+  to->slots += factor * r->slots;
 }
 
 bool
-clb_res_fits (const struct clb_res *need, const struct clb_res *room)
+clb_res_fits (const struct clb_res *need, const struct clb_res *available)
 {
-  return need->cores <= room->cores && need->mem_mb <= room->mem_mb
-         && need->accels <= room->accels && need->slots <= room->slots;
+  return need->cores <= available->cores && need->mem_mb <= available->mem_mb
+         && need->accels <= available->accels
+         && need->slots <= available->slots;
 }
 
 void
--- a/core/codec.c
+++ b/core/codec.c
@@ -1,3 +1,4 @@
+/* Struct codec: JSON and msgpack by field tables. */
 #include "codec.h"
 
 #include <msgpack.h>
@@ -7,11 +8,13 @@
 
 enum
 {
-  JSON_DEPTH_MAX = 8, /* nesting accepted from a peer */
+  NESTING_MAX = 8, /* deepest nesting of arrays and maps in msgpack */
 };
 
+/* Sets @ce to error @err at field @name of the object at @path, and returns
+   @err. */
 static int
-fail (struct codec_err *ce, int err, const char *path, const char *name)
+set_error (struct codec_err *ce, int err, const char *path, const char *name)
 {
   ce->err = err;
   snprintf (ce->path, sizeof ce->path, "%s%s%s", path, *path ? "." : "", name);
@@ -57,7 +60,7 @@
 }
 
 static int
-read_set (const json_t *v, uint64_t *out)
+read_bits (const json_t *v, uint64_t *out)
 {
   size_t i;
   json_t *item;
@@ -99,26 +102,28 @@
   return *out ? 0 : CLB_ENOMEM;
 }
 
+/* Reads an array of structs.  The length is raised before each item is read,
+   so that codec_free() frees the items read so far if one fails. */
 static int
 read_vec (const struct fld *f, const json_t *v, enum codec_mode mode,
           char *base, struct codec_err *ce, const char *path)
 {
   if (!json_is_array (v))
-    return fail (ce, CLB_EFIELD, path, f->name);
+    return set_error (ce, CLB_EFIELD, path, f->name);
   size_t n = json_array_size (v);
   if (n > (size_t)f->max)
-    return fail (ce, CLB_ERANGE, path, f->name);
+    return set_error (ce, CLB_ERANGE, path, f->name);
   char *items = calloc (n ? n : 1, f->sub->size);
   if (!items)
-    return fail (ce, CLB_ENOMEM, path, f->name);
+    return set_error (ce, CLB_ENOMEM, path, f->name);
   memcpy (base + f->off, &items, sizeof items);
   for (size_t i = 0; i < n; i++)
     {
       char item_path[sizeof ce->path];
       snprintf (item_path, sizeof item_path, "%.60s%s%s[%zu]", path,
                 *path ? "." : "", f->name, i);
-      size_t done = i + 1;
-      memcpy (base + f->off2, &done, sizeof done);
+      size_t n_read = i + 1;
+      memcpy (base + f->len_off, &n_read, sizeof n_read);
       int err = read_obj (f->sub, json_array_get (v, i), mode,
                           items + i * f->sub->size, ce, item_path);
       if (err)
@@ -142,8 +147,8 @@
     case FLD_F64:
       err = read_f64 (f, v, (double *)(void *)(base + f->off));
       break;
-    case FLD_SET:
-      err = read_set (v, (uint64_t *)(void *)(base + f->off));
+    case FLD_BITS:
+      err = read_bits (v, (uint64_t *)(void *)(base + f->off));
       break;
     case FLD_BOOL:
       if (!json_is_boolean (v))
@@ -166,11 +171,12 @@
     case FLD_VEC:
       return read_vec (f, v, mode, base, ce, path);
     }
-  return err ? fail (ce, err, path, f->name) : 0;
+  return err ? set_error (ce, err, path, f->name) : 0;
 }
 
+/* Returns whether the struct that @d describes has a field @name. */
 static bool
-known_field (const struct desc *d, const char *name)
+has_field (const struct desc *d, const char *name)
 {
   for (size_t i = 0; i < d->n_fields; i++)
     if (strcmp (d->fields[i].name, name) == 0)
@@ -186,16 +192,16 @@
   json_t *value;
 
   if (!json_is_object (json))
-    return fail (ce, CLB_EFIELD, path, "(object expected)");
+    return set_error (ce, CLB_EFIELD, path, "(object expected)");
   json_object_foreach ((json_t *)json, key, value)
-    if (mode == CODEC_STRICT && !known_field (d, key))
-      return fail (ce, CLB_EFIELD, path, key);
+    if (mode == CODEC_STRICT && !has_field (d, key))
+      return set_error (ce, CLB_EFIELD, path, key);
   for (size_t i = 0; i < d->n_fields; i++)
     {
       const struct fld *f = &d->fields[i];
       const json_t *v = json_object_get (json, f->name);
       if (!v && f->required)
-        return fail (ce, CLB_EFIELD, path, f->name);
+        return set_error (ce, CLB_EFIELD, path, f->name);
       if (!v)
         continue;
       int err = read_fld (f, v, mode, out, ce, path);
@@ -244,7 +250,7 @@
   size_t n;
 
   memcpy (&items, base + f->off, sizeof items);
-  memcpy (&n, base + f->off2, sizeof n);
+  memcpy (&n, base + f->len_off, sizeof n);
   if (n == 0)
     return NULL;
   json_t *array = json_array ();
@@ -255,26 +261,26 @@
 }
 
 static json_t *
-write_set (uint64_t set)
+write_bits (uint64_t bits)
 {
   json_t *array = json_array ();
 
   for (int i = 0; i < 64; i++)
-    if (set >> i & 1)
+    if (bits >> i & 1)
       json_array_append_new (array, json_integer (i));
   return array;
 }
 
-/* NULL where the field holds its zero value. */
+/* Returns the JSON value of a field; NULL if the field is to be left out. */
 static json_t *
 write_fld (const struct fld *f, const char *base)
 {
   const char *p = base + f->off;
   const char *text;
   double real;
-  uint64_t set;
+  uint64_t bits;
   int64_t n;
-  int e;
+  int enumerator;
 
   switch (f->kind)
     {
@@ -284,9 +290,9 @@
     case FLD_F64:
       memcpy (&real, p, sizeof real);
       return real != 0 ? json_real (real) : NULL;
-    case FLD_SET:
-      memcpy (&set, p, sizeof set);
-      return set ? write_set (set) : NULL;
+    case FLD_BITS:
+      memcpy (&bits, p, sizeof bits);
+      return bits ? write_bits (bits) : NULL;
     case FLD_BOOL:
       return *(const bool *)p ? json_true () : NULL;
     case FLD_STR:
@@ -295,8 +301,8 @@
       memcpy (&text, p, sizeof text);
       return text ? json_string (text) : NULL;
     case FLD_ENUM:
-      memcpy (&e, p, sizeof e);
-      return json_string (f->names[e]);
+      memcpy (&enumerator, p, sizeof enumerator);
+      return json_string (f->names[enumerator]);
     case FLD_OBJ:
       return codec_write (f->sub, p);
     case FLD_VEC:
@@ -345,7 +351,7 @@
       memcpy (&owned, base + f->off, sizeof owned);
       if (f->kind == FLD_VEC)
         {
-          memcpy (&n, base + f->off2, sizeof n);
+          memcpy (&n, base + f->len_off, sizeof n);
           for (size_t j = 0; j < n; j++)
             codec_free (f->sub, owned + j * f->sub->size);
         }
@@ -398,12 +404,14 @@
     }
 }
 
+/* Converts a msgpack object to JSON.  Returns NULL if it is not valid or
+   nested too deeply. */
 static json_t *
 unpack_json (const msgpack_object *o, int depth)
 {
   json_t *v = NULL;
 
-  if (depth > JSON_DEPTH_MAX)
+  if (depth > NESTING_MAX)
     return NULL;
   switch (o->type)
     {
@@ -464,9 +472,9 @@
   return *buf ? 0 : CLB_ENOMEM;
 }
 
-/* Big-endian number of @n bytes. */
+/* Reads a big-endian number of @n bytes at @p. */
 static uint64_t
-read_count (const unsigned char *p, size_t n)
+read_big_endian (const unsigned char *p, size_t n)
 {
   uint64_t v = 0;
 
@@ -475,62 +483,73 @@
   return v;
 }
 
-/* struct token - one msgpack head: what follows it */
-struct token
+/* struct msgpack_token - one msgpack token: a header and the payload after it
+ * (the items of an array or map are tokens of their own) */
+struct msgpack_token
 {
-  size_t head;    /* bytes of the head itself */
-  uint64_t bytes; /* of a string or number behind it */
-  uint64_t items; /* objects inside an array or map */
+  /* Size of the header in bytes: the type byte, and the length field if the
+     type has one. */
+  size_t header_bytes;
+  /* Size in bytes of the string or number after the header; 0 if none. */
+  uint64_t payload_bytes;
+  /* Of an array or map: number of objects that follow, two for each pair of a
+     map.  Of other types 0. */
+  uint64_t n_objects;
 };
 
+/* Reads the token at @p.  Returns false if it is not valid or announces more
+   than the @left bytes at @p can hold. */
 static bool
-read_token (const unsigned char *p, size_t left, struct token *t)
+read_token (const unsigned char *p, size_t left, struct msgpack_token *t)
 {
-  static const unsigned char number[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
-  unsigned char c = *p;
-
-  *t = (struct token){ .head = 1 };
-  if (c >= 0xca && c <= 0xd3)
-    t->bytes = number[c - 0xca];
-  else if ((c & 0xf0) == 0x80)
-    t->items = 2u * (c & 0x0f);
-  else if ((c & 0xf0) == 0x90)
-    t->items = c & 0x0f;
-  else if ((c & 0xe0) == 0xa0)
-    t->bytes = c & 0x1f;
-  else if (c >= 0xd9 && c <= 0xdf)
+  /* Sizes in bytes of the number types 0xca to 0xd3. */
+  static const unsigned char number_bytes[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
+  unsigned char type = *p;
+
+  *t = (struct msgpack_token){ .header_bytes = 1 };
+  if (type >= 0xca && type <= 0xd3)
+    t->payload_bytes = number_bytes[type - 0xca];
+  else if ((type & 0xf0) == 0x80)
+    t->n_objects = 2u * (type & 0x0f);
+  else if ((type & 0xf0) == 0x90)
+    t->n_objects = type & 0x0f;
+  else if ((type & 0xe0) == 0xa0)
+    t->payload_bytes = type & 0x1f;
+  else if (type >= 0xd9 && type <= 0xdf)
     {
-      size_t n = c <= 0xdb ? (size_t)1 << (c - 0xd9)
-                           : (size_t)2 << ((c - 0xdc) & 1);
+      size_t n = type <= 0xdb ? (size_t)1 << (type - 0xd9)
+                              : (size_t)2 << ((type - 0xdc) & 1);
       if (left <= n)
         return false;
-      t->head += n;
-      uint64_t count = read_count (p + 1, n);
-      t->bytes = c <= 0xdb ? count : 0;
-      t->items = c <= 0xdb ? 0 : c <= 0xdd ? count : 2 * count;
+      t->header_bytes += n;
+      uint64_t count = read_big_endian (p + 1, n);
+      t->payload_bytes = type <= 0xdb ? count : 0;
+      t->n_objects = type <= 0xdb ? 0 : type <= 0xdd ? count : 2 * count;
     }
-  else if (c >= 0xc1 && c <= 0xd8 && c != 0xc2 && c != 0xc3)
-    return false; /* kinds that no message of ours has */
-  return t->head + t->bytes <= left && t->items <= left;
+  else if (type >= 0xc1 && type <= 0xd8 && type != 0xc2 && type != 0xc3)
+    return false; /* msgpack types that no message contains */
+  return t->header_bytes + t->payload_bytes <= left && t->n_objects <= left;
 }
 
-/* The library makes room for as many items as a head claims, before it looks
-   whether they are there. */
+/* Returns whether the @len bytes at @buf hold one complete object.  The
+   msgpack library allocates as many items as a token announces before it
+   checks that they are there, so damaged bytes could make it allocate without
+   limit. */
 static bool
-claims_hold (const char *buf, size_t len)
+is_complete (const char *buf, size_t len)
 {
   const unsigned char *p = (const unsigned char *)buf;
-  uint64_t open = 1;
-  struct token t;
+  uint64_t expected = 1; /* number of objects that must still follow */
+  struct msgpack_token t;
 
-  while (open > 0)
+  while (expected > 0)
     {
       if (len == 0 || !read_token (p, len, &t))
         return false;
-      p += t.head + t.bytes;
-      len -= t.head + t.bytes;
-      open += t.items - 1;
-      if (open > len)
+      p += t.header_bytes + t.payload_bytes;
+      len -= t.header_bytes + t.payload_bytes;
+      expected += t.n_objects - 1;
+      if (expected > len)
         return false;
     }
   return true;
@@ -545,12 +564,12 @@
 
   memset (out, 0, d->size);
   msgpack_unpacked_init (&up);
-  if (claims_hold (buf, len)
+  if (is_complete (buf, len)
       && msgpack_unpack_next (&up, buf, len, NULL) == MSGPACK_UNPACK_SUCCESS)
     json = unpack_json (&up.data, 0);
   msgpack_unpacked_destroy (&up);
   if (!json)
-    return fail (ce, CLB_EPARSE, "", d->name);
+    return set_error (ce, CLB_EPARSE, "", d->name);
   int err = codec_read (d, json, CODEC_LENIENT, out, ce);
   return err;
 }
--- a/core/entry.c
+++ b/core/entry.c
@@ -1,4 +1,5 @@
-/* Callers' requests: checked here, sent to a domain's holder, answered. */
+/* Handling of callers' requests.  Each request is checked, the lease holder of
+   a domain is called, and the caller is answered from the holder's reply. */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,12 +8,21 @@
 
 enum
 {
-  CALL_RETRY_MS = 1000,    /* a call without a reply is sent again */
-  PENDING_TICK_MS = 20,    /* between looks at the deadlines */
-  ABOUT_WAIT_MS = 5000,    /* for status, cancel and why */
-  RELEASE_WAIT_MS = 60000, /* a holder is told of an end this long */
-  RELEASE_STOP_MS = 10000, /* likewise by an instance that is stopping */
-  LONG_WAIT_MAX_MS = 300000,
+  /* Time after which a call without a reply is sent again. */
+  CALL_RETRY_MS = 1000,
+  /* Period in which deadlines and retries are checked. */
+  PENDING_CHECK_MS = 20,
+  /* Timeout of a status, cancel or why request, in addition to its
+     call::wait_ms. */
+  TASK_CALL_WAIT_MS = 5000,
+  /* Longest time for which the end of a service request is reported to a lease
+     holder that does not confirm it. */
+  RELEASE_REPORT_MS = 60000,
+  /* Longest time after the beginning of a shutdown for which the ends of
+     service requests are reported to the lease holder. */
+  RELEASE_STOPPING_MS = 10000,
+  /* Largest call::wait_ms of a status, cancel or why request. */
+  WAIT_MAX_MS = 300000,
 };
 
 int
@@ -27,41 +37,44 @@
   return a->http_call < b->http_call ? -1 : a->http_call > b->http_call;
 }
 
-RB_GENERATE (pending_tree, pending, by_no, pending_seq_cmp)
-RB_GENERATE (caller_tree, pending, by_call, pending_http_call_cmp)
+RB_GENERATE (pending_tree, pending, by_seq, pending_seq_cmp)
+RB_GENERATE (caller_tree, pending, by_http_call, pending_http_call_cmp)
 
-/* Answers. */
+/* Answers to callers. */
 
 void
-entry_answer (struct node *n, uint64_t call, int status, char *body,
+entry_answer (struct node *n, uint64_t http_call, int status, char *body,
               int64_t retry_ms)
 {
   struct out *o;
 
-  if (!call)
+  if (!http_call)
     {
       free (body);
       return;
     }
   o = out_new (&n->out, OUT_ANSWER);
-  o->u.answer.call = call;
+  o->u.answer.call = http_call;
   o->u.answer.status = status;
   o->u.answer.body = body;
   o->u.answer.retry_ms = retry_ms;
 }
 
 void
-entry_answer_json (struct node *n, uint64_t call, int status, json_t *json,
-                   int64_t retry_ms)
+entry_answer_json (struct node *n, uint64_t http_call, int status,
+                   json_t *json, int64_t retry_ms)
 {
-  entry_answer (n, call, status, json_dumps (json, JSON_COMPACT), retry_ms);
+  entry_answer (n, http_call, status, json_dumps (json, JSON_COMPACT),
+                retry_ms);
   json_decref (json);
 }
 
-/* Every refusal names its outcome, its reason and when to come back. */
+/* The JSON of an error answer gives the error's name and whether the request
+   may have run.  The wrong field, the id and the delay for a retry are
+   optional. */
 void
-entry_answer_err (struct node *n, uint64_t call, int err, const char *field,
-                  const char *id, int64_t retry_ms)
+entry_answer_err (struct node *n, uint64_t http_call, int err,
+                  const char *field, const char *id, int64_t retry_ms)
 {
   json_t *json = json_object ();
 
@@ -75,17 +88,18 @@
     json_object_set_new (json, "id", json_string (id));
   if (retry_ms)
     json_object_set_new (json, "retry_after_ms", json_integer (retry_ms));
-  entry_answer_json (n, call, clb_err_http (err), json, retry_ms);
+  entry_answer_json (n, http_call, clb_err_http (err), json, retry_ms);
 }
 
 void
-entry_refuse (struct node *n, uint64_t call, int err, const char *field)
+entry_refuse (struct node *n, uint64_t http_call, int err, const char *field)
 {
   int64_t retry = clb_err_http (err) == 503 ? RETRY_HINT_MS : 0;
 
-  entry_answer_err (n, call, err, field, NULL, retry);
+  entry_answer_err (n, http_call, err, field, NULL, retry);
 }
 
+/* Returns the body of an answer about a task. */
 static json_t *
 reply_json (const struct reply *r)
 {
@@ -101,21 +115,21 @@
   return json;
 }
 
-/* Requests in hand. */
+/* Pending requests. */
 
 struct pending *
-entry_pending_new (struct node *n, uint64_t caller, int verb)
+entry_pending_new (struct node *n, uint64_t http_call, int verb)
 {
   struct pending *p = calloc (1, sizeof *p);
 
   if (!p)
     abort ();
-  p->http_call = caller;
+  p->http_call = http_call;
   p->call.verb = verb;
   p->call.seq = ++n->last_call_seq;
   p->arrival_ms = n->now_ms;
   RB_INSERT (pending_tree, &n->pending, p);
-  if (caller)
+  if (http_call)
     RB_INSERT (caller_tree, &n->callers, p);
   n->n_pending++;
   return p;
@@ -159,23 +173,24 @@
   return false;
 }
 
+/* Returns the pending request whose call::seq is @seq, or NULL. */
 static struct pending *
-pending_by_no (struct node *n, int64_t no)
+pending_by_seq (struct node *n, int64_t seq)
 {
-  struct pending key = { .call = { .seq = no } };
+  struct pending key = { .call = { .seq = seq } };
 
   return RB_FIND (pending_tree, &n->pending, &key);
 }
 
 struct pending *
-entry_pending_by_http_call (struct node *n, uint64_t caller)
+entry_pending_by_http_call (struct node *n, uint64_t http_call)
 {
-  struct pending key = { .http_call = caller };
+  struct pending key = { .http_call = http_call };
 
-  return caller ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
+  return http_call ? RB_FIND (caller_tree, &n->callers, &key) : NULL;
 }
 
-/* Sends the call to the domain's holder, if one is known. */
+/* A call that was sent before is counted as a retry. */
 void
 entry_pending_send (struct node *n, struct pending *p)
 {
@@ -200,21 +215,23 @@
   entry_pending_free (n, p);
 }
 
-/* The holder must hear how it ended even when the caller has its answer. */
+/* The lease holder must be notified how the request ended, so that it frees
+   the slot, even if the caller already has its answer. */
 void
-entry_pending_release (struct node *n, struct pending *p, int state, bool bad)
+entry_pending_release (struct node *n, struct pending *p, int state,
+                       bool executor_failed)
 {
   entry_pending_detach (n, p);
   p->step = STEP_RELEASING;
   p->holder[0] = '\0';
   p->call.verb = CALL_RELEASE;
   p->call.state = state;
-  p->call.bad_server = bad;
-  p->deadline_ms = n->now_ms + RELEASE_WAIT_MS;
+  p->call.executor_failed = executor_failed;
+  p->deadline_ms = n->now_ms + RELEASE_REPORT_MS;
   entry_pending_send (n, p);
 }
 
-/* Who is asking. */
+/* Authorization of callers. */
 
 int
 node_authorize (struct node *n, int64_t now_ms, const char *bearer,
@@ -250,38 +267,47 @@
   return err;
 }
 
-/* Which domain. */
+/* Selection of the domain to which a new task or service request is sent. */
 
-/* enum domain_fit - how well a domain suits some work */
+/* enum domain_fit - whether a domain has the capacity for a task or service
+ * request; a higher value is preferred */
 enum domain_fit
 {
+  /* No lease holder of the domain is known. */
   FIT_NO_HOLDER,
-  FIT_NEVER, /* larger than what it has */
+  /* The need exceeds the whole capacity of the domain or of every worker. */
+  FIT_NEVER,
+  /* The need exceeds only the free capacity of the domain. */
   FIT_LATER,
+  /* The need is within the free capacity of the domain. */
   FIT_NOW,
 };
 
+/* Returns the enum domain_fit of @domain for @spec, by the capacity in the
+   holder's latest hello. */
 static int
 domain_fit (struct node *n, const char *domain, const struct spec *spec)
 {
   const char *holder = node_holder (n, domain);
-  const struct peer *p = holder ? node_find_peer (n, holder) : NULL;
-  struct pool_sum sum = n->capacity;
+  const struct peer *peer = holder ? node_find_peer (n, holder) : NULL;
+  struct pool_sum capacity = n->capacity;
   struct clb_res need = { 0 };
 
   if (!holder)
     return FIT_NO_HOLDER;
-  if (p)
-    sum = (struct pool_sum){ p->hello.free_capacity, p->hello.total_capacity,
-                             p->hello.largest_worker };
+  if (peer)
+    capacity = (struct pool_sum){ peer->hello.free_capacity,
+                                  peer->hello.total_capacity,
+                                  peer->hello.largest_worker };
   clb_res_add (&need, &spec->need, spec->members);
-  if (!clb_res_fits (&spec->need, &sum.largest_worker)
-      || !clb_res_fits (&need, &sum.total_capacity))
+  if (!clb_res_fits (&spec->need, &capacity.largest_worker)
+      || !clb_res_fits (&need, &capacity.total_capacity))
     return FIT_NEVER;
-  return clb_res_fits (&need, &sum.free_capacity) ? FIT_NOW : FIT_LATER;
+  return clb_res_fits (&need, &capacity.free_capacity) ? FIT_NOW : FIT_LATER;
 }
 
-/* The domain that suits best, this one before others; NULL without any. */
+/* Returns the domain with the best enum domain_fit.  Among domains with the
+   same fit, the domain of this instance is preferred. */
 const char *
 entry_pick_domain (struct node *n, const struct spec *spec)
 {
@@ -299,9 +325,9 @@
   return best_fit == FIT_NO_HOLDER ? NULL : best;
 }
 
-/* Tasks. */
+/* Requests about tasks. */
 
-/* Ids become parts of table keys, so their bytes are few. */
+/* Ids become parts of row keys, so only these characters are valid. */
 bool
 entry_id_ok (const char *id)
 {
@@ -313,6 +339,8 @@
                 == len;
 }
 
+/* Checks a task request of @team, and sets the default of absent members.
+   Returns 0 or enum clb_err; on failure @field names the wrong field. */
 static int
 check_spec (struct node *n, struct spec *spec, const char *team,
             const char **field)
@@ -339,8 +367,9 @@
   return 0;
 }
 
+/* Handles a request to run a task. */
 static void
-submit (struct node *n, const struct request *rq)
+submit_task (struct node *n, const struct request *rq)
 {
   struct spec spec;
   struct codec_err ce;
@@ -394,27 +423,29 @@
 int64_t
 entry_query_number (const char *query, const char *name)
 {
-  const char *at = query ? strstr (query, name) : NULL;
+  const char *found = query ? strstr (query, name) : NULL;
 
-  return at ? strtoll (at + strlen (name), NULL, 10) : 0;
+  return found ? strtoll (found + strlen (name), NULL, 10) : 0;
 }
 
-/* Status, cancel and why: the id begins with the domain's name. */
+/* Handles a status, cancel or why request.  @rest is the rest of the path: the
+   task's id, which begins with its domain's name, and maybe a query string. */
 static void
-about (struct node *n, const struct request *rq, int verb, const char *id)
+call_about_task (struct node *n, const struct request *rq, int verb,
+                 const char *rest)
 {
   struct pending *p;
-  const char *query = strchr (id, '?');
-  const char *dot = strchr (id, '.');
-  size_t len = query ? (size_t)(query - id) : strlen (id);
+  const char *query = strchr (rest, '?');
+  const char *dot = strchr (rest, '.');
+  size_t len = query ? (size_t)(query - rest) : strlen (rest);
   char team[CLB_NAME_MAX] = "";
   int err = 0;
 
   if (rq->bearer)
     err = node_authorize (n, n->now_ms, rq->bearer, team);
   if (!err
-      && (len >= CLB_ID_MAX || !dot || dot >= id + len
-          || dot - id >= CLB_NAME_MAX))
+      && (len >= CLB_ID_MAX || !dot || dot >= rest + len
+          || dot - rest >= CLB_NAME_MAX))
     err = CLB_ENOTFOUND;
   if (err)
     {
@@ -422,23 +453,23 @@
       return;
     }
   p = entry_pending_new (n, rq->http_call, verb);
-  memcpy (p->call.id, id, len);
-  memcpy (p->domain, id, (size_t)(dot - id));
+  memcpy (p->call.id, rest, len);
+  memcpy (p->domain, rest, (size_t)(dot - rest));
   clb_copy (p->call.team, team, sizeof p->call.team);
   p->call.open_only = !rq->bearer;
   p->call.wait_ms = entry_query_number (query, "wait_ms=");
-  if (p->call.wait_ms < 0 || p->call.wait_ms > LONG_WAIT_MAX_MS)
-    p->call.wait_ms = LONG_WAIT_MAX_MS;
-  p->deadline_ms = n->now_ms + ABOUT_WAIT_MS + p->call.wait_ms;
+  if (p->call.wait_ms < 0 || p->call.wait_ms > WAIT_MAX_MS)
+    p->call.wait_ms = WAIT_MAX_MS;
+  p->deadline_ms = n->now_ms + TASK_CALL_WAIT_MS + p->call.wait_ms;
   entry_pending_send (n, p);
   if (!*p->holder)
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
 
 void
-node_caller_gone (struct node *n, int64_t now_ms, uint64_t call)
+node_caller_gone (struct node *n, int64_t now_ms, uint64_t http_call)
 {
-  struct pending *p = entry_pending_by_http_call (n, call);
+  struct pending *p = entry_pending_by_http_call (n, http_call);
 
   n->now_ms = now_ms;
   if (!p || p->step == STEP_FORWARDED)
@@ -446,15 +477,16 @@
   if (p->call.verb == CALL_ACQUIRE)
     entry_pending_release (n, p, TASK_CANCELLED, false);
   else if (p->step != STEP_AWAIT_REPLY)
-    entry_pending_detach (n, p); /* an apply goes on */
+    entry_pending_detach (n, p); /* the write of the manifest continues */
   else
     entry_pending_free (n, p);
 }
 
-/* Replies from holders. */
+/* Replies from lease holders. */
 
+/* Handles the reply to a CALL_ACQUIRE: a granted slot or an error. */
 static void
-reply_acquire (struct node *n, struct pending *p, const struct reply *r)
+handle_acquire_reply (struct node *n, struct pending *p, const struct reply *r)
 {
   if (p->step != STEP_AWAIT_REPLY)
     return;
@@ -468,8 +500,9 @@
     }
 }
 
+/* Answers a caller's request about a task from a reply without an error. */
 static void
-reply_task (struct node *n, struct pending *p, const struct reply *r)
+handle_task_reply (struct node *n, struct pending *p, const struct reply *r)
 {
   json_t *json = reply_json (r);
   int status = p->call.verb == CALL_SUBMIT ? 202 : 200;
@@ -481,9 +514,10 @@
   entry_pending_free (n, p);
 }
 
-/* A slot for a request that nobody waits for goes straight back. */
+/* Handles a reply whose request is not pending any more.  If the reply grants
+   a slot, releases the slot at once. */
 static void
-reply_late (struct node *n, const struct reply *r)
+handle_late_reply (struct node *n, const struct reply *r)
 {
   struct pending *p;
   const char *dot = strchr (r->id, '.');
@@ -500,14 +534,15 @@
 void
 entry_reply (struct node *n, const struct reply *r)
 {
-  struct pending *p = pending_by_no (n, r->call_seq);
+  struct pending *p = pending_by_seq (n, r->call_seq);
 
   if (!p)
     {
-      reply_late (n, r);
+      handle_late_reply (n, r);
       return;
     }
-  /* The holder is going or coming: ask the next one until the deadline. */
+  /* The instance that was called is not the lease holder any more, or not yet.
+     pending_tick() sends the call again until the request's deadline. */
   if (r->err == CLB_ENOHOLDER)
     return;
   if (p->call.verb == CALL_RELEASE)
@@ -517,15 +552,17 @@
       return;
     }
   if (p->call.verb == CALL_ACQUIRE)
-    reply_acquire (n, p, r);
+    handle_acquire_reply (n, p, r);
   else if (r->err)
     entry_finish_err (n, p, (int)r->err, r->retry_ms);
   else
-    reply_task (n, p, r);
+    handle_task_reply (n, p, r);
 }
 
+/* Answers a request for this instance's status, for which the caller needs a
+   valid key of any kind. */
 static void
-show_status (struct node *n, const struct request *rq)
+answer_status (struct node *n, const struct request *rq)
 {
   char team[CLB_NAME_MAX];
   int err = node_authorize (n, n->now_ms, rq->bearer, team);
@@ -536,39 +573,41 @@
     entry_answer (n, rq->http_call, 200, view_status (n), 0);
 }
 
-/* The part of @path behind @prefix, or NULL. */
+/* Returns the part of @path after @prefix; NULL if @path does not start with
+   @prefix. */
 static const char *
-behind (const char *path, const char *prefix)
+path_after (const char *path, const char *prefix)
 {
   size_t len = strlen (prefix);
 
   return strncmp (path, prefix, len) == 0 ? path + len : NULL;
 }
 
+/* Passes a request to the function that handles its path and method. */
 static void
-route (struct node *n, const struct request *rq)
+route_request (struct node *n, const struct request *rq)
 {
   const char *rest;
   bool get = rq->method == METHOD_GET;
 
   if (strcmp (rq->path, "/v1/tasks") == 0 && rq->method == METHOD_POST)
-    submit (n, rq);
-  else if ((rest = behind (rq->path, "/v1/tasks/")) && get)
-    about (n, rq, CALL_STATUS, rest);
+    submit_task (n, rq);
+  else if ((rest = path_after (rq->path, "/v1/tasks/")) && get)
+    call_about_task (n, rq, CALL_STATUS, rest);
   else if (rest && rq->method == METHOD_DELETE)
-    about (n, rq, CALL_CANCEL, rest);
-  else if ((rest = behind (rq->path, "/v1/why/")) && get)
-    about (n, rq, CALL_WHY, rest);
-  else if ((rest = behind (rq->path, "/v1/service/"))
+    call_about_task (n, rq, CALL_CANCEL, rest);
+  else if ((rest = path_after (rq->path, "/v1/why/")) && get)
+    call_about_task (n, rq, CALL_WHY, rest);
+  else if ((rest = path_after (rq->path, "/v1/service/"))
            && rq->method == METHOD_POST)
     service_request (n, rq, rest);
-  else if ((rest = behind (rq->path, "/v1/config"))
+  else if ((rest = path_after (rq->path, "/v1/config"))
            && rq->method == METHOD_PUT)
     apply_request (n, rq, rest);
   else if (rest && get)
     apply_show (n, rq);
   else if (strcmp (rq->path, "/v1/status") == 0 && get)
-    show_status (n, rq);
+    answer_status (n, rq);
   else if (strcmp (rq->path, "/metrics") == 0 && get)
     entry_answer (n, rq->http_call, 200, view_metrics (n), 0);
   else
@@ -585,18 +624,20 @@
   else if (n->n_pending >= PENDING_MAX)
     entry_refuse (n, rq->http_call, CLB_EFULL, NULL);
   else
-    route (n, rq);
+    route_request (n, rq);
 }
 
-/* Deadlines and retries. */
+/* Deadlines and retries of pending requests. */
 
+/* Ends a pending request whose deadline has passed. */
 static void
-give_up (struct node *n, struct pending *p)
+expire_pending (struct node *n, struct pending *p)
 {
   switch (p->step)
     {
     case STEP_FORWARDED:
-      return; /* the shell cuts it off and says so */
+      /* The HTTP client aborts the request; node_forward_done() follows. */
+      return;
     case STEP_RELEASING:
       entry_pending_free (n, p);
       return;
@@ -606,33 +647,34 @@
     case STEP_AWAIT_REPLY:
       break;
     default:
-      entry_finish_err (n, p, CLB_EUNKNOWN, 0);
+      entry_finish_err (n, p, CLB_EOUTCOME, 0);
       return;
     }
   if (p->call.verb == CALL_ACQUIRE)
     {
-      /* Nothing has left for an executor, and nothing will. */
+      /* The request was not sent to an executor, and will not be. */
       entry_answer_err (n, p->http_call, CLB_ETIMEOUT, NULL, NULL,
                         RETRY_HINT_MS);
       entry_pending_release (n, p, TASK_CANCELLED, false);
     }
   else if (p->call.verb == CALL_SUBMIT || p->call.verb == CALL_CANCEL)
-    entry_finish_err (n, p, CLB_EUNKNOWN, RETRY_HINT_MS);
+    entry_finish_err (n, p, CLB_EOUTCOME, RETRY_HINT_MS);
   else
     entry_finish_err (n, p, CLB_ENOHOLDER, RETRY_HINT_MS);
 }
 
+/* Checks whether the deadline or a retry of one pending request is due. */
 static void
 pending_tick (struct node *n, struct pending *p)
 {
   const char *holder;
 
   if (n->stopping && p->step == STEP_RELEASING
-      && p->deadline_ms > n->stopping_ms + RELEASE_STOP_MS)
-    p->deadline_ms = n->stopping_ms + RELEASE_STOP_MS;
+      && p->deadline_ms > n->stop_requested_ms + RELEASE_STOPPING_MS)
+    p->deadline_ms = n->stop_requested_ms + RELEASE_STOPPING_MS;
   if (n->now_ms >= p->deadline_ms)
     {
-      give_up (n, p);
+      expire_pending (n, p);
       return;
     }
   if (p->step >= STEP_APPLY_OBJECT)
@@ -657,7 +699,7 @@
 
   if (n->now_ms < n->next_pending_ms)
     return;
-  n->next_pending_ms = n->now_ms + PENDING_TICK_MS;
+  n->next_pending_ms = n->now_ms + PENDING_CHECK_MS;
   RB_FOREACH_SAFE (p, pending_tree, &n->pending, next)
     pending_tick (n, p);
 }
--- a/core/journal.c
+++ b/core/journal.c
@@ -354,7 +354,7 @@
 {
   struct journal *j = &s->journal;
   struct task *t = sched_task (s, id);
-  int err = t && t->lane == LANE_SERVICE ? CLB_EDONE : 0;
+  int err = t && t->lane == LANE_SERVICE ? CLB_ERECORDED : 0;
   struct waiter *waiter;
 
   /* Replies to repeated calls for the request may be in the open group too. */
@@ -364,7 +364,7 @@
     return;
   while ((waiter = TAILQ_FIRST (&t->waiters)))
     {
-      struct reply r = { .call_seq = waiter->call_seq, .err = CLB_EDONE };
+      struct reply r = { .call_seq = waiter->call_seq, .err = CLB_ERECORDED };
       clb_copy (r.id, first_id, sizeof r.id);
       sched_reply (s, waiter->entry, &r);
       TAILQ_REMOVE (&t->waiters, waiter, link);
--- a/core/msg.c
+++ b/core/msg.c
@@ -1,3 +1,4 @@
+/* Codec tables of the message types, and the queue of outputs. */
 #include "msg.h"
 #include "mesh.h"
 #include "order.h"
@@ -9,26 +10,33 @@
 
 enum
 {
-  BIG = INT32_MAX,                     /* counts that only memory bounds */
-  MEMBERS_MAX = 1024,                  /* of one gang */
-  DURATION_MS_MAX = 20 * 86400 * 1000, /* 20 days */
-  ROW_TEXT_MAX = 16 << 20,             /* bytes of one row or object */
+  /* Limit of numbers and array lengths that have no limit of their own. */
+  NUMBER_MAX = INT32_MAX,
+  /* Largest number of members of a gang. */
+  MEMBERS_MAX = 1024,
+  /* Longest duration: 20 days. */
+  DURATION_MS_MAX = 20 * 86400 * 1000,
+  /* Largest text of a row or object, in bytes. */
+  ROW_TEXT_MAX = 16 << 20,
+  /* Largest text of decisions in a reply, in bytes. */
   WHY_TEXT_MAX = 1 << 20,
 };
 
-static const char *const rec_names[]
+/* Names of enumerators in JSON and msgpack, each array in the order of its
+   enum. */
+static const char *const rec_kind_names[]
     = { "accept", "intent", "retry", "cancel", "end", "forget", NULL };
-static const char *const run_names[]
+static const char *const run_state_names[]
     = { "running", "ok", "failed", "stopped", "never", "refused", NULL };
-static const char *const inst_names[]
+static const char *const inst_kind_names[]
     = { "entry", "worker", "executor", NULL };
-static const char *const lane_names[] = { "task", "service", NULL };
-static const char *const verb_names[]
+static const char *const queue_lane_names[] = { "task", "service", NULL };
+static const char *const call_verb_names[]
     = { "submit", "status", "cancel", "why", "acquire", "release", NULL };
-static const char *const store_names[] = { "txn",     "get",     "list",
-                                           "obj-put", "obj-get", "instances",
-                                           "feed",    NULL };
-static const char *const pmsg_names[]
+static const char *const store_kind_names[] = {
+  "txn", "get", "list", "obj-put", "obj-get", "instances", "feed", NULL
+};
+static const char *const pmsg_kind_names[]
     = { "hello",   "call",     "reply", "handover", "promise-ask",
         "promise", "held-ask", "held",  NULL };
 
@@ -52,16 +60,16 @@
 static DESC (place_desc, struct place, place_fields);
 
 static const struct fld rec_fields[] = {
-  FLD_NAMED (struct rec, kind, rec_names),
+  FLD_NAMED (struct rec, kind, rec_kind_names),
   FLD_CHARS (struct rec, id, true),
   FLD_CHARS (struct rec, team, false),
   FLD_STRUCT (struct rec, spec, &spec_desc),
   FLD_NAMED (struct rec, class, task_class_names),
-  FLD_NAMED (struct rec, lane, lane_names),
+  FLD_NAMED (struct rec, lane, queue_lane_names),
   FLD_FLAG (struct rec, idempotent),
   FLD_ARRAY (struct rec, places, n_places, &place_desc, MEMBERS_MAX),
-  FLD_INT (struct rec, attempt, 0, BIG),
-  FLD_INT (struct rec, failures, 0, BIG),
+  FLD_INT (struct rec, attempt, 0, NUMBER_MAX),
+  FLD_INT (struct rec, failures, 0, NUMBER_MAX),
   FLD_NAMED (struct rec, state, task_state_names),
   FLD_INT (struct rec, reason, 0, WHY_N - 1),
 };
@@ -69,7 +77,7 @@
 
 static const struct fld journal_row_fields[] = {
   FLD_CHARS (struct journal_row, nonce, false),
-  FLD_ARRAY (struct journal_row, recs, n_recs, &rec_desc, BIG),
+  FLD_ARRAY (struct journal_row, recs, n_recs, &rec_desc, NUMBER_MAX),
 };
 DESC (journal_row_desc, struct journal_row, journal_row_fields);
 
@@ -105,17 +113,17 @@
 };
 static DESC (want_desc, struct want, want_fields);
 static const struct fld want_row_fields[] = {
-  FLD_ARRAY (struct want_row, teams, n_teams, &want_desc, BIG),
+  FLD_ARRAY (struct want_row, teams, n_teams, &want_desc, NUMBER_MAX),
 };
 DESC (want_row_desc, struct want_row, want_row_fields);
 
-static const struct fld start_fields[] = {
+static const struct fld start_cmd_fields[] = {
   FLD_CHARS (struct start_cmd, id, true),
   FLD_CHARS (struct start_cmd, name, false),
   FLD_STRUCT (struct start_cmd, need, &res_desc),
   FLD_INT (struct start_cmd, duration_ms, 0, DURATION_MS_MAX),
 };
-static DESC (start_desc, struct start_cmd, start_fields);
+static DESC (start_cmd_desc, struct start_cmd, start_cmd_fields);
 static const struct fld run_id_fields[] = {
   FLD_CHARS (struct run_id, id, true),
 };
@@ -125,30 +133,30 @@
   FLD_CHARS (struct sync_req, holder, true),
   FLD_INT (struct sync_req, epoch, 0, INT64_MAX),
   FLD_INT (struct sync_req, seq, 0, INT64_MAX),
-  FLD_INT (struct sync_req, lease_ms, 0, BIG),
-  FLD_ARRAY (struct sync_req, starts, n_starts, &start_desc, BIG),
-  FLD_ARRAY (struct sync_req, stops, n_stops, &run_id_desc, BIG),
-  FLD_ARRAY (struct sync_req, acks, n_acks, &run_id_desc, BIG),
+  FLD_INT (struct sync_req, lease_ms, 0, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, starts, n_starts, &start_cmd_desc, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, stops, n_stops, &run_id_desc, NUMBER_MAX),
+  FLD_ARRAY (struct sync_req, acks, n_acks, &run_id_desc, NUMBER_MAX),
 };
 DESC (sync_req_desc, struct sync_req, sync_req_fields);
 
 static const struct fld run_fields[] = {
   FLD_CHARS (struct run, id, true),
-  FLD_NAMED (struct run, state, run_names),
+  FLD_NAMED (struct run, state, run_state_names),
   FLD_STRUCT (struct run, used, &res_desc),
 };
 static DESC (run_desc, struct run, run_fields);
 static const struct fld sync_rep_fields[] = {
   FLD_INT (struct sync_rep, boot, 0, INT64_MAX),
   FLD_FLAG (struct sync_rep, leaving),
-  FLD_INT (struct sync_rep, busy, 0, BIG),
-  FLD_ARRAY (struct sync_rep, runs, n_runs, &run_desc, BIG),
+  FLD_INT_AS ("busy", struct sync_rep, busy_slots, 0, NUMBER_MAX),
+  FLD_ARRAY (struct sync_rep, runs, n_runs, &run_desc, NUMBER_MAX),
 };
 DESC (sync_rep_desc, struct sync_rep, sync_rep_fields);
 
 static const struct fld inst_fields[] = {
   FLD_CHARS (struct inst, id, true),
-  FLD_NAMED (struct inst, kind, inst_names),
+  FLD_NAMED (struct inst, kind, inst_kind_names),
   FLD_CHARS (struct inst, domain, true),
   FLD_CHARS (struct inst, rack, false),
   FLD_CHARS (struct inst, addr, true),
@@ -157,7 +165,7 @@
 };
 static DESC (inst_desc, struct inst, inst_fields);
 static const struct fld inst_list_fields[] = {
-  FLD_ARRAY (struct inst_list, items, n_items, &inst_desc, BIG),
+  FLD_ARRAY (struct inst_list, items, n_items, &inst_desc, NUMBER_MAX),
 };
 DESC (inst_list_desc, struct inst_list, inst_list_fields);
 
@@ -172,12 +180,12 @@
 };
 static DESC (put_desc, struct put, put_fields);
 static const struct fld store_op_fields[] = {
-  FLD_NAMED (struct store_op, kind, store_names),
+  FLD_NAMED (struct store_op, kind, store_kind_names),
   FLD_STRING (struct store_op, key, 512),
   FLD_STRING (struct store_op, after, 512),
   FLD_STRING (struct store_op, value, ROW_TEXT_MAX),
-  FLD_ARRAY (struct store_op, conds, n_conds, &cond_desc, BIG),
-  FLD_ARRAY (struct store_op, puts, n_puts, &put_desc, BIG),
+  FLD_ARRAY (struct store_op, conds, n_conds, &cond_desc, NUMBER_MAX),
+  FLD_ARRAY (struct store_op, puts, n_puts, &put_desc, NUMBER_MAX),
   FLD_INT (struct store_op, since, 0, INT64_MAX),
   FLD_INT (struct store_op, wait_ms, 0, DURATION_MS_MAX),
 };
@@ -191,7 +199,7 @@
 static DESC (row_desc, struct row, row_fields);
 static const struct fld store_rep_fields[] = {
   FLD_INT (struct store_rep, err, CLB_ERR_LAST, 0),
-  FLD_ARRAY (struct store_rep, rows, n_rows, &row_desc, BIG),
+  FLD_ARRAY (struct store_rep, rows, n_rows, &row_desc, NUMBER_MAX),
   FLD_FLAG (struct store_rep, more),
   FLD_INT (struct store_rep, ver, 0, INT64_MAX),
 };
@@ -199,18 +207,18 @@
 
 static const struct fld call_fields[] = {
   FLD_INT_AS ("no", struct call, seq, 0, INT64_MAX),
-  FLD_NAMED (struct call, verb, verb_names),
+  FLD_NAMED (struct call, verb, call_verb_names),
   FLD_CHARS (struct call, team, false),
   FLD_CHARS (struct call, id, false),
   FLD_STRUCT (struct call, spec, &spec_desc),
   FLD_NAMED (struct call, class, task_class_names),
-  FLD_NAMED (struct call, lane, lane_names),
+  FLD_NAMED (struct call, lane, queue_lane_names),
   FLD_FLAG (struct call, idempotent),
   FLD_FLAG (struct call, open_only),
-  FLD_INT (struct call, max_waiting, 0, BIG),
-  FLD_INT (struct call, wait_ms, 0, BIG),
+  FLD_INT (struct call, max_waiting, 0, NUMBER_MAX),
+  FLD_INT (struct call, wait_ms, 0, NUMBER_MAX),
   FLD_INT_AS ("stamp", struct call, sent_ms, 0, INT64_MAX),
-  FLD_FLAG (struct call, bad_server),
+  FLD_FLAG_AS ("bad_server", struct call, executor_failed),
   FLD_NAMED (struct call, state, task_state_names),
 };
 static DESC (call_desc, struct call, call_fields);
@@ -221,7 +229,7 @@
   FLD_CHARS (struct reply, id, false),
   FLD_NAMED (struct reply, state, task_state_names),
   FLD_INT (struct reply, reason, 0, WHY_N - 1),
-  FLD_INT (struct reply, retry_ms, 0, BIG),
+  FLD_INT (struct reply, retry_ms, 0, NUMBER_MAX),
   FLD_INT_AS ("stamp", struct reply, call_sent_ms, 0, INT64_MAX),
   FLD_CHARS (struct reply, executor, false),
   FLD_CHARS (struct reply, addr, false),
@@ -235,7 +243,7 @@
   FLD_INT (struct hello, conf_version, 0, INT64_MAX),
   FLD_INT (struct hello, conf_age_ms, 0, INT64_MAX),
   FLD_FLAG_AS ("apply_open", struct hello, apply_in_progress),
-  FLD_FLAG (struct hello, holder),
+  FLD_FLAG_AS ("holder", struct hello, is_holder),
   FLD_INT (struct hello, epoch, 0, INT64_MAX),
   FLD_FLAG (struct hello, stopping),
   FLD_FLAG_AS ("known", struct hello, knows_receiver),
@@ -252,20 +260,20 @@
   FLD_CHARS (struct promise, domain, true),
   FLD_INT (struct promise, epoch, 0, INT64_MAX),
   FLD_INT_AS ("no", struct promise, seq, 0, INT64_MAX),
-  FLD_INT_AS ("for_ms", struct promise, duration_ms, 0, BIG),
+  FLD_INT_AS ("for_ms", struct promise, duration_ms, 0, NUMBER_MAX),
   FLD_FLAG_AS ("given", struct promise, granted),
 };
 static DESC (promise_desc, struct promise, promise_fields);
 
-static const struct fld held_fields[] = {
+static const struct fld held_slot_fields[] = {
   FLD_CHARS (struct held_slot, id, true),
   FLD_CHARS (struct held_slot, executor, true),
   FLD_CHARS (struct held_slot, team, true),
-  FLD_INT (struct held_slot, run_ms, 0, BIG),
+  FLD_INT (struct held_slot, run_ms, 0, NUMBER_MAX),
 };
-static DESC (held_desc, struct held_slot, held_fields);
+static DESC (held_slot_desc, struct held_slot, held_slot_fields);
 static const struct fld held_list_fields[] = {
-  FLD_ARRAY (struct held_list, items, n_items, &held_desc, BIG),
+  FLD_ARRAY (struct held_list, items, n_items, &held_slot_desc, NUMBER_MAX),
 };
 static DESC (held_list_desc, struct held_list, held_list_fields);
 
@@ -274,15 +282,16 @@
   FLD_INT_AS ("ms", struct event, time_ms, 0, INT64_MAX),
   FLD_CHARS (struct event, id, false),
   FLD_CHARS (struct event, team, false),
-  FLD_CHARS (struct event, where, false),
+  FLD_CHARS_AS ("where", struct event, instance_id, false),
   FLD_INT (struct event, reason, 0, WHY_N - 1),
   FLD_INT_AS ("looked_at", struct event, detail, 0, INT64_MAX),
 };
 DESC (event_desc, struct event, event_fields);
 
-/* Which description the union of a peer message has. */
+/* Returns the description of the member of pmsg::u that a message of @kind
+   uses. */
 static const struct desc *
-pmsg_body (int kind)
+pmsg_body_desc (int kind)
 {
   switch (kind)
     {
@@ -292,18 +301,20 @@
       return &call_desc;
     case PM_REPLY:
       return &reply_desc;
-    case PM_HELD_QUERY:
-    case PM_HELD:
+    case PM_HELD_SLOTS_QUERY:
+    case PM_HELD_SLOTS:
       return &held_list_desc;
     default:
       return &promise_desc;
     }
 }
 
-/* On the wire a peer message is its head with the packed body inside. */
+/* Fields of a peer message.  The first PMSG_COMMON_FIELDS are the same for all
+   kinds.  The last one, u, is the struct of the message's kind, which
+   body_desc describes; NULL if u is not to be decoded. */
 #define PMSG_FIELDS(body_desc)                                                \
   {                                                                           \
-    FLD_NAMED (struct pmsg, kind, pmsg_names),                                \
+    FLD_NAMED (struct pmsg, kind, pmsg_kind_names),                           \
         FLD_CHARS (struct pmsg, from, true),                                  \
         FLD_INT (struct pmsg, boot, 0, INT64_MAX),                            \
     {                                                                         \
@@ -314,13 +325,13 @@
 
 enum
 {
-  PMSG_HEAD_FIELDS = 3,
+  PMSG_COMMON_FIELDS = 3, /* number of fields before u */
 };
 
 int
 pmsg_pack (const struct pmsg *m, char **buf, size_t *len)
 {
-  const struct fld fields[] = PMSG_FIELDS (pmsg_body (m->kind));
+  const struct fld fields[] = PMSG_FIELDS (pmsg_body_desc (m->kind));
   const struct desc d = { "pmsg", sizeof *m, fields, CLB_COUNT (fields) };
 
   return codec_pack (&d, m, buf, len);
@@ -329,13 +340,16 @@
 int
 pmsg_unpack (const char *buf, size_t len, struct pmsg *m, struct codec_err *ce)
 {
-  const struct fld head[] = PMSG_FIELDS (NULL);
-  const struct desc head_desc = { "pmsg", sizeof *m, head, PMSG_HEAD_FIELDS };
-  int err = codec_unpack (&head_desc, buf, len, m, ce);
+  /* The kind must be known to decode u, so the common fields are decoded
+     first. */
+  const struct fld common[] = PMSG_FIELDS (NULL);
+  const struct desc common_desc
+      = { "pmsg", sizeof *m, common, PMSG_COMMON_FIELDS };
+  int err = codec_unpack (&common_desc, buf, len, m, ce);
 
   if (err)
     return err;
-  const struct fld fields[] = PMSG_FIELDS (pmsg_body (m->kind));
+  const struct fld fields[] = PMSG_FIELDS (pmsg_body_desc (m->kind));
   const struct desc d = { "pmsg", sizeof *m, fields, CLB_COUNT (fields) };
   return codec_unpack (&d, buf, len, m, ce);
 }
@@ -343,7 +357,7 @@
 void
 pmsg_free (struct pmsg *m)
 {
-  codec_free (pmsg_body (m->kind), &m->u);
+  codec_free (pmsg_body_desc (m->kind), &m->u);
 }
 
 struct out *
@@ -388,10 +402,10 @@
     case OUT_ORDER:
       order_free (o->u.order);
       break;
-    case OUT_MESH:
+    case OUT_FLEET_MSG:
       mesh_free (o->u.mesh.msg);
       break;
-    case OUT_LINE:
+    case OUT_LOG_LINE:
       free (o->u.line);
       break;
     default:
@@ -410,7 +424,7 @@
   if (vasprintf (&text, fmt, ap) < 0)
     abort ();
   va_end (ap);
-  out_new (q, OUT_LINE)->u.line = text;
+  out_new (q, OUT_LOG_LINE)->u.line = text;
 }
 
 void
--- a/core/msg.h
+++ b/core/msg.h
@@ -1,6 +1,10 @@
 /**
- * DOC: The typed messages: journal records, worker syncs, peer messages,
- * store operations, and what the core hands to the tasks that own sockets.
+ * DOC: Message types: journal records, table rows, requests to workers,
+ * messages between entry instances, operations of the table service, and the
+ * outputs that the core returns to the code that owns sockets.
+ *
+ * msg.c describes most of these structs in codec tables.  A struct with a
+ * struct desc is stored or sent, so the names in its codec table are fixed.
  */
 #ifndef MSG_H
 #define MSG_H
@@ -10,104 +14,125 @@
 #include "codec.h"
 #include "conf.h"
 
-/** struct spec - one task or gang as its caller describes it */
+/** struct spec - a task, gang or service request as its caller describes it */
 struct spec
 {
-  char request_id[CLB_ID_MAX]; /* chosen by the caller */
+  /* Chosen by the caller; the same id again means the same request. */
+  char request_id[CLB_ID_MAX];
   char queue[CLB_NAME_MAX];
   char name[CLB_NAME_MAX];
-  struct clb_res need; /* of each member */
-  int64_t members;     /* 1 unless a gang; all start or none */
-  bool same_rack;      /* wish: members near each other */
-  bool spread;         /* wish: members on different racks */
-  int64_t duration_ms; /* declared, 0 for a long-lived service */
-  int64_t deadline_ms; /* not started by then: given up; 0 for never */
+  struct clb_res need; /* need of each member */
+  /* Number of members: 1, or more for a gang, whose members start together or
+     not at all. */
+  int64_t members;
+  /* True if the members should be placed near each other, as a preference and
+     not a requirement. */
+  bool same_rack;
+  /* True if the members should be placed on different racks, as a preference
+     and not a requirement. */
+  bool spread;
+  /* Declared run time; 0: a long-lived service. */
+  int64_t duration_ms;
+  /* Time after acceptance at which a task that has not started is ended; 0: no
+     deadline. */
+  int64_t deadline_ms;
 };
 extern const struct desc spec_desc;
 
-/** struct place - one member's worker */
+/** struct place - the worker that is chosen for one member of a task */
 struct place
 {
   char worker[CLB_ID_MAX];
-  int64_t boot; /* of the worker when the intent was recorded */
+  int64_t boot; /* boot of the worker when the intent was recorded */
 };
 
+/** enum rec_kind - kind of a journal record */
 enum rec_kind
 {
-  REC_ACCEPT,
-  REC_INTENT,
-  REC_RETRY, /* back to pending: provably not running */
-  REC_CANCEL,
-  REC_END,
-  REC_FORGET, /* retention over */
+  REC_ACCEPT, /* the request is accepted as a task */
+  REC_INTENT, /* the members' workers are chosen; precedes the starts */
+  REC_RETRY,  /* the task is pending again: no member is running */
+  REC_CANCEL, /* a cancellation was requested */
+  REC_END,    /* the task has ended */
+  REC_FORGET, /* the ended task is no longer retained */
   REC_N
 };
 
-/** struct rec - one step in a domain's journal */
+/** struct rec - one record in a domain's journal, about one task */
 struct rec
 {
-  int kind; /* enum rec_kind */
-  char id[CLB_ID_MAX];
-  char team[CLB_NAME_MAX];
+  int kind;                /* enum rec_kind */
+  char id[CLB_ID_MAX];     /* id of the task */
+  char team[CLB_NAME_MAX]; /* team of the task */
   struct spec spec;
   int class; /* enum task_class */
   int lane;  /* enum queue_lane */
   bool idempotent;
-  struct place *places;
+  struct place *places; /* of REC_INTENT: one for each member */
   size_t n_places;
-  int64_t attempt;
-  int64_t failures;
-  int state;      /* enum task_state, of REC_END */
-  int64_t reason; /* enum clb_reason */
+  int64_t attempt;  /* number of earlier attempts */
+  int64_t failures; /* number of failed attempts */
+  int state;        /* of REC_END: enum task_state */
+  int64_t reason;   /* enum clb_reason */
 };
 extern const struct desc rec_desc;
 
-/** struct journal_row - what one group commit writes */
+/** struct journal_row - records that are written together as one row */
 struct journal_row
 {
-  char nonce[CLB_ID_MAX]; /* tells a retried write from another's */
+  /* Unique to each row, so that a retried write recognizes the row that an
+     earlier try has written. */
+  char nonce[CLB_ID_MAX];
   struct rec *recs;
   size_t n_recs;
 };
 extern const struct desc journal_row_desc;
 
+/** struct lease_row - row with the lease of a domain's scheduler */
 struct lease_row
 {
-  char holder[CLB_ID_MAX]; /* empty: handed back */
-  int64_t boot;            /* of the holder's process */
-  int64_t epoch;
-  int64_t heartbeat; /* raised by each renewal */
+  char holder[CLB_ID_MAX]; /* instance id; empty: the lease is released */
+  int64_t boot;            /* boot of the holder */
+  int64_t epoch;           /* raised by one with each claim */
+  int64_t heartbeat;       /* raised by one with each renewal */
 };
 extern const struct desc lease_row_desc;
 
+/** struct head_row - row with key "head"; names the current configuration */
 struct head_row
 {
-  int64_t version;
+  int64_t version; /* raised by one with each change */
+  /* SHA-256 of the manifest's text in hex; part of its object's name. */
   char hash[CONF_HASH_HEX];
-  char change_id[CLB_ID_MAX];
+  char change_id[CLB_ID_MAX]; /* id of the change, chosen by the operator */
 };
 extern const struct desc head_row_desc;
 
-/** struct grant_row - one team's upper limit split among the domains */
+/** struct grant - one domain's part of a team's upper limit */
 struct grant
 {
   char domain[CLB_NAME_MAX];
   struct clb_res amount;
-  bool wants_more; /* would use more than it has */
+  /* True if waiting work in the domain needs a larger amount. */
+  bool wants_more;
 };
+/** struct grant_row - a team's upper limit, split among the domains */
 struct grant_row
 {
-  int64_t conf_version; /* whose limit the writer went by */
+  /* Version of the configuration in force at the scheduler that wrote the row;
+     the team's upper limit is taken from that configuration. */
+  int64_t conf_version;
   struct grant *grants;
   size_t n_grants;
 };
 extern const struct desc grant_row_desc;
 
-/** struct want_row - the teams that are short of their limit in a domain */
+/** struct want - a team whose grant in a domain is too small */
 struct want
 {
   char team[CLB_NAME_MAX];
 };
+/** struct want_row - teams of one domain that have grant::wants_more set */
 struct want_row
 {
   struct want *teams;
@@ -115,62 +140,71 @@
 };
 extern const struct desc want_row_desc;
 
-/* The worker interface: one sync carries lease, starts, stops and report. */
+/* Worker interface: a sync renews leases, starts and stops tasks, and returns
+   the worker's report. */
 
+/** struct start_cmd - one member that the worker is to run */
 struct start_cmd
 {
-  char id[CLB_ID_MAX]; /* task, attempt and member: never used again */
-  char name[CLB_NAME_MAX];
-  struct clb_res need;
-  int64_t duration_ms;
+  /* Run id, made of task, attempt and member, and never reused. */
+  char id[CLB_ID_MAX];
+  char name[CLB_NAME_MAX]; /* spec::name of the task */
+  struct clb_res need;     /* resources that the member needs */
+  int64_t duration_ms;     /* declared run time; 0: not known */
 };
+/** struct run_id - id of one run of a member on a worker */
 struct run_id
 {
   char id[CLB_ID_MAX];
 };
 
 /**
- * struct sync_req - sent to one worker, at most one outstanding
+ * struct sync_req - request to one worker; at most one is outstanding
  *
- * Assumed of a worker: it runs a task only while the last lease it was given
- * has not run out; it answers a stop by a promise never to start that id; it
- * reports an ended task until it is acknowledged.
+ * A worker must do the following.  It runs a task only until the latest lease
+ * that it got expires.  After a stop it never starts the run with that id, and
+ * its report confirms this.  It reports an ended run until sync_req::acks
+ * acknowledges the end.
  */
 struct sync_req
 {
-  char holder[CLB_ID_MAX];
-  int64_t epoch;
-  int64_t seq;
-  int64_t lease_ms; /* 0 renews nothing */
-  struct start_cmd *starts;
+  char holder[CLB_ID_MAX];  /* the sender, which holds the domain's lease */
+  int64_t epoch;            /* epoch of the domain's lease; a fencing token */
+  int64_t seq;              /* number of the sync with this worker */
+  int64_t lease_ms;         /* new length of the tasks' lease; 0: no renewal */
+  struct start_cmd *starts; /* members to be started */
   size_t n_starts;
-  struct run_id *stops;
+  struct run_id *stops; /* runs to be stopped */
   size_t n_stops;
-  struct run_id *acks;
+  struct run_id *acks; /* runs whose reported ends are recorded */
   size_t n_acks;
 };
 extern const struct desc sync_req_desc;
 
+/** enum run_state - state of a run as reported by its worker */
 enum run_state
 {
   RUN_RUNNING,
   RUN_OK,
   RUN_FAILED,
-  RUN_STOPPED, /* it had started and is stopped now */
-  RUN_NEVER,   /* answer to a stop: never started, never will */
-  RUN_REFUSED, /* answer to a start: not started, never will */
+  RUN_STOPPED, /* the run had started and is stopped now */
+  RUN_NEVER,   /* answer to a stop: the run has not started and never will */
+  RUN_REFUSED, /* answer to a start: the run has not started and never will */
 };
+/** struct run - one run in a worker's report */
 struct run
 {
   char id[CLB_ID_MAX];
-  int state; /* enum run_state */
-  struct clb_res used;
+  int state;           /* enum run_state */
+  struct clb_res used; /* resources that the run uses */
 };
+/** struct sync_rep - a worker's report, the answer to struct sync_req */
 struct sync_rep
 {
-  int64_t boot; /* changes when the worker restarts and forgets */
+  int64_t boot; /* changes when the worker restarts and loses its state */
+  /* True if the worker is shutting down and takes no new runs. */
   bool leaving;
-  int64_t busy; /* executors: slots in use */
+  int64_t busy_slots; /* of an executor: number of its slots in use; else 0 */
   struct run *runs;
   size_t n_runs;
 };
@@ -178,22 +212,25 @@
 
 /* The platform's list of instances. */
 
+/** enum inst_kind - kind of an instance */
 enum inst_kind
 {
   INST_ENTRY,
   INST_WORKER,
   INST_EXECUTOR,
 };
+/** struct inst - an instance in the platform's list */
 struct inst
 {
   char id[CLB_ID_MAX];
   int kind; /* enum inst_kind */
   char domain[CLB_NAME_MAX];
   char rack[CLB_NAME_MAX];
-  char addr[CLB_ADDR_MAX];
-  struct clb_res capacity;
-  bool leaving;
+  char addr[CLB_ADDR_MAX]; /* "ip:port" */
+  struct clb_res capacity; /* whole capacity, in use or not */
+  bool leaving;            /* true if the instance takes no new work */
 };
+/** struct inst_list - the platform's list of all instances */
 struct inst_list
 {
   struct inst *items;
@@ -201,171 +238,211 @@
 };
 extern const struct desc inst_list_desc;
 
-/* The table service. */
+/* Operations of the table service. */
 
+/** struct cond - condition of a transaction: the version of one row */
 struct cond
 {
-  char *key;
-  int64_t ver; /* 0: the row must be absent */
+  char *key;   /* key of the row */
+  int64_t ver; /* version that the row must have; 0: it must be absent */
 };
+/** struct put - one row that a transaction writes */
 struct put
 {
-  char *key;
-  char *value; /* NULL: delete the row */
+  char *key;   /* key of the row */
+  char *value; /* new value of the row; NULL: delete the row */
 };
+/** struct row - one row in a reply of the table service */
 struct row
 {
   char *key;
-  int64_t ver;
-  char *value; /* NULL in a feed: the row was deleted */
+  int64_t ver; /* version of the row */
+  char *value; /* of STORE_FEED: NULL if the row was deleted */
 };
+/** enum store_kind - kind of a store operation */
 enum store_kind
 {
-  STORE_TXN,  /* all conditions hold and all puts are done, or none */
-  STORE_GET,  /* one row */
-  STORE_LIST, /* rows whose key starts with key, after `after` */
-  STORE_OBJ_PUT,
-  STORE_OBJ_GET,
-  STORE_INSTANCES, /* the list, unless it is still of version `after` */
-  STORE_FEED,      /* changes of the table `key` since version `since` */
+  STORE_TXN,     /* write all rows of puts if all conds hold, otherwise none */
+  STORE_GET,     /* read the row with the key store_op::key */
+  STORE_LIST,    /* read the rows whose keys begin with store_op::key */
+  STORE_OBJ_PUT, /* write the object named store_op::key */
+  STORE_OBJ_GET, /* read the object named store_op::key */
+  STORE_INSTANCES, /* read the platform's list of instances */
+  STORE_FEED,      /* read the changes of rows in the table store_op::key */
 };
+/** struct store_op - an operation of the table service */
 struct store_op
 {
   int kind; /* enum store_kind */
+  /* Key of a row, prefix of keys, or name of an object or table; enum
+     store_kind tells which. */
   char *key;
+  /* Of STORE_LIST: only rows with keys after this one are read; NULL: the list
+     begins with the first row.  Of STORE_INSTANCES: decimal version of the
+     list that the caller has, which is not sent again if it is current; NULL:
+     the caller has no list.  Of other kinds: NULL. */
   char *after;
-  char *value;
-  struct cond *conds;
+  char *value;        /* of STORE_OBJ_PUT: the object's text */
+  struct cond *conds; /* of STORE_TXN: conditions for writing the rows */
   size_t n_conds;
-  struct put *puts;
+  struct put *puts; /* of STORE_TXN: rows to be written */
   size_t n_puts;
-  int64_t since;   /* of a feed: the version that was read up to */
-  int64_t wait_ms; /* of a feed: the answer may wait so long for a change */
+  /* Of STORE_FEED: version up to which the caller knows the changes. */
+  int64_t since;
+  int64_t wait_ms; /* of STORE_FEED: longest wait for a change */
 };
 extern const struct desc store_op_desc;
 
 /**
- * struct store_rep - answer to a store operation
- * @err: 0; %CLB_ECONFLICT with the rows that did not match; %CLB_ENOTFOUND,
- *       of a feed: its history is gone, list the table again;
- *       %CLB_EUNAVAIL when it certainly had no effect; %CLB_EUNKNOWN when it
- *       may have had one
+ * struct store_rep - reply to a store operation
+ * @err: 0; %CLB_ECONFLICT with the rows whose conditions failed;
+ *       %CLB_ENOTFOUND, which for STORE_FEED means that the changes since
+ *       store_op::since are no longer kept and the table must be listed again;
+ *       %CLB_EUNAVAIL if the operation certainly had no effect;
+ *       %CLB_EOUTCOME if the operation may have had an effect
  */
 struct store_rep
 {
   int64_t err;
   struct row *rows;
   size_t n_rows;
-  bool more;   /* of a list: ask again after the last key */
-  int64_t ver; /* newest version that the answer takes in; 0: not told */
+  bool more;   /* of STORE_LIST: true if more rows follow after the last key */
+  int64_t ver; /* newest version covered by the reply; 0: not given */
 };
 extern const struct desc store_rep_desc;
 
-/* Peer messages. */
+/* Peer messages, between entry instances. */
 
+/** enum call_verb - what a call tells a domain's scheduler to do */
 enum call_verb
 {
-  CALL_SUBMIT,
-  CALL_STATUS,
-  CALL_CANCEL,
-  CALL_WHY,
-  CALL_ACQUIRE, /* a service request asks for an executor */
-  CALL_RELEASE, /* and says how it ended */
+  CALL_SUBMIT,  /* accept a new task */
+  CALL_STATUS,  /* report the state of a task */
+  CALL_CANCEL,  /* cancel a task */
+  CALL_WHY,     /* report the decisions about a task */
+  CALL_ACQUIRE, /* grant a slot at an executor for a service request */
+  CALL_RELEASE, /* free the slot of a service request that has ended */
   CALL_N
 };
 
+/** struct call - call of an entry instance to a domain's lease holder */
 struct call
 {
-  int64_t seq; /* of the caller's entry instance */
+  int64_t seq; /* number chosen by the entry instance, echoed in the reply */
   int verb;    /* enum call_verb */
-  char team[CLB_NAME_MAX];
-  char id[CLB_ID_MAX];
+  char team[CLB_NAME_MAX]; /* team of the caller; empty: an operator's call */
+  char id[CLB_ID_MAX];     /* id of the task or service request */
   struct spec spec;
-  int class;
-  int lane;
-  bool idempotent;
-  bool open_only; /* no key: only tasks of open queues */
+  int class;       /* enum task_class */
+  int lane;        /* enum queue_lane */
+  bool idempotent; /* true if the work may run more than once */
+  /* True if the caller sent no key, so that the call covers only tasks of open
+     queues. */
+  bool open_only;
+  /* Limit of the number of the team's waiting tasks; 0: no limit. */
   int64_t max_waiting;
-  int64_t wait_ms;
-  int64_t sent_ms; /* entry instance's clock when it sent or repeated this */
-  bool bad_server; /* CALL_RELEASE: the executor failed */
-  int state;       /* CALL_RELEASE: enum task_state */
+  int64_t wait_ms; /* longest wait for a slot, or for the task's end */
+  /* When this copy of the call was sent, on the entry instance's clock. */
+  int64_t sent_ms;
+  bool executor_failed; /* of CALL_RELEASE: true if the executor failed */
+  /* Of CALL_RELEASE: enum task_state with which the service request ended. */
+  int state;
 };
 
+/** struct reply - a lease holder's answer to a call */
 struct reply
 {
-  int64_t call_seq;
-  int64_t err;
-  char id[CLB_ID_MAX];
-  int state;            /* enum task_state */
-  int64_t reason;       /* enum clb_reason */
-  int64_t retry_ms;     /* when to come back */
-  int64_t call_sent_ms; /* of the call that this answers */
-  char executor[CLB_ID_MAX];
-  char addr[CLB_ADDR_MAX];
-  char *text; /* CALL_WHY: history, as JSON */
+  int64_t call_seq;          /* call::seq of the answered call */
+  int64_t err;               /* enum clb_err */
+  char id[CLB_ID_MAX];       /* id of the task or service request */
+  int state;                 /* enum task_state */
+  int64_t reason;            /* enum clb_reason */
+  int64_t retry_ms;          /* delay before a retry; 0: not given */
+  int64_t call_sent_ms;      /* call::sent_ms of the answered call */
+  char executor[CLB_ID_MAX]; /* executor of the granted slot; empty: no slot */
+  char addr[CLB_ADDR_MAX];   /* address of that executor */
+  char *text; /* of CALL_WHY: the task's decisions as JSON; else NULL */
 };
 
+/** struct hello - state that each entry instance sends to all its peers */
 struct hello
 {
   char domain[CLB_NAME_MAX];
-  char addr[CLB_ADDR_MAX];
+  char addr[CLB_ADDR_MAX]; /* sender's address for peer messages */
+  /* Version of the sender's configuration; 0: no manifest was accepted. */
   int64_t conf_version;
-  int64_t conf_age_ms;    /* since its freshness was last proved */
-  bool apply_in_progress; /* it has a change whose outcome it does not know */
-  bool holder;
-  int64_t epoch;
-  bool stopping;
-  bool knows_receiver; /* the sender counts the receiver as a member */
-  int64_t sent_ms;     /* the sender's clock */
-  int64_t echo_ms;     /* the receiver's last stamp that the sender has seen */
+  int64_t conf_age_ms; /* time since conf_version was verified as current */
+  /* True if the sender is writing a new manifest. */
+  bool apply_in_progress;
+  bool is_holder; /* true if the sender schedules its domain */
+  int64_t epoch;  /* of a holder: epoch of its lease; else 0 */
+  bool stopping;  /* true if the sender is shutting down */
+  /* True if the sender counts the receiver as a domain member. */
+  bool knows_receiver;
+  int64_t sent_ms; /* when the hello was sent, on the sender's clock */
+  /* hello::sent_ms of the latest hello that the sender got from the receiver,
+     on the receiver's clock; 0: the sender got none. */
+  int64_t echo_ms;
+  /* Boot of the receiver's process, from the same hello as echo_ms. */
   int64_t echo_boot;
-  struct clb_res free_capacity;  /* a holder's free capacity */
-  struct clb_res total_capacity; /* its whole capacity */
-  struct clb_res largest_worker; /* of any one of its workers */
+  /* Of a holder: free capacity of the domain. */
+  struct clb_res free_capacity;
+  /* Of a holder: whole capacity of the domain. */
+  struct clb_res total_capacity;
+  /* Of a holder: largest amount that any one worker has in each dimension. */
+  struct clb_res largest_worker;
 };
 
-/** struct held_slot - a slot that an entry instance still uses */
+/** struct held_slot - a slot that an entry instance is using */
 struct held_slot
 {
-  char id[CLB_ID_MAX];
-  char executor[CLB_ID_MAX];
-  char team[CLB_NAME_MAX];
-  int64_t run_ms; /* longest that it still runs */
+  char id[CLB_ID_MAX];       /* id of the service request */
+  char executor[CLB_ID_MAX]; /* executor of the slot */
+  char team[CLB_NAME_MAX];   /* team that is charged for the request */
+  int64_t run_ms;            /* longest remaining run time of the request */
 };
+/** struct held_list - the slots that an entry instance is using */
 struct held_list
 {
   struct held_slot *items;
   size_t n_items;
 };
 
+/**
+ * struct promise - a peer's promise not to claim the domain's lease
+ *
+ * The lease holder requests promises from its peers while the table service is
+ * unreachable.  The same struct is the request and the answer.
+ */
 struct promise
 {
   char domain[CLB_NAME_MAX];
-  int64_t epoch;
-  int64_t seq;
-  int64_t duration_ms;
-  bool granted;
+  int64_t epoch;       /* epoch of the holder's lease */
+  int64_t seq;         /* number of the request, echoed in the answer */
+  int64_t duration_ms; /* how long the promise is valid */
+  bool granted;        /* of an answer: true if the peer has promised */
 };
 
+/** enum pmsg_kind - kind of a peer message */
 enum pmsg_kind
 {
   PM_HELLO,
   PM_CALL,
   PM_REPLY,
-  PM_HANDOVER,        /* the lease row was handed back: claim it now */
-  PM_PROMISE_REQUEST, /* holder to peer: do not claim for a while */
-  PM_PROMISE,
-  PM_HELD_QUERY, /* new holder to entry: which slots do you use? */
-  PM_HELD,
+  PM_HANDOVER, /* the sender has released the lease; it may be claimed now */
+  PM_PROMISE_REQUEST,  /* a lease holder requests a promise */
+  PM_PROMISE,          /* answer to PM_PROMISE_REQUEST */
+  PM_HELD_SLOTS_QUERY, /* a new lease holder queries the slots in use */
+  PM_HELD_SLOTS,       /* answer to PM_HELD_SLOTS_QUERY */
   PM_N
 };
 
+/** struct pmsg - a peer message */
 struct pmsg
 {
-  int kind; /* enum pmsg_kind, tag of the union */
-  char from[CLB_ID_MAX];
-  int64_t boot;
+  int kind;              /* enum pmsg_kind, selects the member of u */
+  char from[CLB_ID_MAX]; /* instance id of the sender */
+  int64_t boot;          /* boot of the sender */
   union
   {
     struct hello hello;
@@ -376,104 +453,151 @@
   } u;
 };
 
-/** pmsg_pack() - As msgpack that the caller frees.  0 or %CLB_ENOMEM. */
+/**
+ * pmsg_pack() - Encode a peer message as msgpack.
+ * @buf: set to the encoded bytes, which the caller frees
+ * @len: set to their number
+ *
+ * Return: 0 or %CLB_ENOMEM.
+ */
 int pmsg_pack (const struct pmsg *m, char **buf, size_t *len);
-/** pmsg_unpack() - %CLB_EPARSE, %CLB_EFIELD or %CLB_ERANGE if damaged. */
+/**
+ * pmsg_unpack() - Decode a peer message.
+ * @buf: the encoded bytes
+ * @len: their number
+ * @m: set to the message, which the caller frees with pmsg_free()
+ * @ce: set to the error and the wrong field on failure
+ *
+ * Return: 0, or %CLB_EPARSE, %CLB_EFIELD, %CLB_ERANGE or %CLB_ENOMEM if the
+ * bytes are damaged.
+ */
 int pmsg_unpack (const char *buf, size_t len, struct pmsg *m,
                  struct codec_err *ce);
+/** pmsg_free() - Free what @m owns, but not @m itself. */
 void pmsg_free (struct pmsg *m);
 
-/* What the core asks of the tasks around it. */
+/* Outputs of the core, carried out by the code that owns sockets. */
 
+/** enum out_kind - kind of an output of the core */
 enum out_kind
 {
-  OUT_ANSWER, /* to a caller, final */
-  OUT_PEER,
-  OUT_STORE,
-  OUT_SYNC,    /* to a worker */
-  OUT_FORWARD, /* service request body to an executor */
-  OUT_EVENT,   /* a decision, for watchers */
-  OUT_ORDER,   /* to an executor of the fleet or its advice service */
-  OUT_MESH,    /* to another instance on the fleet */
-  OUT_LINE,    /* one line for the log */
+  OUT_ANSWER,    /* final answer to a caller */
+  OUT_PEER,      /* message to another entry instance */
+  OUT_STORE,     /* operation of the table service */
+  OUT_SYNC,      /* struct sync_req to a worker */
+  OUT_FORWARD,   /* a caller's service request to an executor */
+  OUT_EVENT,     /* struct event, for the log and for watchers */
+  OUT_ORDER,     /* order to an executor of the fleet or its advice service */
+  OUT_FLEET_MSG, /* message to another instance of the fleet's scheduler */
+  OUT_LOG_LINE,  /* line of text for the log */
 };
 
 struct order;
 struct mesh_msg;
 
+/** struct event - a decision, or a change of an instance's state */
 struct event
 {
+  /* Number of the scheduler's decision; 0: the event is not a scheduler's. */
   int64_t seq;
-  int64_t time_ms;
-  char id[CLB_ID_MAX];
-  char team[CLB_NAME_MAX];
-  char where[CLB_ID_MAX]; /* worker, executor or instance */
-  int64_t reason;         /* enum clb_reason */
-  int64_t detail;         /* candidates weighed */
+  int64_t time_ms;         /* time of the event on the instance's clock */
+  char id[CLB_ID_MAX];     /* id of the task concerned; empty: none */
+  char team[CLB_NAME_MAX]; /* team concerned; empty: none */
+  /* Id of the worker, executor or entry instance concerned; empty: none. */
+  char instance_id[CLB_ID_MAX];
+  int64_t reason; /* enum clb_reason */
+  /* For WHY_CONFIG the version of the configuration that is now in force, for
+     WHY_PREEMPTING the number of preempted tasks, for every other reason the
+     number of candidates that were considered (0: none). */
+  int64_t detail;
 };
 extern const struct desc event_desc;
 
+/** struct out - one output of the core */
 struct out
 {
   TAILQ_ENTRY (out) link;
-  int kind; /* enum out_kind, tag of the union */
+  int kind; /* enum out_kind, selects the member of u */
   union
   {
     struct
     {
-      uint64_t call;
-      int status; /* HTTP */
-      int64_t retry_ms;
-      char *body;
+      uint64_t call;    /* request::http_call of the caller's request */
+      int status;       /* HTTP status */
+      int64_t retry_ms; /* delay for Retry-After; 0: no such header */
+      char *body;       /* the answer's body, freed by out_free() */
     } answer;
     struct
     {
-      char to[CLB_ID_MAX];
+      char to[CLB_ID_MAX]; /* id of the receiving instance */
       struct pmsg msg;
     } peer;
     struct
     {
-      uint64_t token;
+      uint64_t token; /* identifies the operation when its reply arrives */
       struct store_op op;
     } store;
     struct
     {
-      char worker[CLB_ID_MAX];
-      char addr[CLB_ADDR_MAX];
+      char worker[CLB_ID_MAX]; /* id of the worker */
+      char addr[CLB_ADDR_MAX]; /* address of the worker */
       struct sync_req req;
     } sync;
     struct
     {
-      uint64_t call;
-      char executor[CLB_ID_MAX];
-      char addr[CLB_ADDR_MAX];
-      char id[CLB_ID_MAX];
-      int64_t max_run_ms;
+      uint64_t call; /* request::http_call of the caller's request */
+      char executor[CLB_ID_MAX]; /* id of the executor */
+      char addr[CLB_ADDR_MAX];   /* address of the executor */
+      char id[CLB_ID_MAX];       /* id of the service request */
+      int64_t max_run_ms; /* run time after which the request is aborted */
     } forward;
     struct event event;
     struct order *order; /* freed by out_free() */
     struct
     {
-      char addr[CLB_ADDR_MAX];
-      struct mesh_msg *msg; /* freed by out_free() */
+      char addr[CLB_ADDR_MAX]; /* address of the receiving instance */
+      struct mesh_msg *msg;    /* freed by out_free() */
     } mesh;
-    char *line; /* without its end */
+    char *line; /* log line without a newline, freed by out_free() */
   } u;
 };
 TAILQ_HEAD (outq, out);
 
-/** out_new() - A zeroed message at the end of @q, freed by out_free(). */
+/**
+ * out_new() - Append a zeroed output to @q.
+ * @kind: enum out_kind
+ *
+ * Return: the output, owned by the queue.
+ */
 struct out *out_new (struct outq *q, int kind);
-/** out_take() - The oldest message, now the caller's, or NULL. */
+/**
+ * out_take() - Remove the oldest output from @q.
+ *
+ * Return: the output, which the caller frees with out_free(); NULL if @q is
+ * empty.
+ */
 struct out *out_take (struct outq *q);
+/** out_free() - Free an output with everything that it owns. */
 void out_free (struct out *o);
 
-/** out_line() - A line for the log, formatted; see docs/OPERATIONS.md. */
+/**
+ * out_line() - Append a log line to @q; see docs/OPERATIONS.md.
+ * @fmt: format as of printf(), without a newline
+ */
 void out_line (struct outq *q, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/* Helpers to fill store operations; they copy their arguments. */
+/**
+ * store_cond() - Add a condition to a transaction.
+ * @key: key of the row, copied
+ * @ver: version that the row must have; 0: the row must be absent
+ */
 void store_cond (struct store_op *op, const char *key, int64_t ver);
+/**
+ * store_put() - Add the write of a row to a transaction.
+ * @key: key of the row, copied
+ * @value: new value of the row, copied; NULL: delete the row
+ */
 void store_put (struct store_op *op, const char *key, const char *value);
 
 #endif
--- a/core/node.c
+++ b/core/node.c
@@ -1,3 +1,5 @@
+/* One entry instance: its peers, its polling of the configuration and of the
+   list of instances, and the scheduler that it runs as lease holder. */
 #include "node.h"
 
 #include <stdio.h>
@@ -6,12 +8,23 @@
 
 enum
 {
+  /* Period in which the head row is read. */
   HEAD_POLL_MS = 1000,
-  LIST_POLL_MS = 1000,
-  STORE_TIMEOUT_MS = 2500,
-  HELD_ASK_MS = 500,
-  CALLS_PER_BOOT = 65536, /* for each millisecond between two starts */
-  HELD_WAIT_MS = 3000, /* slots given out before this epoch are used by then */
+  /* Period in which the platform's list of instances is read. */
+  INST_LIST_POLL_MS = 1000,
+  /* Timeout of a read of the head row or of the list of instances.  The
+     timeout of a read of a manifest is four times as long. */
+  READ_TIMEOUT_MS = 2500,
+  /* Period in which a peer is queried for its slots in use, until it has
+     answered. */
+  SLOTS_QUERY_PERIOD_MS = 500,
+  /* Number of call::seq values that are reserved for each millisecond between
+     two starts of an instance. */
+  CALL_SEQS_PER_MS = 65536,
+  /* Shortest time from the start of a scheduler until it counts slots as free.
+     By then each slot that an earlier scheduler granted is in use, or was
+     granted too long ago to be used. */
+  SLOTS_WAIT_MS = 3000,
 };
 
 void
@@ -27,10 +40,12 @@
   if (!n->conf)
     abort ();
   n->conf_verified_ms = now_ms - 2 * CONF_FRESH_MS;
-  /* A reply to an earlier process of this name must match no call. */
-  n->last_call_seq = set->boot * CALLS_PER_BOOT;
+  /* call::seq must not repeat the numbers of an earlier process of this
+     instance.  Otherwise a late reply to a call of that process could be taken
+     for the reply to a call of this process. */
+  n->last_call_seq = set->boot * CALL_SEQS_PER_MS;
   role_init (&n->role, set->domain, set->id, set->boot, now_ms, &n->out,
-             &n->tokens);
+             &n->last_token);
 }
 
 void
@@ -82,15 +97,18 @@
   o->u.peer.msg = *m;
 }
 
+/* Returns whether a hello from @p arrived within PEER_UNREACHABLE_MS. */
 static bool
-peer_alive (const struct node *n, const struct peer *p)
+peer_reachable (const struct node *n, const struct peer *p)
 {
   return p->last_contact_ms
          && n->now_ms - p->last_contact_ms < PEER_UNREACHABLE_MS;
 }
 
+/* Returns whether this instance holds the domain's lease and its scheduler is
+   ready. */
 static bool
-holds (const struct node *n)
+is_holder (const struct node *n)
 {
   return n->sched && n->sched->phase == SCHED_READY && n->sched->may_start;
 }
@@ -100,12 +118,12 @@
 {
   const struct peer *best = NULL;
 
-  if (strcmp (domain, n->settings.domain) == 0 && holds (n))
+  if (strcmp (domain, n->settings.domain) == 0 && is_holder (n))
     return n->settings.id;
   for (int i = 0; i < n->n_peers; i++)
     {
       const struct peer *p = &n->peers[i];
-      if (!peer_alive (n, p) || !p->hello.holder
+      if (!peer_reachable (n, p) || !p->hello.is_holder
           || strcmp (p->domain, domain) != 0)
         continue;
       if (!best || p->hello.epoch > best->hello.epoch)
@@ -125,7 +143,7 @@
   h->conf_version = n->head.version;
   h->conf_age_ms = n->now_ms - n->conf_verified_ms;
   h->apply_in_progress = entry_apply_in_progress (n);
-  h->holder = holds (n);
+  h->is_holder = is_holder (n);
   h->epoch = n->sched ? n->sched->epoch : 0;
   h->stopping = n->stopping;
   h->knows_receiver = role_is_member (&n->role, p->id, p->boot);
@@ -142,10 +160,11 @@
 static void
 send_hellos (struct node *n)
 {
-  /* Others must hear at once who schedules this domain. */
-  if (holds (n) != n->reported_holder)
+  /* Notify the peers at once when this instance starts or stops scheduling
+     its domain. */
+  if (is_holder (n) != n->reported_as_holder)
     n->next_hello_ms = n->now_ms;
-  n->reported_holder = holds (n);
+  n->reported_as_holder = is_holder (n);
   if (n->now_ms < n->next_hello_ms)
     return;
   n->next_hello_ms = n->now_ms + HELLO_PERIOD_MS;
@@ -157,20 +176,25 @@
 }
 
 static void
-head_read (struct node *n)
+read_head (struct node *n)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
 
-  o->u.store.token = n->head_token = ++n->tokens;
+  o->u.store.token = n->head_token = ++n->last_token;
   o->u.store.op.kind = STORE_GET;
   o->u.store.op.key = strdup ("head");
   n->head_sent_ms = n->now_ms;
   n->next_head_ms = n->now_ms + HEAD_POLL_MS;
 }
 
-/* A peer's proof counts from the stamp of ours that it had seen by then. */
+/* Updates node::conf_verified_ms from the hello @h of a peer that has the same
+   configuration version as this instance.  The peer verified that this version
+   is current hello::conf_age_ms before it sent @h, and it sent @h later than
+   hello::echo_ms, at which this instance sent the hello that @h echoes.  So on
+   this instance's clock the peer's verification took place no earlier than
+   echo_ms - conf_age_ms. */
 static void
-hello_freshness (struct node *n, const struct hello *h)
+verify_conf_by_hello (struct node *n, const struct hello *h)
 {
   if (h->conf_version > n->head.version)
     {
@@ -180,17 +204,19 @@
   if (h->conf_version < n->head.version || h->echo_boot != n->settings.boot
       || h->echo_ms == 0 || n->head.version == 0)
     return;
-  int64_t proved = h->echo_ms - h->conf_age_ms;
-  if (proved > n->conf_verified_ms)
-    n->conf_verified_ms = proved;
+  int64_t verified_ms = h->echo_ms - h->conf_age_ms;
+  if (verified_ms > n->conf_verified_ms)
+    n->conf_verified_ms = verified_ms;
 }
 
-/* A change is accepted only through an entry instance.  If none of them has
-   accepted a newer one or has one open, none is newer, platform or not. */
+/* Updates node::conf_verified_ms from the latest hellos of all peers.  Only an
+   entry instance can change the configuration.  If no entry instance has
+   another version or a change in progress, the version in force is current,
+   even while the platform is unreachable. */
 static void
-peers_freshness (struct node *n)
+verify_conf_by_peers (struct node *n)
 {
-  int64_t proved = n->now_ms;
+  int64_t verified_ms = n->now_ms;
 
   if (n->head.version == 0 || !n->list_known || entry_apply_in_progress (n))
     return;
@@ -201,22 +227,23 @@
           || h->apply_in_progress || h->echo_boot != n->settings.boot
           || h->echo_ms == 0)
         return;
-      if (h->echo_ms < proved)
-        proved = h->echo_ms;
+      if (h->echo_ms < verified_ms)
+        verified_ms = h->echo_ms;
     }
-  if (proved > n->conf_verified_ms)
-    n->conf_verified_ms = proved;
+  if (verified_ms > n->conf_verified_ms)
+    n->conf_verified_ms = verified_ms;
 }
 
+/* Handles a hello from a peer. */
 static void
-got_hello (struct node *n, const struct pmsg *m)
+handle_hello (struct node *n, const struct pmsg *m)
 {
   struct peer *p = node_get_peer (n, m->from);
 
   if (!p)
     return;
   if (p->boot != m->boot)
-    p->held_reported = false;
+    p->slots_reported = false;
   p->boot = m->boot;
   p->last_contact_ms = n->now_ms;
   p->hello_sent_ms = m->u.hello.sent_ms;
@@ -226,8 +253,8 @@
     clb_copy (p->addr, m->u.hello.addr, sizeof p->addr);
   if (strcmp (p->domain, n->settings.domain) == 0)
     role_hello (&n->role, m->from, m->boot, &m->u.hello);
-  hello_freshness (n, &m->u.hello);
-  peers_freshness (n);
+  verify_conf_by_hello (n, &m->u.hello);
+  verify_conf_by_peers (n);
 }
 
 bool
@@ -237,66 +264,73 @@
          && n->now_ms - n->conf_verified_ms < CONF_FRESH_MS;
 }
 
-/* Slots in use, told to a new holder. */
+/* Slots in use, for which a new lease holder queries all entry instances. */
 
+/* Queries the peers for their slots in use, if this instance has started a
+   scheduler that does not know the free slots yet.  The scheduler knows which
+   slots are free once all reachable peers have answered and SLOTS_WAIT_MS have
+   passed. */
 static void
-held_tick (struct node *n)
+held_slots_tick (struct node *n)
 {
   struct sched *s = n->sched;
-  bool all = true;
+  bool all_reported = true;
 
   if (!s || s->slots_known || s->phase != SCHED_READY)
     return;
   for (int i = 0; i < n->n_peers; i++)
     {
       struct peer *p = &n->peers[i];
-      if (p->held_reported || !peer_alive (n, p))
+      if (p->slots_reported || !peer_reachable (n, p))
         continue;
-      all = false;
-      if (n->now_ms - p->held_query_ms < HELD_ASK_MS)
+      all_reported = false;
+      if (n->now_ms - p->slots_query_ms < SLOTS_QUERY_PERIOD_MS)
         continue;
-      struct pmsg m = { .kind = PM_HELD_QUERY };
-      p->held_query_ms = n->now_ms;
+      struct pmsg m = { .kind = PM_HELD_SLOTS_QUERY };
+      p->slots_query_ms = n->now_ms;
       node_send (n, p->id, &m);
     }
-  /* One that is frozen finds its slot too old to use when it wakes. */
-  if (!all || n->now_ms - s->started_ms < HELD_WAIT_MS)
+  /* A paused instance cannot answer.  When it continues, the slots that were
+     granted to it are too old to be used. */
+  if (!all_reported || n->now_ms - s->started_ms < SLOTS_WAIT_MS)
     return;
-  struct held_list mine = { .n_items = 0 };
-  entry_held_slots (n, &mine);
-  sched_used_slots (s, &mine);
-  free (mine.items);
+  struct held_list own_slots = { .n_items = 0 };
+  entry_held_slots (n, &own_slots);
+  sched_used_slots (s, &own_slots);
+  free (own_slots.items);
   s->slots_known = true;
   s->dirty = true;
 }
 
+/* Reports the slots that this instance uses to the new lease holder @to. */
 static void
-answer_held (struct node *n, const char *to)
+report_held_slots (struct node *n, const char *to)
 {
-  struct pmsg m = { .kind = PM_HELD };
+  struct pmsg m = { .kind = PM_HELD_SLOTS };
 
   entry_held_slots (n, &m.u.held);
   node_send (n, to, &m);
 }
 
 static void
-got_held (struct node *n, const struct pmsg *m)
+handle_held_slots (struct node *n, const struct pmsg *m)
 {
   struct peer *p = node_get_peer (n, m->from);
 
   if (!p || !n->sched)
     return;
   sched_used_slots (n->sched, &m->u.held);
-  p->held_reported = true;
+  p->slots_reported = true;
 }
 
+/* Handles a message from a peer, or from this instance to itself. */
 static void
-got_peer (struct node *n, const struct pmsg *m)
+handle_peer_msg (struct node *n, const struct pmsg *m)
 {
   switch (m->kind)
     {
     case PM_HELLO:
-      got_hello (n, m);
+      handle_hello (n, m);
       break;
     case PM_CALL:
       if (n->sched)
@@ -315,16 +349,16 @@
     case PM_PROMISE:
       role_promise (&n->role, m->from, m->boot, &m->u.promise);
       break;
-    case PM_HELD_QUERY:
-      answer_held (n, m->from);
+    case PM_HELD_SLOTS_QUERY:
+      report_held_slots (n, m->from);
       break;
-    case PM_HELD:
-      got_held (n, m);
+    case PM_HELD_SLOTS:
+      handle_held_slots (n, m);
       break;
     }
 }
 
-/* Configuration. */
+/* Reading and installing the configuration. */
 
 void
 node_install_conf (struct node *n, const struct head_row *head, int64_t ver,
@@ -335,7 +369,8 @@
 
   if (!c)
     abort ();
-  /* It was checked before it was written: damage keeps the old one. */
+  /* Manifests are checked before they are written.  If this one is damaged,
+     the old configuration stays in force. */
   if (head->version <= n->head.version
       || conf_parse (text, strlen (text), c, &ce))
     {
@@ -354,28 +389,31 @@
   o->u.event.time_ms = n->now_ms;
   o->u.event.reason = WHY_CONFIG;
   o->u.event.detail = c->version;
-  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
-  /* Tell the peers at once, so that none waits for its own poll. */
+  clb_copy (o->u.event.instance_id, n->settings.id,
+            sizeof o->u.event.instance_id);
+  /* Notify the peers of the new version at once, so that they read it before
+     their next poll of the head row is due. */
   n->next_hello_ms = n->now_ms;
 }
 
+/* Reads the manifest that @head names.  @ver is the row version of @head. */
 static void
-object_read (struct node *n, const struct head_row *head, int64_t ver)
+read_manifest (struct node *n, const struct head_row *head, int64_t ver)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
   char name[CLB_ID_MAX] = "manifest-";
 
   strcat (name, head->hash);
-  n->object_head = *head;
-  n->object_ver = ver;
-  n->object_sent_ms = n->head_sent_ms;
-  o->u.store.token = n->object_token = ++n->tokens;
+  n->manifest_head = *head;
+  n->manifest_head_ver = ver;
+  n->manifest_sent_ms = n->head_sent_ms;
+  o->u.store.token = n->manifest_token = ++n->last_token;
   o->u.store.op.kind = STORE_OBJ_GET;
   o->u.store.op.key = strdup (name);
 }
 
 static void
-head_answer (struct node *n, const struct store_rep *rep)
+handle_head (struct node *n, const struct store_rep *rep)
 {
   struct head_row head;
   struct codec_err ce;
@@ -393,54 +431,57 @@
       if (n->head_sent_ms > n->conf_verified_ms)
         n->conf_verified_ms = n->head_sent_ms;
     }
-  else if (head.version > n->head.version && !n->object_token)
-    object_read (n, &head, rep->rows[0].ver);
+  else if (head.version > n->head.version && !n->manifest_token)
+    read_manifest (n, &head, rep->rows[0].ver);
 }
 
 static void
-object_answer (struct node *n, const struct store_rep *rep)
+handle_manifest (struct node *n, const struct store_rep *rep)
 {
-  n->object_token = 0;
+  n->manifest_token = 0;
   if (rep->err || rep->n_rows == 0 || !rep->rows[0].value)
     return;
-  node_install_conf (n, &n->object_head, n->object_ver, rep->rows[0].value);
-  if (n->head.version == n->object_head.version
-      && n->object_sent_ms > n->conf_verified_ms)
-    n->conf_verified_ms = n->object_sent_ms;
+  node_install_conf (n, &n->manifest_head, n->manifest_head_ver,
+                     rep->rows[0].value);
+  if (n->head.version == n->manifest_head.version
+      && n->manifest_sent_ms > n->conf_verified_ms)
+    n->conf_verified_ms = n->manifest_sent_ms;
 }
 
-/* The platform's list. */
+/* The platform's list of instances. */
 
 static void
-list_read (struct node *n)
+read_inst_list (struct node *n)
 {
   struct out *o = out_new (&n->out, OUT_STORE);
-  char known[24];
+  char known_ver[24];
 
-  o->u.store.token = n->list_token = ++n->tokens;
+  o->u.store.token = n->list_token = ++n->last_token;
   o->u.store.op.kind = STORE_INSTANCES;
-  snprintf (known, sizeof known, "%lld", (long long)n->list_ver);
+  snprintf (known_ver, sizeof known_ver, "%lld", (long long)n->list_ver);
   if (n->list_known)
-    o->u.store.op.after = strdup (known);
+    o->u.store.op.after = strdup (known_ver);
   n->list_sent_ms = n->now_ms;
-  n->next_list_ms = n->now_ms + LIST_POLL_MS;
+  n->next_list_ms = n->now_ms + INST_LIST_POLL_MS;
 }
 
+/* Updates the peers from the list of instances.  Removes peers that are not in
+   the list and from which no hello came for 10 * PEER_UNREACHABLE_MS. */
 static void
-list_peers (struct node *n)
+update_peers (struct node *n)
 {
   for (int i = 0; i < n->n_peers; i++)
     n->peers[i].listed = false;
   for (size_t i = 0; i < n->list.n_items; i++)
     {
-      const struct inst *in = &n->list.items[i];
+      const struct inst *inst = &n->list.items[i];
       struct peer *p
-          = in->kind == INST_ENTRY ? node_get_peer (n, in->id) : NULL;
+          = inst->kind == INST_ENTRY ? node_get_peer (n, inst->id) : NULL;
       if (!p)
         continue;
       p->listed = true;
-      clb_copy (p->domain, in->domain, sizeof p->domain);
-      clb_copy (p->addr, in->addr, sizeof p->addr);
+      clb_copy (p->domain, inst->domain, sizeof p->domain);
+      clb_copy (p->addr, inst->addr, sizeof p->addr);
     }
   for (int i = 0; i < n->n_peers; i++)
     if (!n->peers[i].listed
@@ -449,7 +490,7 @@
 }
 
 static void
-list_answer (struct node *n, const struct store_rep *rep)
+handle_inst_list (struct node *n, const struct store_rep *rep)
 {
   struct inst_list list;
   struct codec_err ce;
@@ -457,11 +498,13 @@
   n->list_token = 0;
   if (rep->err)
     return;
+  /* A reply without rows means that the list has not changed since version
+     list_ver. */
   if (rep->n_rows == 0 && n->list_known)
     {
-      n->list_ms = n->list_sent_ms;
+      n->list_confirmed_ms = n->list_sent_ms;
       if (n->sched)
-        n->sched->list_ms = n->list_ms;
+        n->sched->list_ms = n->list_confirmed_ms;
       return;
     }
   if (rep->n_rows == 0 || !rep->rows[0].value)
@@ -474,82 +517,92 @@
   n->list = list;
   n->list_known = true;
   n->list_ver = rep->rows[0].ver;
-  n->list_ms = n->list_sent_ms;
-  list_peers (n);
+  n->list_confirmed_ms = n->list_sent_ms;
+  update_peers (n);
   role_instances (&n->role, &n->list);
   if (n->sched)
-    sched_instances (n->sched, &n->list, n->list_ms);
+    sched_instances (n->sched, &n->list, n->list_confirmed_ms);
 }
 
+/* Gives up reads that had no reply within their timeout, and sends the reads
+   that are due. */
 static void
 platform_tick (struct node *n)
 {
-  if (n->head_token && n->now_ms - n->head_sent_ms > STORE_TIMEOUT_MS)
+  if (n->head_token && n->now_ms - n->head_sent_ms > READ_TIMEOUT_MS)
     n->head_token = 0;
-  if (n->list_token && n->now_ms - n->list_sent_ms > STORE_TIMEOUT_MS)
+  if (n->list_token && n->now_ms - n->list_sent_ms > READ_TIMEOUT_MS)
     n->list_token = 0;
-  if (n->object_token && n->now_ms - n->object_sent_ms > 4 * STORE_TIMEOUT_MS)
-    n->object_token = 0;
+  if (n->manifest_token
+      && n->now_ms - n->manifest_sent_ms > 4 * READ_TIMEOUT_MS)
+    n->manifest_token = 0;
   if (!n->head_token && n->now_ms >= n->next_head_ms)
-    head_read (n);
+    read_head (n);
   if (!n->list_token && n->now_ms >= n->next_list_ms)
-    list_read (n);
+    read_inst_list (n);
 }
 
-/* The role and its scheduler. */
+/* The domain's lease and scheduler. */
 
 static void
-sched_begin (struct node *n)
+start_sched (struct node *n)
 {
   n->sched = sched_new (n->settings.domain, n->settings.id, n->settings.boot,
                         n->role.epoch, n->role.epoch_ver, n->now_ms, n->conf,
-                        &n->out, &n->tokens);
+                        &n->out, &n->last_token);
   if (n->settings.snap_every)
     n->sched->snap_every = n->settings.snap_every;
   if (n->list_known)
-    sched_instances (n->sched, &n->list, n->list_ms);
+    sched_instances (n->sched, &n->list, n->list_confirmed_ms);
   for (int i = 0; i < n->n_peers; i++)
-    n->peers[i].held_reported = false;
+    n->peers[i].slots_reported = false;
   n->next_hello_ms = n->now_ms;
 }
 
 static void
-sched_end (struct node *n)
+stop_sched (struct node *n)
 {
   sched_free (n->sched);
   n->sched = NULL;
   n->next_hello_ms = n->now_ms;
 }
 
-/* A change of this instance's part, for the log and for watchers. */
+/* Queues an event for a change of this instance's role, for the log and for
+   watchers. */
 static void
-node_event (struct node *n, int reason)
+report_role_change (struct node *n, int reason)
 {
   struct out *o = out_new (&n->out, OUT_EVENT);
 
   o->u.event.time_ms = n->now_ms;
   o->u.event.reason = reason;
-  clb_copy (o->u.event.where, n->settings.id, sizeof o->u.event.where);
+  clb_copy (o->u.event.instance_id, n->settings.id,
+            sizeof o->u.event.instance_id);
   n->stats.role_changes[reason]++;
 }
 
+/* Queues an event when an extension of the lease by promises begins, and when
+   the table service becomes unreachable or reachable.  @until is the result of
+   role_valid_until(). */
 static void
-extension_step (struct node *n, int64_t until)
+report_extension (struct node *n, int64_t until)
 {
   bool extended = n->now_ms < until && n->now_ms >= n->role.lease_until_ms;
 
-  if (extended && !n->extended)
-    node_event (n, WHY_EXTENDED);
-  n->extended = extended;
+  if (extended && !n->lease_extended)
+    report_role_change (n, WHY_LEASE_EXTENDED);
+  n->lease_extended = extended;
   if (n->store_down != !n->role.store_up && n->role.state == ROLE_HOLDER)
     {
       n->store_down = !n->role.store_up;
-      node_event (n, n->store_down ? WHY_STORE_DOWN : WHY_STORE_BACK);
+      report_role_change (n, n->store_down ? WHY_STORE_DOWN : WHY_STORE_BACK);
     }
 }
 
+/* Handles the timers of the election, and starts, updates or frees the
+   domain's scheduler as the lease requires. */
 static void
-role_step (struct node *n)
+update_role (struct node *n)
 {
   struct sched *s;
 
@@ -560,16 +613,17 @@
   if (n->sched
       && (n->role.state != ROLE_HOLDER || n->role.epoch != n->sched->epoch))
     {
-      node_event (n, n->stopping ? WHY_HANDED_OVER : WHY_LEASE_LOST);
-      sched_end (n);
+      report_role_change (n,
+                          n->stopping ? WHY_LEASE_RELEASED : WHY_LEASE_LOST);
+      stop_sched (n);
     }
   if (!n->sched && n->role.state == ROLE_HOLDER && !n->stopping)
-    sched_begin (n);
+    start_sched (n);
   s = n->sched;
   if (!s)
     return;
   int64_t until = role_valid_until (&n->role);
-  extension_step (n, until);
+  report_extension (n, until);
   s->now_ms = n->now_ms;
   s->may_start = n->now_ms < until;
   s->conf_fresh = node_conf_fresh (n);
@@ -577,14 +631,16 @@
   s->lapsed_since_ms = s->may_start ? 0 : until;
 }
 
-/* Hands the domain over once nothing is on the way to the table.  A table
-   that stays away is waited for as long as a lapsed holder renews leases. */
+/* Continues a shutdown: releases the lease once no write is outstanding, and
+   notifies the domain's other entry instances.  While the table service is
+   unreachable, the shutdown waits at most LAPSED_RENEW_MS, the time for which
+   a scheduler whose lease has expired still renews its tasks' leases. */
 static void
-stop_tick (struct node *n)
+shutdown_tick (struct node *n)
 {
   if (!n->stopping || n->handed_over)
     return;
-  if (n->now_ms - n->stopping_ms >= LAPSED_RENEW_MS)
+  if (n->now_ms - n->stop_requested_ms >= LAPSED_RENEW_MS)
     {
       n->handed_over = true;
       return;
@@ -608,23 +664,25 @@
       }
 }
 
+/* Runs the timers of all parts of the node.  Called after each input. */
 static void
-node_step (struct node *n)
+run_timers (struct node *n)
 {
-  role_step (n);
+  update_role (n);
   platform_tick (n);
-  held_tick (n);
+  held_slots_tick (n);
   if (n->sched)
     sched_tick (n->sched);
   entry_tick (n);
-  stop_tick (n);
+  shutdown_tick (n);
   send_hellos (n);
 }
 
-/* Inputs. */
+/* Inputs of the node. */
 
+/* Sets the current time of the node and its parts. */
 static void
-node_at (struct node *n, int64_t now_ms)
+set_now (struct node *n, int64_t now_ms)
 {
   n->now_ms = now_ms;
   n->role.now_ms = now_ms;
@@ -635,55 +693,55 @@
 void
 node_tick (struct node *n, int64_t now_ms)
 {
-  node_at (n, now_ms);
-  node_step (n);
+  set_now (n, now_ms);
+  run_timers (n);
 }
 
 void
-node_peer (struct node *n, int64_t now_ms, const struct pmsg *m)
+node_peer_msg (struct node *n, int64_t now_ms, const struct pmsg *m)
 {
-  node_at (n, now_ms);
-  got_peer (n, m);
-  node_step (n);
+  set_now (n, now_ms);
+  handle_peer_msg (n, m);
+  run_timers (n);
 }
 
 void
-node_store (struct node *n, int64_t now_ms, uint64_t token,
-            const struct store_rep *rep)
+node_store_reply (struct node *n, int64_t now_ms, uint64_t token,
+                  const struct store_rep *rep)
 {
-  node_at (n, now_ms);
-  if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EUNKNOWN)
+  set_now (n, now_ms);
+  if (rep->err == CLB_EUNAVAIL || rep->err == CLB_EOUTCOME)
     n->stats.store_errors++;
   if (token == n->head_token)
-    head_answer (n, rep);
-  else if (token == n->object_token)
-    object_answer (n, rep);
+    handle_head (n, rep);
+  else if (token == n->manifest_token)
+    handle_manifest (n, rep);
   else if (token == n->list_token)
-    list_answer (n, rep);
-  else if (!apply_store (n, token, rep) && !role_store (&n->role, token, rep)
-           && n->sched)
+    handle_inst_list (n, rep);
+  else if (!apply_store_reply (n, token, rep)
+           && !role_store_reply (&n->role, token, rep) && n->sched)
     sched_handle_store_reply (n->sched, token, rep);
-  node_step (n);
+  run_timers (n);
 }
 
 void
-node_sync (struct node *n, int64_t now_ms, const char *worker, int64_t seq,
-           const struct sync_rep *rep)
+node_sync_done (struct node *n, int64_t now_ms, const char *worker,
+                int64_t seq, const struct sync_rep *rep)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   if (n->sched)
     sched_handle_sync_reply (n->sched, worker, seq, rep);
-  node_step (n);
+  run_timers (n);
 }
 
 void
 node_stop (struct node *n, int64_t now_ms)
 {
-  node_at (n, now_ms);
+  set_now (n, now_ms);
   n->stopping = true;
-  n->stopping_ms = now_ms;
+  n->stop_requested_ms = now_ms;
   n->next_hello_ms = now_ms;
-  node_step (n);
+  run_timers (n);
 }
 
 bool
@@ -701,8 +759,9 @@
     {
       if (o->kind != OUT_PEER || strcmp (o->u.peer.to, n->settings.id) != 0)
         return o;
-      /* Calls to the scheduler of this very instance. */
-      got_peer (n, &o->u.peer.msg);
+      /* The message is to this instance itself, such as a call to its own
+         scheduler. */
+      handle_peer_msg (n, &o->u.peer.msg);
       out_free (o);
       if (n->sched)
         sched_tick (n->sched);
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -250,7 +250,7 @@
 void
 proxy_tick (struct fleet *f)
 {
-  struct store_rep unknown = { .err = CLB_EUNKNOWN };
+  struct store_rep unknown = { .err = CLB_EOUTCOME };
   struct proxy_call *c, *next;
 
   TAILQ_FOREACH_SAFE (c, &f->proxy_sent, link, next)
--- a/core/role.c
+++ b/core/role.c
@@ -1,3 +1,5 @@
+/* Election of the entry instance that schedules a domain: its lease row,
+   claims of the lease, and promises not to claim it. */
 #include "role.h"
 
 #include <stdio.h>
@@ -6,27 +8,36 @@
 
 enum
 {
-  FOLLOW_POLL_MS = 1000, /* between looks at the row */
-  OP_TIMEOUT_MS = 2500,  /* a store operation without an answer */
-  CLAIM_OPEN_MS = 6000,  /* a lost claim can take effect this long */
-  ASK_PERIOD_MS = 500,   /* between rounds of promises */
-  PROMISE_MS = 3000,     /* how long one promise binds */
-  PEER_GONE_MS = 30000,  /* silent and unlisted: no longer a member */
+  /* Period in which a follower reads the lease row. */
+  LEASE_ROW_POLL_MS = 1000,
+  /* Timeout of a store operation. */
+  STORE_OP_TIMEOUT_MS = 2500,
+  /* Time after which a claim of unknown outcome can no longer take effect. */
+  CLAIM_UNCERTAIN_MS = 6000,
+  /* Period of the holder's requests for promises. */
+  PROMISE_PERIOD_MS = 500,
+  /* Time for which one promise is valid. */
+  PROMISE_MS = 3000,
+  /* A peer is no longer a member of the domain if the platform's list of
+     instances does not name it and no hello came from it for this time. */
+  PEER_REMOVE_MS = 30000,
+  /* Size of a row key, in bytes including the NUL. */
   KEY_SIZE = 128,
 };
 
 void
-role_init (struct role *r, const char *domain, const char *me, int64_t boot,
-           int64_t now_ms, struct outq *out, uint64_t *tokens)
+role_init (struct role *r, const char *domain, const char *self_id,
+           int64_t boot, int64_t now_ms, struct outq *out,
+           uint64_t *last_token)
 {
   memset (r, 0, sizeof *r);
   clb_copy (r->domain, domain, sizeof r->domain);
-  clb_copy (r->self_id, me, sizeof r->self_id);
+  clb_copy (r->self_id, self_id, sizeof r->self_id);
   r->boot = boot;
   r->now_ms = now_ms;
   r->row_changed_ms = now_ms;
   r->out = out;
-  r->tokens = tokens;
+  r->last_token = last_token;
 }
 
 static void
@@ -41,31 +52,36 @@
   snprintf (out, KEY_SIZE, "epoch/%s", r->domain);
 }
 
+/* Queues a store operation of @kind and returns it, for the caller to fill in.
+   The reply is passed to role_store_reply(). */
 static struct store_op *
-op_new (struct role *r, int kind)
+new_store_op (struct role *r, int kind)
 {
   struct out *o = out_new (r->out, OUT_STORE);
 
-  o->u.store.token = r->token = ++*r->tokens;
+  o->u.store.token = r->store_token = ++*r->last_token;
   o->u.store.op.kind = kind;
   r->op_sent_ms = r->now_ms;
   return &o->u.store.op;
 }
 
 static void
-read_row (struct role *r)
+read_lease_row (struct role *r)
 {
   char key[KEY_SIZE];
 
   lease_key (r, key);
-  op_new (r, STORE_GET)->key = strdup (key);
-  r->next_op_ms = r->now_ms + FOLLOW_POLL_MS;
+  new_store_op (r, STORE_GET)->key = strdup (key);
+  r->next_op_ms = r->now_ms + LEASE_ROW_POLL_MS;
 }
 
+/* Writes the lease row, on condition that it has not changed since it was last
+   read.  If @claim is true, also writes the epoch row, on which the
+   scheduler's writes depend. */
 static void
-write_row (struct role *r, const struct lease_row *row, bool claim)
+write_lease_row (struct role *r, const struct lease_row *row, bool claim)
 {
-  struct store_op *op = op_new (r, STORE_TXN);
+  struct store_op *op = new_store_op (r, STORE_TXN);
   clb_auto char *text = codec_text (&lease_row_desc, row);
   char key[KEY_SIZE];
 
@@ -74,32 +90,34 @@
   store_put (op, key, text);
   if (!claim)
     return;
-  char number[32];
+  char epoch_text[32];
   epoch_key (r, key);
-  snprintf (number, sizeof number, "%lld", (long long)row->epoch);
-  store_put (op, key, number);
+  snprintf (epoch_text, sizeof epoch_text, "%lld", (long long)row->epoch);
+  store_put (op, key, epoch_text);
 }
 
 static bool
-row_is_mine (const struct role *r)
+row_names_self (const struct role *r)
 {
   return strcmp (r->row.holder, r->self_id) == 0 && r->row.boot == r->boot;
 }
 
+/* Renews the lease.  If handing_over is set, releases the lease instead. */
 static void
-renew (struct role *r)
+renew_lease (struct role *r)
 {
   struct lease_row row = r->row;
 
   row.heartbeat++;
   if (r->handing_over)
     row.holder[0] = '\0';
-  write_row (r, &row, false);
+  write_lease_row (r, &row, false);
   r->next_op_ms = r->now_ms + RENEW_MS;
 }
 
+/* Claims the lease for this instance, with the next epoch. */
 static void
-claim (struct role *r)
+claim_lease (struct role *r)
 {
   struct lease_row row = { .boot = r->boot, .epoch = r->row.epoch + 1 };
 
@@ -109,11 +127,11 @@
   r->claim_sent_ms = r->now_ms;
   r->next_claim_ms = r->now_ms + RENEW_MS;
   r->claim_uncertain = true;
-  write_row (r, &row, true);
+  write_lease_row (r, &row, true);
 }
 
 static struct role_peer *
-peer_find (struct role *r, const char *id)
+find_peer (struct role *r, const char *id)
 {
   for (int i = 0; i < r->n_peers; i++)
     if (strcmp (r->peers[i].id, id) == 0)
@@ -121,20 +139,24 @@
   return NULL;
 }
 
-/* The holder might go on without the table, so it must be known to be away. */
+/* Returns whether the holder named in the lease row may still be active.  It
+   may have extended its lease by promises, without writing the row, so a claim
+   needs proof that it is not active. */
 static bool
 holder_may_be_active (struct role *r)
 {
-  struct role_peer *p = peer_find (r, r->row.holder);
+  struct role_peer *p = find_peer (r, r->row.holder);
 
   if (r->now_ms < r->promise_until_ms)
     return true;
   if (p && p->boot == r->row.boot && r->now_ms - p->last_contact_ms < LEASE_MS)
     return true;
-  /* A holder that counts this instance a member needs its promise. */
+  /* A holder that counts this instance as a member cannot extend its lease
+     without a promise of this instance, and none is valid now. */
   if (p && p->boot == r->row.boot && p->knows_self)
     return false;
-  /* Another process under the holder's name: that holder is gone. */
+  /* The holder's instance has restarted, so the process that held the lease
+     has ended. */
   if (p && p->boot != r->row.boot)
     return false;
   return strcmp (r->row.holder, r->self_id) != 0
@@ -155,27 +177,30 @@
   return !holder_may_be_active (r);
 }
 
-/* Takes over what a read or a conflict has shown of the row. */
+/* Updates role::row from a reply.  @row is NULL if the table has no lease
+   row. */
 static void
-saw_row (struct role *r, const struct row *row)
+update_lease_row (struct role *r, const struct row *row)
 {
   struct codec_err ce;
-  struct lease_row lr = { .epoch = 0 };
+  struct lease_row lease = { .epoch = 0 };
 
   if (row && row->value
       && codec_parse (&lease_row_desc, row->value, strlen (row->value),
-                      CODEC_LENIENT, &lr, &ce))
+                      CODEC_LENIENT, &lease, &ce))
     return;
   int64_t ver = row ? row->ver : 0;
   if (!r->row_known || ver != r->row_ver)
     r->row_changed_ms = r->now_ms;
-  r->row = lr;
+  r->row = lease;
   r->row_ver = ver;
   r->row_known = true;
 }
 
+/* Makes this instance the holder after a successful claim.  @epoch_ver is the
+   row version of the epoch row. */
 static void
-hold (struct role *r, int64_t epoch_ver)
+become_holder (struct role *r, int64_t epoch_ver)
 {
   r->state = ROLE_HOLDER;
   r->epoch = r->row.epoch;
@@ -191,12 +216,13 @@
   r->state = ROLE_FOLLOWER;
   r->lease_until_ms = 0;
   r->row_known = false;
-  r->token = 0;
+  r->store_token = 0;
   r->next_op_ms = r->now_ms;
 }
 
+/* Returns the row of @rep with the key @key, or NULL. */
 static const struct row *
-row_named (const struct store_rep *rep, const char *key)
+row_by_key (const struct store_rep *rep, const char *key)
 {
   for (size_t i = 0; i < rep->n_rows; i++)
     if (strcmp (rep->rows[i].key, key) == 0)
@@ -204,8 +230,9 @@
   return NULL;
 }
 
+/* Handles the reply to a claim. */
 static void
-claim_answer (struct role *r, const struct store_rep *rep)
+handle_claim_reply (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
@@ -216,53 +243,56 @@
       r->state = ROLE_FOLLOWER;
       r->claim_uncertain = false;
       r->next_op_ms = r->now_ms + RENEW_MS;
-      /* The row that this claim was made from is not the row any more. */
+      /* The lease row has changed since this claim was made. */
       if (rep->err == CLB_ECONFLICT)
-        saw_row (r, row_named (rep, key));
+        update_lease_row (r, row_by_key (rep, key));
       return;
     }
   if (rep->err)
     {
-      r->state = ROLE_CHECKING;
+      r->state = ROLE_CHECKING_CLAIM;
       r->next_op_ms = r->now_ms + RENEW_MS;
       return;
     }
-  row = row_named (rep, key);
+  row = row_by_key (rep, key);
   r->row_ver = row ? row->ver : 0;
   clb_copy (r->row.holder, r->self_id, sizeof r->row.holder);
   r->row.boot = r->boot;
   r->row.epoch++;
   r->row.heartbeat++;
   epoch_key (r, key);
-  row = row_named (rep, key);
-  hold (r, row ? row->ver : 0);
+  row = row_by_key (rep, key);
+  become_holder (r, row ? row->ver : 0);
 }
 
+/* Handles the reply to the read of the lease row that follows a claim of
+   unknown outcome. */
 static void
-check_answer (struct role *r, const struct store_rep *rep)
+handle_claim_check_reply (struct role *r, const struct store_rep *rep)
 {
   if (rep->err && rep->err != CLB_ENOTFOUND)
     return;
-  saw_row (r, rep->n_rows ? &rep->rows[0] : NULL);
-  /* The claim took effect, but the epoch row's version is not known, so this
-     epoch is given up for a fresh one. */
-  if (row_is_mine (r))
-    claim (r);
-  else if (r->now_ms - r->claim_sent_ms >= CLAIM_OPEN_MS)
+  update_lease_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+  /* The claim took effect, but the version of the epoch row is not known.
+     Claim again, with the next epoch. */
+  if (row_names_self (r))
+    claim_lease (r);
+  else if (r->now_ms - r->claim_sent_ms >= CLAIM_UNCERTAIN_MS)
     {
       r->state = ROLE_FOLLOWER;
       r->claim_uncertain = false;
     }
 }
 
+/* Handles the reply to a renewal or release. */
 static void
-renew_answer (struct role *r, const struct store_rep *rep)
+handle_renew_reply (struct role *r, const struct store_rep *rep)
 {
   char key[KEY_SIZE];
   const struct row *row;
 
   lease_key (r, key);
-  row = row_named (rep, key);
+  row = row_by_key (rep, key);
   if (rep->err == 0 && r->handing_over)
     {
       role_lease_lost (r);
@@ -277,35 +307,36 @@
     }
   if (rep->err != CLB_ECONFLICT)
     return;
-  saw_row (r, row);
-  /* An earlier renewal took effect and its answer was lost: renew again. */
-  if (row_is_mine (r) && r->row.epoch == r->epoch)
+  update_lease_row (r, row);
+  /* The lease row has changed because an earlier renewal took effect although
+     its reply was lost.  Renew again. */
+  if (row_names_self (r) && r->row.epoch == r->epoch)
     r->next_op_ms = r->now_ms;
   else
     role_lease_lost (r);
 }
 
 bool
-role_store (struct role *r, uint64_t token, const struct store_rep *rep)
+role_store_reply (struct role *r, uint64_t token, const struct store_rep *rep)
 {
-  if (token == 0 || token != r->token)
+  if (token == 0 || token != r->store_token)
     return false;
-  r->token = 0;
-  r->store_up = rep->err != CLB_EUNAVAIL && rep->err != CLB_EUNKNOWN;
+  r->store_token = 0;
+  r->store_up = rep->err != CLB_EUNAVAIL && rep->err != CLB_EOUTCOME;
   switch (r->state)
     {
     case ROLE_CLAIMING:
-      claim_answer (r, rep);
+      handle_claim_reply (r, rep);
       break;
-    case ROLE_CHECKING:
-      check_answer (r, rep);
+    case ROLE_CHECKING_CLAIM:
+      handle_claim_check_reply (r, rep);
       break;
     case ROLE_HOLDER:
-      renew_answer (r, rep);
+      handle_renew_reply (r, rep);
       break;
     default:
       if (rep->err == 0 || rep->err == CLB_ENOTFOUND)
-        saw_row (r, rep->n_rows ? &rep->rows[0] : NULL);
+        update_lease_row (r, rep->n_rows ? &rep->rows[0] : NULL);
       if (r->read_again)
         r->next_op_ms = r->now_ms;
       r->read_again = false;
@@ -314,13 +345,13 @@
   return true;
 }
 
-/* Peers and promises. */
+/* Peers and their promises. */
 
 void
 role_hello (struct role *r, const char *from, int64_t boot,
             const struct hello *h)
 {
-  struct role_peer *p = peer_find (r, from);
+  struct role_peer *p = find_peer (r, from);
 
   if (!p)
     {
@@ -348,9 +379,10 @@
     r->peers[i].listed = false;
   for (size_t i = 0; i < list->n_items; i++)
     {
-      struct role_peer *p = peer_find (r, list->items[i].id);
+      struct role_peer *p = find_peer (r, list->items[i].id);
       if (p)
         p->listed = true;
+      /* A listed holder may be active although no hello came from it. */
       else if (strcmp (list->items[i].id, r->row.holder) == 0
                && strcmp (r->row.holder, r->self_id) != 0
                && r->n_peers < DOMAIN_MEMBERS_MAX)
@@ -374,6 +406,9 @@
   return false;
 }
 
+/* Sends a request for a promise, or the answer to such a request.  @kind is
+   PM_PROMISE_REQUEST or PM_PROMISE.  @to is the id of the receiving
+   instance. */
 static void
 send_promise (struct role *r, int kind, const char *to,
               const struct promise *p)
@@ -405,45 +440,50 @@
 role_promise (struct role *r, const char *from, int64_t boot,
               const struct promise *p)
 {
-  struct role_peer *peer = peer_find (r, from);
+  struct role_peer *peer = find_peer (r, from);
 
   if (!peer || peer->boot != boot || !p->granted || p->epoch != r->epoch
-      || p->seq != peer->promise_seq)
+      || p->seq != peer->promise_request_seq)
     return;
-  /* Counted from before it was asked, so it ends here first. */
+  /* The promise is counted from the time of the request, so that it ends for
+     the holder before it ends for the peer. */
   peer->promised_until_ms
       = peer->promise_request_ms + p->duration_ms - LEASE_MARGIN_MS;
 }
 
+/* Removes peers that are no longer members of the domain. */
 static void
-drop_gone_peers (struct role *r)
+remove_gone_peers (struct role *r)
 {
   for (int i = 0; i < r->n_peers; i++)
     if (!r->peers[i].listed
-        && r->now_ms - r->peers[i].last_contact_ms > PEER_GONE_MS)
+        && r->now_ms - r->peers[i].last_contact_ms > PEER_REMOVE_MS)
       {
         r->peers[i] = r->peers[--r->n_peers];
         i--;
       }
 }
 
+/* Requests a promise from each peer. */
 static void
-ask_promises (struct role *r)
+request_promises (struct role *r)
 {
   struct promise p = { .epoch = r->epoch, .duration_ms = PROMISE_MS };
 
   clb_copy (p.domain, r->domain, sizeof p.domain);
-  p.seq = ++r->promise_seq;
+  p.seq = ++r->last_promise_seq;
   for (int i = 0; i < r->n_peers; i++)
     {
       r->peers[i].promise_request_ms = r->now_ms;
-      r->peers[i].promise_seq = p.seq;
+      r->peers[i].promise_request_seq = p.seq;
       send_promise (r, PM_PROMISE_REQUEST, r->peers[i].id, &p);
     }
-  r->next_promise_ms = r->now_ms + ASK_PERIOD_MS;
+  r->next_promise_ms = r->now_ms + PROMISE_PERIOD_MS;
 }
 
-/* The lease by the peers: all of them have promised to wait. */
+/* Returns the time up to which all peers have promised not to claim the lease.
+   The result is at most the time up to which a promise that is requested now
+   would be valid. */
 static int64_t
 promised_until (const struct role *r)
 {
@@ -473,8 +513,8 @@
 {
   if (r->state == ROLE_FOLLOWER)
     r->next_op_ms = r->now_ms;
-  /* A read under way may have seen the row as it was before. */
-  r->read_again = r->token != 0;
+  /* An outstanding read may return the row as it was before the release. */
+  r->read_again = r->store_token != 0;
 }
 
 bool
@@ -483,7 +523,7 @@
   r->stopping = true;
   if (r->state != ROLE_HOLDER)
     return r->state == ROLE_FOLLOWER;
-  if (!r->handing_over && !r->token)
+  if (!r->handing_over && !r->store_token)
     {
       r->handing_over = true;
       r->next_op_ms = r->now_ms;
@@ -491,34 +531,36 @@
   return false;
 }
 
+/* Handles the timeout of the outstanding store operation, whose outcome is
+   unknown. */
 static void
-op_timeout (struct role *r)
+handle_op_timeout (struct role *r)
 {
-  struct store_rep rep = { .err = CLB_EUNKNOWN };
+  struct store_rep rep = { .err = CLB_EOUTCOME };
 
-  role_store (r, r->token, &rep);
+  role_store_reply (r, r->store_token, &rep);
 }
 
 void
 role_tick (struct role *r)
 {
-  drop_gone_peers (r);
-  if (r->token && r->now_ms - r->op_sent_ms > OP_TIMEOUT_MS)
-    op_timeout (r);
+  remove_gone_peers (r);
+  if (r->store_token && r->now_ms - r->op_sent_ms > STORE_OP_TIMEOUT_MS)
+    handle_op_timeout (r);
   if (r->state == ROLE_HOLDER && !r->handing_over
       && r->lease_until_ms - r->now_ms < LEASE_MS - 2 * RENEW_MS
       && r->now_ms >= r->next_promise_ms)
-    ask_promises (r);
-  if (r->token)
+    request_promises (r);
+  if (r->store_token)
     return;
   if (r->state == ROLE_FOLLOWER && may_claim (r)
       && r->now_ms >= r->next_claim_ms)
-    claim (r);
+    claim_lease (r);
   else if (r->now_ms >= r->next_op_ms)
     {
       if (r->state == ROLE_HOLDER)
-        renew (r);
+        renew_lease (r);
       else
-        read_row (r);
+        read_lease_row (r);
     }
 }
--- a/core/service.c
+++ b/core/service.c
@@ -1,4 +1,6 @@
-/* Service requests: a slot from a holder, then on to an executor. */
+/* Handling of service requests.  For each request a slot is acquired from a
+   domain's lease holder, the request is forwarded to the slot's executor, and
+   the slot is released. */
 #include "node.h"
 
 #include <stdio.h>
@@ -7,12 +9,17 @@
 
 enum
 {
-  REPLY_SLACK_MS = 2000, /* a reply may come this much after its wait */
-  FORWARD_TRIES = 3,     /* executors tried for an idempotent request */
+  /* Time for the reply to a CALL_ACQUIRE to arrive, in addition to its
+     call::wait_ms. */
+  REPLY_SLACK_MS = 2000,
+  /* Largest number of times that one idempotent request is forwarded. */
+  FORWARD_TRIES = 3,
 };
 
+/* Calls the lease holder of @domain for a slot, with a new id for the service
+   request. */
 static void
-acquire (struct node *n, struct pending *p, const char *domain)
+acquire_slot (struct node *n, struct pending *p, const char *domain)
 {
   clb_copy (p->domain, domain, sizeof p->domain);
   snprintf (p->call.id, sizeof p->call.id, "%.30s.%.30s-%llx-%lld", domain,
@@ -23,6 +30,7 @@
   entry_pending_send (n, p);
 }
 
+/* Returns the field that caused error @err of a service request, or NULL. */
 static const char *
 wrong_field (int err)
 {
@@ -77,7 +85,7 @@
   p->max_run_ms = q->max_run_ms;
   clb_copy (p->call.team, team, sizeof p->call.team);
   p->deadline_ms = n->now_ms + q->max_wait_ms + REPLY_SLACK_MS;
-  acquire (n, p, domain);
+  acquire_slot (n, p, domain);
 }
 
 void
@@ -86,7 +94,7 @@
   struct out *o;
 
   clb_copy (p->executor, r->executor, sizeof p->executor);
-  /* A holder may have given the slot to somebody else since. */
+  /* By now the lease holder may have granted the slot to another request. */
   if (n->now_ms - r->call_sent_ms > FORWARD_DEADLINE_MS)
     {
       n->stats.stale_slots++;
@@ -107,46 +115,50 @@
 }
 
 bool
-node_may_forward (const struct node *n, int64_t now_ms, uint64_t call)
+node_may_forward (const struct node *n, int64_t now_ms, uint64_t http_call)
 {
-  struct pending *p = entry_pending_by_http_call ((struct node *)n, call);
+  struct pending *p = entry_pending_by_http_call ((struct node *)n, http_call);
 
   return p && p->step == STEP_FORWARDED
          && now_ms - p->sent_ms <= FORWARD_DEADLINE_MS;
 }
 
-/* An idempotent request that no executor has answered goes to another. */
+/* Forwards a request once more, if it is idempotent and its executor gave no
+   answer.  Creates a new pending request, which acquires a new slot, and moves
+   the caller from @p to it.  Returns true if this is done; false if no caller
+   waits, the request is not idempotent, no try or time is left, or no domain
+   has a lease holder. */
 static bool
 forward_again (struct node *n, struct pending *p)
 {
-  struct pending *again;
+  struct pending *retry; /* the new pending request */
   const char *domain;
-  int64_t left = p->arrival_ms + p->call.wait_ms - n->now_ms;
+  int64_t remaining_ms = p->arrival_ms + p->call.wait_ms - n->now_ms;
 
   if (!p->http_call || !p->call.idempotent || ++p->tries >= FORWARD_TRIES
-      || left <= 0)
+      || remaining_ms <= 0)
     return false;
   domain = entry_pick_domain (n, &p->call.spec);
   if (!domain)
     return false;
-  uint64_t caller = p->http_call;
+  uint64_t http_call = p->http_call;
   entry_pending_detach (n, p);
-  again = entry_pending_new (n, caller, CALL_ACQUIRE);
-  int64_t no = again->call.seq;
-  again->call = p->call;
-  again->call.seq = no;
-  again->tries = p->tries;
-  again->arrival_ms = p->arrival_ms;
-  again->max_run_ms = p->max_run_ms;
-  again->deadline_ms = n->now_ms + left + REPLY_SLACK_MS;
-  acquire (n, again, domain);
+  retry = entry_pending_new (n, http_call, CALL_ACQUIRE);
+  int64_t seq = retry->call.seq;
+  retry->call = p->call;
+  retry->call.seq = seq;
+  retry->tries = p->tries;
+  retry->arrival_ms = p->arrival_ms;
+  retry->max_run_ms = p->max_run_ms;
+  retry->deadline_ms = n->now_ms + remaining_ms + REPLY_SLACK_MS;
+  acquire_slot (n, retry, domain);
   return true;
 }
 
 void
-node_forwarded (struct node *n, int64_t now_ms, uint64_t call, int end)
+node_forward_done (struct node *n, int64_t now_ms, uint64_t http_call, int end)
 {
-  struct pending *p = entry_pending_by_http_call (n, call);
+  struct pending *p = entry_pending_by_http_call (n, http_call);
 
   n->now_ms = now_ms;
   n->stats.forward_ends[end]++;
@@ -157,7 +169,7 @@
     case FORWARD_OK:
       entry_pending_release (n, p, TASK_DONE, false);
       break;
-    case FORWARD_ERROR:
+    case FORWARD_SERVER_ERROR:
       entry_pending_release (n, p, TASK_FAILED, true);
       break;
     case FORWARD_UNREACHED:
@@ -168,11 +180,11 @@
       break;
     case FORWARD_FAILED:
       if (!forward_again (n, p))
-        entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
+        entry_answer_err (n, p->http_call, CLB_EOUTCOME, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, true);
       break;
     case FORWARD_ABORTED:
-      entry_answer_err (n, p->http_call, CLB_EUNKNOWN, NULL, p->call.id, 0);
+      entry_answer_err (n, p->http_call, CLB_EOUTCOME, NULL, p->call.id, 0);
       entry_pending_release (n, p, TASK_UNKNOWN, false);
       break;
     }
