--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# citronlb: make demo | check | lint | bench
+# Targets: all, demo, check, lint, format, bench, soak, deps, clean.
+# BUILD is the directory of the build, SAN the sanitizers' compiler flags.
 CC ?= cc
 BUILD ?= build
 SAN ?=
@@ -29,12 +30,14 @@
 	$(BUILD)/regress/fleet-standin $(BUILD)/regress/fleet-load \
 	$(BUILD)/regress/soak-proxy
 
+# Prints the compiler flags, for tools that parse the sources.
 print-flags:
 	@echo "$(CPPFLAGS) -std=gnu17 $(CFLAGS) $(SAN)"
 
 .PHONY: print-flags all deps demo check check-run lint format bench soak clean
 all: $(PROGRAMS) $(UNITS) $(BUILD)/bench/policy $(BUILD)/bench/load
 
+# Installs the Debian packages that are missing.
 deps:
 	@scripts/deps
 
@@ -46,12 +49,15 @@
 	@$(MAKE) -s all
 	@$(MAKE) -s check-run
 
+# Runs the tests without a build.
 check-run:
 	@BUILD=$(BUILD) regress/run
 
+# Runs random scenarios: SEEDS seeds, 1000 if not set, starting at FIRST.
 soak: all
 	@$(BUILD)/regress/scn-run -s $(or $(FIRST),1) -n $(or $(SEEDS),1000) regress/scenarios/walk.lua
 
+# Prints measurements as JSON lines.
 bench: deps
 	@$(MAKE) -s all
 	@BUILD=$(BUILD) bench/run
--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -1,4 +1,7 @@
-/* citronctl - drive and watch citronlb from the command line. */
+/*
+ * citronctl - control and observe citronlb from the command line: options, and
+ * the commands other than those about the manifest.
+ */
 #include "citronctl.h"
 
 #include <argp.h>
@@ -9,11 +12,15 @@
 
 enum
 {
-  WAIT_MS = 60000, /* of one long wait; repeated until the task ends */
+  /* Time that one request of the wait command waits for the task's end; it is
+     repeated until the task has ended. */
+  WAIT_MS = 60000,
   PATH_SIZE = 256,
+  /* The command and its arguments. */
   ARGS_MAX = 3,
 };
 
+/* enum opt_key - argp keys of the options without a short form */
 enum opt_key
 {
   OPT_JSON = 0x100,
@@ -23,6 +30,7 @@
   OPT_ID,
 };
 
+/* struct command_line - options, and the command with its arguments */
 struct command_line
 {
   struct options opt;
@@ -31,10 +39,11 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "server", 's', "URL,...", 0, "Entry instances, tried in turn", 0 },
+  { "server", 's', "URL,...", 0, "URLs of entry instances, tried in turn", 0 },
   { "key", 'k', "KEY", 0, "Key to present", 0 },
-  { "json", OPT_JSON, NULL, 0, "Answers as JSON", 0 },
-  { "cacert", OPT_CACERT, "FILE", 0, "Certificates to trust, PEM", 0 },
+  { "json", OPT_JSON, NULL, 0, "Print answers as JSON", 0 },
+  { "cacert", OPT_CACERT, "FILE", 0, "Certificates to trust, in PEM format",
+    0 },
   { "base", OPT_BASE, "VERSION", 0, "apply: version it was made from", 0 },
   { "change", OPT_CHANGE, "ID", 0, "apply: id of the change", 0 },
   { "id", OPT_ID, "ID", 0, "watch: only this task", 0 },
@@ -42,7 +51,7 @@
 };
 
 static const char doc[]
-    = "Drive and watch citronlb.\v"
+    = "Control and observe citronlb.\v"
       "Commands: check FILE, apply FILE, diff FILE, show, key ID [TEAM], "
       "peerkeys, submit FILE, status [ID], wait ID, cancel ID, why ID, watch, "
       "counters";
@@ -76,7 +85,7 @@
     case OPT_BASE:
       cl->opt.base_version = strtol (arg, &end, 10);
       if (*end || cl->opt.base_version < 0)
-        argp_error (state, "--base: '%s' is no version", arg);
+        argp_error (state, "--base: '%s' is not a version", arg);
       break;
     case ARGP_KEY_ARG:
       if (cl->n_args == ARGS_MAX)
@@ -93,6 +102,7 @@
   return 0;
 }
 
+/* Returns the string in a field of @obj; "" if there is none. */
 static const char *
 text_of (json_t *obj, const char *field)
 {
@@ -101,7 +111,8 @@
   return text ? text : "";
 }
 
-/* Prints an answer in a sentence, or as it came.  An exit code. */
+/* Prints an answer as a sentence, or unchanged with --json or if it is not
+   JSON.  Returns an exit code. */
 static int
 print_answer (const struct options *opt, const struct answer *a)
 {
@@ -120,7 +131,7 @@
       fprintf (stderr, "citronctl: %s (%s) %s", text_of (json, "error"),
                text_of (json, "outcome"), text_of (json, "field"));
       if (retry)
-        fprintf (stderr, "; come back in %lld ms", retry);
+        fprintf (stderr, "; retry after %lld ms", retry);
       fprintf (stderr, "\n");
     }
   else
@@ -149,8 +160,9 @@
   return code;
 }
 
+/* Sends a request without a body about one task and prints the answer. */
 static int
-cmd_about (const struct options *opt, const char *method, const char *id)
+cmd_task (const struct options *opt, const char *method, const char *id)
 {
   struct answer a;
   char path[PATH_SIZE];
@@ -163,6 +175,7 @@
   return code;
 }
 
+/* Waits until a task has ended and prints its state. */
 static int
 cmd_wait (const struct options *opt, const char *id)
 {
@@ -193,6 +206,7 @@
   return code ? code : good ? EXIT_DONE : EXIT_TASK_FAILED;
 }
 
+/* Prints one decision of the scheduler. */
 static void
 print_event (json_t *e)
 {
@@ -232,6 +246,8 @@
   return code;
 }
 
+/* Prints one line of a watch: a decision or a number of missed ones.  The
+   empty line marks the start of the stream. */
 static void
 print_line (const char *text, size_t len)
 {
@@ -271,6 +287,7 @@
   return rpc_stream (opt, path, opt->json ? print_raw : print_line);
 }
 
+/* Sends a GET request and prints the body of the answer unchanged. */
 static int
 cmd_raw (const struct options *opt, const char *path)
 {
@@ -287,6 +304,7 @@
   return code;
 }
 
+/* Prints resources as cores/memory/accelerators/slots. */
 static void
 print_res (const char *name, json_t *r)
 {
@@ -297,6 +315,7 @@
           (long long)json_integer_value (json_object_get (r, "slots")));
 }
 
+/* Prints the state of the failure domain's scheduler. */
 static void
 print_sched (json_t *s)
 {
@@ -308,7 +327,7 @@
           (long long)json_integer_value (json_object_get (s, "epoch")),
           (long long)json_integer_value (json_object_get (s, "journal_row")),
           json_is_true (json_object_get (s, "may_start")) ? ""
-                                                          : ", lease lapsed");
+                                                          : ", lease expired");
   printf ("tasks:");
   json_object_foreach (json_object_get (s, "tasks"), key, item)
     printf (" %s %lld", key, (long long)json_integer_value (item));
@@ -357,7 +376,7 @@
       return code;
     }
   printf (
-      "%s in %s: config %lld (proved %lld ms ago), holder %s\n",
+      "%s in %s: config %lld (confirmed current %lld ms ago), holder %s\n",
       text_of (json, "id"), text_of (json, "domain"),
       (long long)json_integer_value (json_object_get (json, "config_version")),
       (long long)json_integer_value (json_object_get (json, "config_age_ms")),
@@ -368,7 +387,7 @@
         text_of (p, "domain"),
         (long long)json_integer_value (json_object_get (p, "config_version")),
         json_is_true (json_object_get (p, "holder")) ? ", holder" : "",
-        json_is_true (json_object_get (p, "alive")) ? "" : ", silent");
+        json_is_true (json_object_get (p, "alive")) ? "" : ", unreachable");
   if (json_object_get (json, "scheduler"))
     print_sched (json_object_get (json, "scheduler"));
   json_decref (json);
@@ -376,14 +395,15 @@
   return code;
 }
 
-/* struct command - a verb and how many arguments it takes */
+/* struct command - a command and the number of arguments that it takes */
 struct command
 {
   const char *name;
-  int min;
-  int max;
+  int min_args;
+  int max_args;
 };
 
+/* enum verb - indexes of commands[] */
 enum verb
 {
   VERB_CHECK,
@@ -410,6 +430,8 @@
   { "counters", 0, 0 },
 };
 
+/* Returns the enum verb of the command line, or VERB_N if the command is
+   unknown or the number of its arguments is wrong. */
 static int
 verb_of (const struct command_line *cl)
 {
@@ -417,10 +439,13 @@
 
   for (int v = 0; v < VERB_N; v++)
     if (strcmp (commands[v].name, cl->args[0]) == 0)
-      return args >= commands[v].min && args <= commands[v].max ? v : VERB_N;
+      return args >= commands[v].min_args && args <= commands[v].max_args
+                 ? v
+                 : VERB_N;
   return VERB_N;
 }
 
+/* Runs a command and returns its exit code. */
 static int
 run (const struct command_line *cl, int verb)
 {
@@ -443,12 +468,12 @@
     case VERB_SUBMIT:
       return cmd_submit (opt, cl->args[1]);
     case VERB_STATUS:
-      return cl->args[1] ? cmd_about (opt, "GET", cl->args[1])
+      return cl->args[1] ? cmd_task (opt, "GET", cl->args[1])
                          : cmd_status (opt);
     case VERB_WAIT:
       return cmd_wait (opt, cl->args[1]);
     case VERB_CANCEL:
-      return cmd_about (opt, "DELETE", cl->args[1]);
+      return cmd_task (opt, "DELETE", cl->args[1]);
     case VERB_WHY:
       return cmd_why (opt, cl->args[1]);
     case VERB_WATCH:
@@ -477,7 +502,7 @@
   if (verb == VERB_N)
     {
       fprintf (stderr,
-               "citronctl: %s: no such command, or not so many "
+               "citronctl: %s: no such command, or wrong number of "
                "arguments; see citronctl --help\n",
                cl.args[0]);
       return EXIT_BAD_USAGE;
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -1,4 +1,4 @@
-/* Commands about the manifest and its keys. */
+/* Commands about the manifest, its keys and the keys of peer links. */
 #include "citronctl.h"
 
 #include <openssl/rand.h>
@@ -10,6 +10,7 @@
 
 enum
 {
+  /* Random bytes of a key's secret and of its salt. */
   SECRET_BYTES = 24,
   SALT_BYTES = 12,
   PATH_SIZE = 256,
@@ -40,9 +41,10 @@
   return text ? text : strdup ("");
 }
 
-/* Reads and checks; prints what is wrong.  An exit code. */
+/* Reads and checks a manifest; on failure prints what is wrong.  Returns an
+   exit code; the caller frees *@text and *@c if it is EXIT_DONE. */
 static int
-load (const char *path, char **text, size_t *len, struct conf *c)
+load_manifest (const char *path, char **text, size_t *len, struct conf *c)
 {
   struct codec_err ce;
   int err;
@@ -69,7 +71,7 @@
   struct conf c;
   char *text;
   size_t len;
-  int code = load (path, &text, &len, &c);
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
@@ -84,9 +86,10 @@
   return EXIT_DONE;
 }
 
-/* The manifest in force; an exit code. */
+/* Sets *@out to the current manifest and its version as JSON.  Returns an exit
+   code; the caller frees *@out. */
 static int
-fetch (const struct options *opt, json_t **out)
+fetch_manifest (const struct options *opt, json_t **out)
 {
   struct answer a;
   int code;
@@ -106,21 +109,21 @@
 {
   struct conf c;
   struct answer a;
-  json_t *now = NULL;
+  json_t *current = NULL;
   char *text;
   size_t len;
   char url[PATH_SIZE];
   char uuid[UUID_STR_LEN];
   uuid_t u;
   long base = opt->base_version;
-  int code = load (path, &text, &len, &c);
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
   conf_free (&c);
-  if (base < 0 && (code = fetch (opt, &now)) == EXIT_DONE)
-    base = (long)json_integer_value (json_object_get (now, "version"));
-  json_decref (now);
+  if (base < 0 && (code = fetch_manifest (opt, &current)) == EXIT_DONE)
+    base = (long)json_integer_value (json_object_get (current, "version"));
+  json_decref (current);
   if (code)
     {
       free (text);
@@ -146,18 +149,19 @@
 int
 cmd_show (const struct options *opt)
 {
-  json_auto_t *now = NULL;
-  int code = fetch (opt, &now);
+  json_auto_t *current = NULL;
+  int code = fetch_manifest (opt, &current);
 
   if (code)
     return code;
-  json_dumpf (now, stdout, opt->json ? JSON_COMPACT : JSON_INDENT (2));
+  json_dumpf (current, stdout, opt->json ? JSON_COMPACT : JSON_INDENT (2));
   printf ("\n");
   return EXIT_DONE;
 }
 
+/* Returns the entry of @list whose @field is @name, or NULL. */
 static json_t *
-named (json_t *list, const char *field, const char *name)
+find_entry (json_t *list, const char *field, const char *name)
 {
   json_t *item;
   size_t i;
@@ -168,7 +172,8 @@
   return NULL;
 }
 
-/* Prints one line for each entry that differs; how many did. */
+/* Prints one line for each entry of list @list that differs between two
+   manifests, and returns their number.  @field names an entry. */
 static int
 diff_list (json_t *old, json_t *new, const char *list, const char *field)
 {
@@ -181,7 +186,7 @@
   json_array_foreach (a, i, item)
     {
       const char *name = json_string_value (json_object_get (item, field));
-      json_t *other = named (b, field, name);
+      json_t *other = find_entry (b, field, name);
       if (other && json_equal (item, other))
         continue;
       printf ("%c %s %s\n", other ? '~' : '-', list, name);
@@ -190,7 +195,7 @@
   json_array_foreach (b, i, item)
     {
       const char *name = json_string_value (json_object_get (item, field));
-      if (named (a, field, name))
+      if (find_entry (a, field, name))
         continue;
       printf ("+ %s %s\n", list, name);
       n++;
@@ -202,35 +207,36 @@
 cmd_diff (const struct options *opt, const char *path)
 {
   struct conf c;
-  json_t *now = NULL;
+  json_t *current = NULL;
   json_t *old;
   json_t *new;
   char *text;
   size_t len;
   int n;
-  int code = load (path, &text, &len, &c);
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
-  code = fetch (opt, &now);
+  code = fetch_manifest (opt, &current);
   if (code == EXIT_DONE)
     {
-      old = json_object_get (now, "manifest");
+      old = json_object_get (current, "manifest");
       new = codec_write (&conf_desc, &c);
       n = diff_list (old, new, "teams", "name")
           + diff_list (old, new, "keys", "id")
           + diff_list (old, new, "queues", "name");
-      printf (
-          "%d differences from version %lld\n", n,
-          (long long)json_integer_value (json_object_get (now, "version")));
+      printf ("%d differences from version %lld\n", n,
+              (long long)json_integer_value (
+                  json_object_get (current, "version")));
       json_decref (new);
     }
-  json_decref (now);
+  json_decref (current);
   conf_free (&c);
   free (text);
   return code;
 }
 
+/* Writes random bytes to @out in hex, terminated. */
 static void
 random_hex (char *out, size_t bytes)
 {
@@ -242,7 +248,8 @@
     snprintf (out + 2 * i, 3, "%02x", raw[i]);
 }
 
-/* The secret is shown once, here; the manifest keeps only its salted hash. */
+/* This is the only time that the secret is shown: the manifest contains only a
+   salted hash of it. */
 int
 cmd_key (const struct options *opt, const char *id, const char *team)
 {
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -1,3 +1,4 @@
+/* HTTP requests to the entry instances, over libcurl. */
 #include "citronctl.h"
 
 #include <curl/curl.h>
@@ -8,9 +9,11 @@
 {
   CONNECT_MS = 3000,
   URL_SIZE = 512,
-  STREAMS_MAX = 16, /* instances watched at once */
+  /* Servers that rpc_stream() reads from at once; further ones are ignored. */
+  STREAMS_MAX = 16,
 };
 
+/* Appends a piece of the body to a struct answer. */
 static size_t
 on_body (char *data, size_t size, size_t n, void *arg)
 {
@@ -26,8 +29,9 @@
   return size * n;
 }
 
+/* Returns the headers of every request; the caller frees them. */
 static struct curl_slist *
-headers (const struct options *opt)
+request_headers (const struct options *opt)
 {
   struct curl_slist *list = NULL;
   char line[256];
@@ -42,9 +46,10 @@
   return list;
 }
 
+/* Creates a request; @server is the start of the URL and not terminated. */
 static CURL *
-request (const struct options *opt, const char *method, const char *server,
-         size_t server_len, const char *path, struct curl_slist *list)
+request_new (const struct options *opt, const char *method, const char *server,
+             size_t server_len, const char *path, struct curl_slist *list)
 {
   CURL *e = curl_easy_init ();
   char url[URL_SIZE];
@@ -60,13 +65,14 @@
   return e;
 }
 
+/* Sends a request to one server and fills in *@a. */
 static void
-rpc_one (const struct options *opt, const char *method, const char *server,
+send_to (const struct options *opt, const char *method, const char *server,
          size_t server_len, const char *path, const char *body, size_t len,
          struct answer *a)
 {
-  struct curl_slist *list = headers (opt);
-  CURL *e = request (opt, method, server, server_len, path, list);
+  struct curl_slist *list = request_headers (opt);
+  CURL *e = request_new (opt, method, server, server_len, path, list);
   long sent = 0;
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_body);
@@ -94,7 +100,7 @@
   while (*server && a->status == 0 && !a->sent)
     {
       size_t n = strcspn (server, ",");
-      rpc_one (opt, method, server, n, path, body, len, a);
+      send_to (opt, method, server, n, path, body, len, a);
       server += n;
       server += *server == ',';
     }
@@ -134,14 +140,16 @@
     }
 }
 
-/* struct stream - a line being put together */
+/* struct stream - the response of one server of rpc_stream() */
 struct stream
 {
+  /* The line received so far; NULL before the first byte. */
   char *buf;
   size_t len;
-  void (*line) (const char *text, size_t len);
+  void (*on_line) (const char *text, size_t len);
 };
 
+/* Splits a piece of the body into lines. */
 static size_t
 on_stream (char *data, size_t size, size_t n, void *arg)
 {
@@ -152,7 +160,7 @@
     {
       if (data[i] == '\n')
         {
-          st->line (st->buf, st->len);
+          st->on_line (st->buf, st->len);
           st->len = 0;
           continue;
         }
@@ -169,14 +177,16 @@
 stream_open (const struct options *opt, const char *server, size_t len,
              const char *path, struct curl_slist *list, struct stream *st)
 {
-  CURL *e = request (opt, "GET", server, len, path, list);
+  CURL *e = request_new (opt, "GET", server, len, path, list);
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_stream);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, st);
   return e;
 }
 
-/* Runs all streams until the last has ended; the best exit code. */
+/* Runs all streams until the last one has ended.  Returns EXIT_DONE if one of
+   them was successful, else the exit code of the last response, or
+   EXIT_NOT_RUN if there was none. */
 static int
 stream_run (CURLM *multi)
 {
@@ -204,11 +214,11 @@
 
 int
 rpc_stream (const struct options *opt, const char *path,
-            void (*line) (const char *text, size_t len))
+            void (*on_line) (const char *text, size_t len))
 {
   struct stream streams[STREAMS_MAX] = { 0 };
   CURL *easy[STREAMS_MAX];
-  struct curl_slist *list = headers (opt);
+  struct curl_slist *list = request_headers (opt);
   CURLM *multi = curl_multi_init ();
   const char *server = opt->servers;
   int n = 0;
@@ -217,7 +227,7 @@
   while (*server && n < STREAMS_MAX)
     {
       size_t len = strcspn (server, ",");
-      streams[n].line = line;
+      streams[n].on_line = on_line;
       easy[n] = stream_open (opt, server, len, path, list, &streams[n]);
       curl_multi_add_handle (multi, easy[n]);
       n++;
--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -1,6 +1,7 @@
 /*
- * Workers and executors: one sync is one POST of struct sync_req, answered by
- * struct sync_rep.  What is assumed of a worker stands with those structs.
+ * Syncs with workers and executors: one sync is one POST of struct sync_req,
+ * answered by struct sync_rep.  The assumptions about workers are documented
+ * with those structs.
  */
 #include "citronlbd.h"
 
@@ -13,6 +14,7 @@
   SYNC_CONNECT_MS = 1000,
 };
 
+/* struct sync_call - a sync that has not been answered */
 struct sync_call
 {
   struct daemon *d;
@@ -49,7 +51,7 @@
     .type = "application/json",
     .timeout_ms = SYNC_TIMEOUT_MS,
     .connect_ms = SYNC_CONNECT_MS,
-    /* A start is never sent again behind our back on another connection. */
+    /* libcurl must not send a start a second time on another connection. */
     .new_connection = req->n_starts > 0,
     .on_end = on_end,
   };
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -14,23 +14,34 @@
 
 enum
 {
+  /* Interval of fleet_tick() on the leader and on the other instances. */
   TICK_LEADER_MS = 10,
   TICK_FOLLOWER_MS = 25,
-  EXEC_CONNECTIONS = 4, /* to one executor: a question for ends, and starts */
-  EXEC_CONNECTIONS_KEPT = 1500,
-  STORE_CONNECTIONS = 24, /* three feeds, the journal, and callers' writes */
-  STORE_CONNECTIONS_KEPT = 32,
-  BODY_MAX = 256 << 10, /* bytes of a caller's request */
-  /* The platform sends new connections here until it has missed two looks at
-     the readiness, one a second. */
-  LINGER_MS = 3000,
+  /* Connections to one executor: a poll for ended tasks, and starts. */
+  EXEC_CONNECTIONS = 4,
+  /* Idle connections kept open, over all executors. */
+  EXEC_IDLE_CONNECTIONS = 1500,
+  /* Connections to the table service: three feeds, the journal, and callers'
+     writes. */
+  STORE_CONNECTIONS = 24,
+  STORE_IDLE_CONNECTIONS = 32,
+  /* Maximum bytes of the body of a caller's request. */
+  BODY_MAX = 256 << 10,
+  /* Time from the signal to stop until the instance stops listening.  The
+     platform routes new connections here until two readiness checks, one per
+     second, have failed. */
+  STOP_DELAY_MS = 3000,
+  /* The process exits this long before the platform kills it. */
   KILL_MARGIN_MS = 500,
-  LOAD_EVERY_MS = 1000,
+  /* Interval of the log lines about the load. */
+  LOAD_INTERVAL_MS = 1000,
 };
 
+/* struct fleetd - the event loop, the fleet and the sockets around it */
 struct fleetd
 {
   struct pf_settings set;
+  /* Path of the settings file. */
   const char *path;
   uv_loop_t *loop;
   uv_timer_t timer;
@@ -41,19 +52,27 @@
   struct pf_store store;
   struct pf_orders orders;
   struct links *links;
+  /* Servers for callers' requests, readiness checks and metrics; metrics is
+     NULL if the settings have no address for it. */
   struct httpd *callers;
   struct httpd *ready;
   struct httpd *metrics;
-  bool pumping;
-  int64_t stop_ms; /* told to stop then; 0: not */
-  bool closed;
-  int64_t load_ms; /* the last line about the load */
+  /* process_outputs() is running. */
+  bool processing_outputs;
+  /* Time of the signal to stop; 0: none has arrived. */
+  int64_t stop_ms;
+  /* The callers' server has stopped listening. */
+  bool listener_closed;
+  /* Time of the last log line about the load, and the CPU time of the process
+     at that time. */
+  int64_t load_logged_ms;
   int64_t load_cpu_ms;
 };
 
-/* Goes on while the machine is suspended: a lease must not seem to last. */
+/* Returns a clock that also advances while the machine is suspended, so that a
+   lease expires then. */
 static int64_t
-boot_ms (void)
+boottime_ms (void)
 {
   struct timespec ts;
 
@@ -88,6 +107,7 @@
   free (buf);
 }
 
+/* Carries out one output of the fleet. */
 static void
 carry_out (struct fleetd *d, struct out *o)
 {
@@ -119,21 +139,23 @@
     }
 }
 
+/* Carries out all queued outputs of the fleet. */
 static void
-pump (struct fleetd *d)
+process_outputs (struct fleetd *d)
 {
   struct out *o;
 
-  /* What is carried out may call back in here: the outer loop goes on. */
-  if (d->pumping)
+  /* An output's callback may call this function again; the outer call then
+     carries out the new outputs. */
+  if (d->processing_outputs)
     return;
-  d->pumping = true;
+  d->processing_outputs = true;
   while ((o = fleet_next_out (&d->fleet)))
     {
       carry_out (d, o);
       out_free (o);
     }
-  d->pumping = false;
+  d->processing_outputs = false;
 }
 
 static void
@@ -141,8 +163,8 @@
 {
   struct fleetd *d = arg;
 
-  fleet_store_reply (&d->fleet, boot_ms (), token, rep);
-  pump (d);
+  fleet_store_reply (&d->fleet, boottime_ms (), token, rep);
+  process_outputs (d);
 }
 
 static void
@@ -150,8 +172,8 @@
 {
   struct fleetd *d = arg;
 
-  fleet_order_result (&d->fleet, boot_ms (), o, res);
-  pump (d);
+  fleet_order_result (&d->fleet, boottime_ms (), o, res);
+  process_outputs (d);
 }
 
 static void
@@ -166,14 +188,14 @@
       log_line ("event=bad-message");
       return;
     }
-  fleet_mesh_msg (&d->fleet, boot_ms (), &m);
+  fleet_mesh_msg (&d->fleet, boottime_ms (), &m);
   mesh_clear (&m);
 }
 
 static void
 on_received (void *arg)
 {
-  pump (arg);
+  process_outputs (arg);
 }
 
 static void
@@ -183,16 +205,16 @@
   struct fleet_request req;
 
   pf_request (rq, &req);
-  fleet_request (&d->fleet, boot_ms (), wall_ms (), &req);
-  pump (d);
+  fleet_request (&d->fleet, boottime_ms (), wall_ms (), &req);
+  process_outputs (d);
 }
 
 static void
-on_caller_gone (void *arg, uint64_t no)
+on_caller_disconnect (void *arg, uint64_t id)
 {
   struct fleetd *d = arg;
 
-  fleet_request_aborted (&d->fleet, no);
+  fleet_request_aborted (&d->fleet, id);
 }
 
 static void
@@ -202,7 +224,7 @@
   int status = 404;
 
   if (pf_is_ready_path (rq->path))
-    status = fleet_ready (&d->fleet, boot_ms ()) ? 200 : 503;
+    status = fleet_ready (&d->fleet, boottime_ms ()) ? 200 : 503;
   httpd_answer (d->ready, rq->id, status, "text/plain", "", 0, 0);
 }
 
@@ -225,23 +247,24 @@
 }
 
 static void
-ignore_gone (void *arg, uint64_t no)
+ignore_disconnect (void *arg, uint64_t id)
 {
   (void)arg;
-  (void)no;
+  (void)id;
 }
 
+/* Opens an HTTP server; NULL after a message on standard error. */
 static struct httpd *
-serve (struct fleetd *d, const char *addr,
-       void (*on_request) (void *arg, const struct httpd_req *rq),
-       void (*on_gone) (void *arg, uint64_t no))
+open_server (struct fleetd *d, const char *addr,
+             void (*on_request) (void *arg, const struct httpd_req *rq),
+             void (*on_disconnect) (void *arg, uint64_t id))
 {
   struct httpd_conf conf = {
     .addr = addr,
     .body_max = BODY_MAX,
     .arg = d,
     .on_request = on_request,
-    .on_disconnect = on_gone,
+    .on_disconnect = on_disconnect,
   };
   int err;
   struct httpd *h = httpd_new (d->loop, &conf, &err);
@@ -251,17 +274,18 @@
   return h;
 }
 
-/* Once callers no longer come here, or shortly before the kill. */
+/* Ends the event loop after a signal to stop, once no request of a caller is
+   pending or shortly before the platform kills the process. */
 static void
 stop_when_done (struct fleetd *d)
 {
-  int64_t since = boot_ms () - d->stop_ms;
+  int64_t since = boottime_ms () - d->stop_ms;
 
-  if (!d->stop_ms || since < LINGER_MS)
+  if (!d->stop_ms || since < STOP_DELAY_MS)
     return;
-  if (!d->closed)
+  if (!d->listener_closed)
     {
-      d->closed = true;
+      d->listener_closed = true;
       httpd_stop (d->callers);
     }
   if (httpd_n_pending (d->callers) == 0
@@ -278,29 +302,29 @@
   return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* What the instance was busy with in the last second. */
+/* Logs the instance's load since the last such line. */
 static void
 log_load (struct fleetd *d)
 {
   const struct fleet *f = &d->fleet;
   const struct fsched_stats *s = &f->stats.fsched;
   char line[256];
-  int64_t now = boot_ms ();
+  int64_t now = boottime_ms ();
   int64_t cpu = cpu_ms ();
 
-  if (now - d->load_ms < LOAD_EVERY_MS)
+  if (now - d->load_logged_ms < LOAD_INTERVAL_MS)
     return;
   snprintf (
       line, sizeof line,
       "event=load over_ms=%lld cpu_ms=%lld callers=%d leading=%d "
       "jobs=%d starts=%llu questions=%llu passes=%llu dropped_lines=%llu",
-      (long long)(now - d->load_ms), (long long)(cpu - d->load_cpu_ms),
+      (long long)(now - d->load_logged_ms), (long long)(cpu - d->load_cpu_ms),
       f->n_requests, f->leader.state == LEADER_LEADING,
       f->fsched ? f->fsched->n_jobs : 0, (unsigned long long)s->starts,
       (unsigned long long)s->queries, (unsigned long long)s->passes,
       (unsigned long long)logline_stats ()->dropped);
   log_line (line);
-  d->load_ms = now;
+  d->load_logged_ms = now;
   d->load_cpu_ms = cpu;
 }
 
@@ -310,8 +334,8 @@
   struct fleetd *d = t->data;
   int64_t pause;
 
-  fleet_tick (&d->fleet, boot_ms (), wall_ms ());
-  pump (d);
+  fleet_tick (&d->fleet, boottime_ms (), wall_ms ());
+  process_outputs (d);
   log_load (d);
   logline_flush ();
   pause = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
@@ -319,6 +343,7 @@
   stop_when_done (d);
 }
 
+/* Reads the settings file again, on SIGHUP. */
 static void
 reload (struct fleetd *d)
 {
@@ -330,7 +355,7 @@
       log_line ("event=settings-refused");
       return;
     }
-  /* Addresses are those of the boot; the bounds may change. */
+  /* Only these two bounds can change while the process runs. */
   d->set.grace_ms = set.grace_ms;
   d->fleet.settings.revoke_ms = set.revoke_ms;
   log_line ("event=settings-reloaded");
@@ -348,10 +373,10 @@
     }
   if (d->stop_ms)
     return;
-  d->stop_ms = boot_ms ();
+  d->stop_ms = boottime_ms ();
   log_line ("event=stopping");
   fleet_stop (&d->fleet, d->stop_ms);
-  pump (d);
+  process_outputs (d);
 }
 
 static void
@@ -378,9 +403,11 @@
   clb_copy (set.id, d->set.id, sizeof set.id);
   clb_copy (set.zone, d->set.zone, sizeof set.zone);
   clb_copy (set.mesh_addr, d->set.mesh_addr, sizeof set.mesh_addr);
-  fleet_init (&d->fleet, &set, boot_ms ());
+  fleet_init (&d->fleet, &set, boottime_ms ());
 }
 
+/* Opens all clients, links and servers; false after a message on standard
+   error. */
 static bool
 open_all (struct fleetd *d)
 {
@@ -391,18 +418,20 @@
                               .on_received = on_received };
 
   d->store_http = httpc_new (d->loop);
-  httpc_limit (d->store_http, STORE_CONNECTIONS, STORE_CONNECTIONS_KEPT);
+  httpc_limit (d->store_http, STORE_CONNECTIONS, STORE_IDLE_CONNECTIONS);
   d->exec_http = httpc_new (d->loop);
-  httpc_limit (d->exec_http, EXEC_CONNECTIONS, EXEC_CONNECTIONS_KEPT);
+  httpc_limit (d->exec_http, EXEC_CONNECTIONS, EXEC_IDLE_CONNECTIONS);
   d->store
       = (struct pf_store){ d->store_http, d->set.store_addr, d, on_store };
   d->orders
       = (struct pf_orders){ d->exec_http, d->set.advice_addr, d, on_order };
   d->links = links_new (&links);
-  d->callers = serve (d, d->set.callers_addr, on_caller, on_caller_gone);
-  d->ready = serve (d, d->set.ready_addr, on_ready, ignore_gone);
+  d->callers
+      = open_server (d, d->set.callers_addr, on_caller, on_caller_disconnect);
+  d->ready = open_server (d, d->set.ready_addr, on_ready, ignore_disconnect);
   if (*d->set.metrics_addr)
-    d->metrics = serve (d, d->set.metrics_addr, on_metrics, ignore_gone);
+    d->metrics
+        = open_server (d, d->set.metrics_addr, on_metrics, ignore_disconnect);
   return d->links && d->callers && d->ready
          && (d->metrics || !*d->set.metrics_addr);
 }
--- a/citronlbd/fleetd.h
+++ b/citronlbd/fleetd.h
@@ -1,12 +1,12 @@
 /**
- * DOC: The daemon on the fleet's platform: sockets, timers and signals round
- * the core's struct fleet.
+ * DOC: The daemon on the fleet's platform: sockets, timers and signals around
+ * struct fleet, which does no input or output of its own.
  */
 #ifndef FLEETD_H
 #define FLEETD_H
 
 /**
- * fleetd_run() - Run until told to stop.
+ * fleetd_run() - Run one instance until a signal stops it.
  * @settings: path of the settings file
  *
  * Return: an exit status of sysexits.h.
--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -1,4 +1,7 @@
-/* Lines only for changes of state; everything else is a counter. */
+/*
+ * Log lines on standard error.  Only changes of state are logged; everything
+ * else is counted.
+ */
 #include "citronlbd.h"
 
 #include <log4c.h>
--- a/citronlbd/logline.c
+++ b/citronlbd/logline.c
@@ -7,16 +7,19 @@
 #include <string.h>
 #include <unistd.h>
 
+/* Lines not yet written to standard output. */
 static char buffer[LOGLINE_BUFFER];
 static size_t buffered;
 static struct logline_stats stats;
-static int64_t second;
-static int in_second;
-static uint64_t told_dropped;
+/* Second of the last logline_write(), and the number of calls in it. */
+static int64_t current_second;
+static int lines_in_second;
+/* stats.dropped as last logged by an event=log-dropped line. */
+static uint64_t reported_dropped;
 static char node_name[96];
 static log4c_category_t *category;
 
-/* log4c's appender: into the buffer that logline_flush() empties. */
+/* log4c appender: adds a line to the buffer, which logline_flush() writes. */
 static int
 append (log4c_appender_t *app, const log4c_logging_event_t *event)
 {
@@ -35,15 +38,16 @@
   return 0;
 }
 
+/* Opens and closes the log4c appender, which needs neither. */
 static int
-open_nothing (log4c_appender_t *app)
+no_op (log4c_appender_t *app)
 {
   (void)app;
   return 0;
 }
 
 static const log4c_appender_type_t line_type
-    = { "citronlb-line", open_nothing, append, open_nothing };
+    = { "citronlb-line", no_op, append, no_op };
 
 void
 logline_open (const char *node)
@@ -65,6 +69,7 @@
   log4c_category_set_priority (category, LOG4C_PRIORITY_INFO);
 }
 
+/* Passes one line to log4c, which calls append(). */
 static void
 put (int64_t now_ms, const char *line)
 {
@@ -76,20 +81,20 @@
 void
 logline_write (int64_t now_ms, const char *line)
 {
-  if (now_ms / 1000 != second)
+  if (now_ms / 1000 != current_second)
     {
       char note[64];
-      second = now_ms / 1000;
-      in_second = 0;
-      if (stats.dropped != told_dropped)
+      current_second = now_ms / 1000;
+      lines_in_second = 0;
+      if (stats.dropped != reported_dropped)
         {
           snprintf (note, sizeof note, "event=log-dropped lines=%llu",
-                    (unsigned long long)(stats.dropped - told_dropped));
-          told_dropped = stats.dropped;
+                    (unsigned long long)(stats.dropped - reported_dropped));
+          reported_dropped = stats.dropped;
           put (now_ms, note);
         }
     }
-  if (++in_second > LOGLINE_RATE)
+  if (++lines_in_second > LOGLINE_RATE)
     stats.dropped++;
   else
     put (now_ms, line);
@@ -107,7 +112,7 @@
         return;
       if (n <= 0)
         {
-          /* Nobody reads any more. */
+          /* The reader has closed the pipe. */
           stats.dropped++;
           buffered = 0;
           return;
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -13,10 +13,13 @@
 
 enum
 {
-  TICK_BUSY_MS = 2, /* while records wait to be written */
+  /* Interval of node_tick() while journal records are being written or wait
+     for it, and otherwise. */
+  TICK_BUSY_MS = 2,
   TICK_IDLE_MS = 20,
-  /* Callers that came by an old list are answered this long. */
-  LINGER_MS = 500,
+  /* Time that a stopped node still accepts connections, for callers that use
+     an old list of instances. */
+  STOP_DELAY_MS = 500,
 };
 
 int64_t
@@ -37,6 +40,7 @@
     peers_send (d, p->id, p->addr, &o->u.peer.msg);
 }
 
+/* Carries out one output of the node. */
 static void
 carry_out (struct daemon *d, const struct out *o)
 {
@@ -62,7 +66,8 @@
 {
   struct out *o;
 
-  /* What is carried out may call back in here: the outer loop goes on. */
+  /* An output's callback may call this function again; the outer call then
+     carries out the new outputs. */
   if (d->processing_outputs)
     return;
   d->processing_outputs = true;
@@ -74,6 +79,8 @@
   d->processing_outputs = false;
 }
 
+/* Ends the event loop after a signal to stop, once the node has stopped and no
+   request of a caller is pending. */
 static void
 stop_when_done (struct daemon *d)
 {
@@ -83,7 +90,7 @@
     return;
   if (since_ms == 0)
     since_ms = now_ms ();
-  if (now_ms () - since_ms >= LINGER_MS && serve_stop (d->serve))
+  if (now_ms () - since_ms >= STOP_DELAY_MS && serve_stop (d->serve))
     uv_stop (d->loop);
 }
 
@@ -131,6 +138,8 @@
   uv_signal_start (sig, on_signal, signum);
 }
 
+/* Writes the bound addresses to the address file, if one is set: the file is
+   renamed into place, so that a reader never sees a part of it. */
 static void
 write_addrs (const struct daemon *d)
 {
@@ -151,6 +160,7 @@
   rename (part, d->opt.addr_file);
 }
 
+/* Returns the number of this start: the wall clock in milliseconds. */
 static int64_t
 new_boot (void)
 {
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -1,3 +1,4 @@
+/* Settings: command-line flags and environment variables. */
 #include "citronlbd.h"
 
 #include <argp.h>
@@ -6,7 +7,7 @@
 #include <string.h>
 #include <sysexits.h>
 
-/* enum opt_key - flags without a short form */
+/* enum opt_key - argp keys of the flags, none of which has a short form */
 enum opt_key
 {
   OPT_ID = 0x100,
@@ -25,13 +26,16 @@
   OPT_FLEET,
 };
 
-/* struct setting - one flag and the variable that stands in for it */
+/* struct setting - a flag and the environment variable used without it */
 struct setting
 {
+  /* enum opt_key */
   int key;
   const char *flag;
   const char *env;
-  const char *value; /* from the command line, else the environment */
+  /* From the command line, else from the environment; NULL: not given.  "1"
+     for a flag without an argument. */
+  const char *value;
 };
 
 enum
@@ -58,29 +62,35 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "id", OPT_ID, "NAME", 0, "This entry instance's name", 0 },
-  { "domain", OPT_DOMAIN, "NAME", 0, "Its failure domain", 0 },
-  { "listen", OPT_LISTEN, "IP:PORT", 0, "For callers; port 0 takes any", 0 },
-  { "peer-listen", OPT_PEER_LISTEN, "IP:PORT", 0, "For other instances", 0 },
-  { "platform", OPT_PLATFORM, "IP:PORT", 0, "The platform's service", 0 },
-  { "tls-cert", OPT_TLS_CERT, "FILE", 0, "Certificate chain, PEM", 0 },
-  { "tls-key", OPT_TLS_KEY, "FILE", 0, "Its key, PEM", 0 },
-  { "peer-public", OPT_PEER_PUBLIC, "Z85", 0, "Public key of peer links", 0 },
+  { "id", OPT_ID, "NAME", 0, "Name of this entry instance", 0 },
+  { "domain", OPT_DOMAIN, "NAME", 0, "Failure domain of this instance", 0 },
+  { "listen", OPT_LISTEN, "IP:PORT", 0,
+    "Address for callers; port 0 selects a free one", 0 },
+  { "peer-listen", OPT_PEER_LISTEN, "IP:PORT", 0,
+    "Address for other instances", 0 },
+  { "platform", OPT_PLATFORM, "IP:PORT", 0,
+    "Address of the platform's service", 0 },
+  { "tls-cert", OPT_TLS_CERT, "FILE", 0, "Certificate chain in PEM format",
+    0 },
+  { "tls-key", OPT_TLS_KEY, "FILE", 0,
+    "Private key of the certificate in PEM format", 0 },
+  { "peer-public", OPT_PEER_PUBLIC, "Z85", 0, "Public key for peer links", 0 },
   { "peer-secret-file", OPT_PEER_SECRET_FILE, "FILE", 0,
-    "File with the secret key of peer links", 0 },
+    "File with the secret key for peer links", 0 },
   { "peer-permitted", OPT_PEER_PERMITTED, "Z85,...", 0,
-    "Public keys that peers may show; the own one if not given", 0 },
+    "Public keys that peers may use; default: the one of --peer-public", 0 },
   { "insecure-peers", OPT_INSECURE_PEERS, NULL, 0,
-    "Peer links in clear text, for a demonstration", 0 },
+    "Peer links in clear text, open to everyone; for demonstrations only", 0 },
   { "first-key", OPT_FIRST_KEY, "SALT:HASH", 0,
-    "Operator's key until a manifest is accepted", 0 },
+    "Operator's key that works until a manifest is accepted", 0 },
   { "addr-file", OPT_ADDR_FILE, "FILE", 0,
-    "Write the addresses listened on to this file", 0 },
+    "Write the bound addresses to this file", 0 },
   { "fleet", OPT_FLEET, "FILE", 0,
-    "Run on the fleet's platform, with its settings in FILE", 0 },
+    "Run on the fleet's platform, with the settings in FILE", 0 },
   { 0 },
 };
 
+/* Returns the setting of an enum opt_key, or NULL if @key is none. */
 static struct setting *
 setting_of (int key)
 {
@@ -104,7 +114,8 @@
   return 0;
 }
 
-static void __attribute__ ((noreturn)) bad (int key, const char *what)
+/* Reports a wrong setting and exits. */
+static void __attribute__ ((noreturn)) bad_setting (int key, const char *what)
 {
   const struct setting *s = setting_of (key);
 
@@ -118,23 +129,25 @@
   return setting_of (key)->value;
 }
 
+/* Checks a required name and copies it to @out. */
 static void
-take_name (int key, char *out, size_t size)
+read_name (int key, char *out, size_t size)
 {
   const char *v = value_of (key);
 
   if (!v || !*v)
-    bad (key, "must be set");
+    bad_setting (key, "must be set");
   if (strlen (v) >= size || strlen (v) > 30
       || strspn (v, "abcdefghijklmnopqrstuvwxyz"
                     "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-")
              != strlen (v))
-    bad (key, "1 to 30 letters, digits, '_' and '-'");
+    bad_setting (key, "must be 1 to 30 letters, digits, '_' or '-'");
   clb_copy (out, v, size);
 }
 
+/* Checks a required "ip:port" and copies it to @out. */
 static void
-take_addr (int key, char *out)
+read_addr (int key, char *out)
 {
   const char *v = value_of (key);
   struct sockaddr_in sa;
@@ -142,46 +155,50 @@
   char *end;
 
   if (!v)
-    bad (key, "must be set");
+    bad_setting (key, "must be set");
   clb_copy (ip, v, sizeof ip);
   char *colon = strrchr (ip, ':');
   if (!colon || strlen (v) >= CLB_ADDR_MAX)
-    bad (key, "must be IP:PORT");
+    bad_setting (key, "must be IP:PORT");
   *colon = '\0';
   long port = strtol (colon + 1, &end, 10);
   if (end == colon + 1 || *end || port < 0 || port > 65535)
-    bad (key, "the port must be 0 to 65535");
+    bad_setting (key, "the port must be 0 to 65535");
   if (uv_ip4_addr (ip, (int)port, &sa))
-    bad (key, "not an IP number");
+    bad_setting (key, "must be an IPv4 address");
   clb_copy (out, v, CLB_ADDR_MAX);
 }
 
+/* Checks the length of a key in Z85 and copies it to @out. */
 static void
-take_z85 (int key, const char *v, char out[KEY_Z85_SIZE])
+read_key (int key, const char *v, char out[KEY_Z85_SIZE])
 {
   if (strlen (v) != KEY_Z85_SIZE - 1)
-    bad (key, "a key has 40 characters");
+    bad_setting (key, "a key must have 40 characters");
   clb_copy (out, v, KEY_Z85_SIZE);
 }
 
+/* Reads the secret key from the first line of its file. */
 static void
-take_secret (struct options *opt)
+read_secret (struct options *opt)
 {
   const char *path = value_of (OPT_PEER_SECRET_FILE);
   char line[128] = "";
   FILE *f = fopen (path, "r");
 
   if (!f)
-    bad (OPT_PEER_SECRET_FILE, "cannot be read");
+    bad_setting (OPT_PEER_SECRET_FILE, "cannot be read");
   if (!fgets (line, sizeof line, f))
     line[0] = '\0';
   fclose (f);
   line[strcspn (line, "\r\n")] = '\0';
-  take_z85 (OPT_PEER_SECRET_FILE, line, opt->peer_secret);
+  read_key (OPT_PEER_SECRET_FILE, line, opt->peer_secret);
 }
 
+/* Reads the public keys that peers may use; without that setting, only the
+   instance's own public key. */
 static void
-take_permitted (struct options *opt)
+read_permitted (struct options *opt)
 {
   const char *v = value_of (OPT_PEER_PERMITTED);
   char copy[PERMITTED_MAX * KEY_Z85_SIZE + 1];
@@ -190,31 +207,35 @@
   if (!v)
     v = opt->peer_public;
   if (strlen (v) >= sizeof copy)
-    bad (OPT_PEER_PERMITTED, "at most 8 keys");
+    bad_setting (OPT_PEER_PERMITTED, "must be at most 8 keys");
   clb_copy (copy, v, sizeof copy);
   for (char *k = strtok_r (copy, ",", &save); k;
        k = strtok_r (NULL, ",", &save))
     if (opt->n_permitted < PERMITTED_MAX)
-      take_z85 (OPT_PEER_PERMITTED, k, opt->permitted[opt->n_permitted++]);
+      read_key (OPT_PEER_PERMITTED, k, opt->permitted[opt->n_permitted++]);
 }
 
+/* Reads the keys of the links between instances. */
 static void
-take_peer_keys (struct options *opt)
+read_peer_keys (struct options *opt)
 {
   opt->insecure_peers = value_of (OPT_INSECURE_PEERS) != NULL;
   if (opt->insecure_peers)
     return;
   if (!value_of (OPT_PEER_PUBLIC))
-    bad (OPT_PEER_PUBLIC, "must be set, or --insecure-peers");
+    bad_setting (OPT_PEER_PUBLIC, "must be set, unless --insecure-peers is");
   if (!value_of (OPT_PEER_SECRET_FILE))
-    bad (OPT_PEER_SECRET_FILE, "must be set, or --insecure-peers");
-  take_z85 (OPT_PEER_PUBLIC, value_of (OPT_PEER_PUBLIC), opt->peer_public);
-  take_secret (opt);
-  take_permitted (opt);
+    bad_setting (OPT_PEER_SECRET_FILE,
+                 "must be set, unless --insecure-peers is");
+  read_key (OPT_PEER_PUBLIC, value_of (OPT_PEER_PUBLIC), opt->peer_public);
+  read_secret (opt);
+  read_permitted (opt);
 }
 
+/* Reads the optional key of an operator, valid until a manifest is accepted.
+ */
 static void
-take_first_key (struct options *opt)
+read_first_key (struct options *opt)
 {
   const char *v = value_of (OPT_FIRST_KEY);
   const char *colon = v ? strchr (v, ':') : NULL;
@@ -223,7 +244,8 @@
     return;
   if (!colon || (size_t)(colon - v) >= sizeof opt->node.first_salt
       || strlen (colon + 1) != CONF_HASH_HEX - 1)
-    bad (OPT_FIRST_KEY, "must be SALT:HASH as 'citronctl key' prints it");
+    bad_setting (OPT_FIRST_KEY,
+                 "must be SALT:HASH as printed by 'citronctl key'");
   memcpy (opt->node.first_salt, v, (size_t)(colon - v));
   clb_copy (opt->node.first_hash, colon + 1, CONF_HASH_HEX);
 }
@@ -244,18 +266,18 @@
   opt->fleet_file = value_of (OPT_FLEET);
   if (opt->fleet_file)
     return;
-  take_name (OPT_ID, opt->node.id, sizeof opt->node.id);
-  take_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
-  take_addr (OPT_LISTEN, opt->listen);
-  take_addr (OPT_PEER_LISTEN, opt->peer_listen);
-  take_addr (OPT_PLATFORM, opt->platform);
+  read_name (OPT_ID, opt->node.id, sizeof opt->node.id);
+  read_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
+  read_addr (OPT_LISTEN, opt->listen);
+  read_addr (OPT_PEER_LISTEN, opt->peer_listen);
+  read_addr (OPT_PLATFORM, opt->platform);
   opt->cert = value_of (OPT_TLS_CERT);
   opt->key = value_of (OPT_TLS_KEY);
   if (opt->cert && !opt->key)
-    bad (OPT_TLS_KEY, "must be set with --tls-cert");
+    bad_setting (OPT_TLS_KEY, "must be set with --tls-cert");
   if (opt->key && !opt->cert)
-    bad (OPT_TLS_CERT, "must be set with --tls-key");
-  take_peer_keys (opt);
-  take_first_key (opt);
+    bad_setting (OPT_TLS_CERT, "must be set with --tls-key");
+  read_peer_keys (opt);
+  read_first_key (opt);
   opt->addr_file = value_of (OPT_ADDR_FILE);
 }
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -1,4 +1,4 @@
-/* Peer messages over the links between entry instances. */
+/* Encodes and decodes the messages on the links between entry instances. */
 #include "citronlbd.h"
 
 #include <stdlib.h>
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -1,10 +1,10 @@
 /*
  * The platform's table service, object store and instance list.
  *
- * Assumed: an operation is one POST of struct store_op, its answer one struct
- * store_rep.  503 says that it had no effect, 504 that it may have had one;
- * a transaction is applied whole or not at all, and a row's version rises
- * with each write of it.
+ * An operation is one POST of struct store_op, answered by one struct
+ * store_rep.  Assumptions about the platform: status 503 means that the
+ * operation had no effect, 504 that it may have had one; a transaction is
+ * atomic; and each write of a row raises its version.
  */
 #include "citronlbd.h"
 
@@ -19,13 +19,14 @@
   STATUS_NO_EFFECT = 503,
 };
 
-/* struct store_call - an operation under way */
+/* struct store_call - an operation in progress */
 struct store_call
 {
   struct daemon *d;
   uint64_t token;
 };
 
+/* Sets *@rep to the answer, or its err to the outcome of a failed request. */
 static void
 read_rep (struct store_rep *rep, int end, int status, const char *body,
           size_t len)
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -1,4 +1,7 @@
-/* Callers over HTTP; their service requests go on to executors from here. */
+/*
+ * HTTP server for callers.  It passes their requests to the node, forwards
+ * service requests to executors, and streams decisions to watchers.
+ */
 #include "citronlbd.h"
 
 #include <stdio.h>
@@ -7,35 +10,45 @@
 
 enum
 {
-  SERVICE_BODY_MAX = 8 << 20,  /* bytes of any request's body */
-  STREAM_AHEAD_MAX = 1 << 20,  /* bytes kept for a slow caller */
-  WATCH_AHEAD_MAX = 256 << 10, /* bytes kept for a slow watcher */
+  /* Maximum bytes of a request's body. */
+  REQUEST_BODY_MAX = 8 << 20,
+  /* Unsent bytes of a response at which reading from the executor pauses. */
+  STREAM_BUFFER_MAX = 1 << 20,
+  /* Unsent bytes beyond which a watcher misses events. */
+  WATCH_BUFFER_MAX = 256 << 10,
   EXECUTOR_CONNECT_MS = 1000,
 };
 
-/* struct forward - a service request, from its caller's side */
+/* struct forward - a service request that has not been answered */
 struct forward
 {
   RB_ENTRY (forward) by_call;
   struct serve *s;
+  /* Id of the caller's request at the HTTP server. */
   uint64_t call;
-  uint64_t xfer; /* 0 while not at an executor */
+  /* Id of the request to the executor; 0: there is none at present. */
+  uint64_t xfer;
   char *path;
   char *type;
   char *body;
   size_t body_len;
-  bool begun; /* the answer's head has gone to the caller */
+  /* The head of the response has been sent to the caller. */
+  bool head_sent;
+  /* The caller has closed its connection. */
   bool caller_gone;
 };
 RB_HEAD (forward_tree, forward);
 
-/* struct watcher - a caller that watches decisions */
+/* struct watcher - a caller that receives decisions as they are taken */
 struct watcher
 {
   TAILQ_ENTRY (watcher) link;
   uint64_t call;
-  char team[CLB_NAME_MAX]; /* empty: all */
-  char id[CLB_ID_MAX];     /* empty: all */
+  /* Receives only decisions about this team's work; empty: all. */
+  char team[CLB_NAME_MAX];
+  /* Receives only decisions about this task; empty: all. */
+  char id[CLB_ID_MAX];
+  /* Events not sent since the last one sent. */
   uint64_t missed;
 };
 TAILQ_HEAD (watcher_list, watcher);
@@ -75,9 +88,10 @@
   free (f);
 }
 
-/* Kept until it is answered: the caller's connection may go before. */
+/* Copies a service request.  The copy lasts until the request is answered, as
+   the caller may close its connection earlier. */
 static void
-forward_keep (struct serve *s, const struct httpd_req *rq)
+forward_new (struct serve *s, const struct httpd_req *rq)
 {
   struct forward *f = calloc (1, sizeof *f);
 
@@ -107,10 +121,11 @@
   return strcmp (name, "DELETE") == 0 ? METHOD_DELETE : METHOD_OTHER;
 }
 
-/* Watching. */
+/* Watchers. */
 
+/* Reads the task id from the query of @path, if there is one. */
 static void
-watch_query (struct watcher *w, const char *path)
+parse_watch_query (struct watcher *w, const char *path)
 {
   const char *id = strstr (path, "id=");
 
@@ -123,6 +138,7 @@
     }
 }
 
+/* Starts a stream of decisions, or refuses it. */
 static void
 watch_begin (struct serve *s, const struct httpd_req *rq)
 {
@@ -145,12 +161,13 @@
     abort ();
   w->call = rq->id;
   clb_copy (w->team, team, sizeof w->team);
-  watch_query (w, rq->path);
+  parse_watch_query (w, rq->path);
   TAILQ_INSERT_TAIL (&s->watchers, w, link);
   httpd_begin (s->http, rq->id, 200, "application/x-ndjson");
   httpd_chunk (s->http, rq->id, "\n", 1);
 }
 
+/* Returns a decision as JSON that the caller frees. */
 static char *
 event_line (const struct event *e)
 {
@@ -165,13 +182,15 @@
   return text;
 }
 
+/* Sends a line to a watcher, or counts it as missed if too many bytes are
+   unsent. */
 static void
-watch_tell (struct serve *s, struct watcher *w, const char *line)
+watch_send (struct serve *s, struct watcher *w, const char *line)
 {
   char missed[64];
-  size_t ahead = httpd_chunk (s->http, w->call, "", 0);
+  size_t unsent = httpd_chunk (s->http, w->call, "", 0);
 
-  if (ahead > WATCH_AHEAD_MAX)
+  if (unsent > WATCH_BUFFER_MAX)
     {
       w->missed++;
       return;
@@ -187,6 +206,7 @@
   httpd_chunk (s->http, w->call, "\n", 1);
 }
 
+/* Logs a decision and sends it to the watchers that want it. */
 static void
 watch_event (struct serve *s, const struct event *e)
 {
@@ -200,12 +220,13 @@
   TAILQ_FOREACH (w, &s->watchers, link)
     if ((!*w->team || strcmp (w->team, e->team) == 0)
         && (!*w->id || strcmp (w->id, e->id) == 0))
-      watch_tell (s, w, line);
+      watch_send (s, w, line);
   free (line);
 }
 
+/* Removes the watcher of a request; false if it is not a watcher's. */
 static bool
-watch_gone (struct serve *s, uint64_t call)
+watch_remove (struct serve *s, uint64_t call)
 {
   struct watcher *w;
 
@@ -219,7 +240,7 @@
   return false;
 }
 
-/* Requests. */
+/* Callers' requests. */
 
 static void
 on_request (void *arg, const struct httpd_req *rq)
@@ -241,18 +262,18 @@
       return;
     }
   if (strncmp (rq->path, "/v1/service/", strlen ("/v1/service/")) == 0)
-    forward_keep (s, rq);
+    forward_new (s, rq);
   node_request (&s->d->node, now_ms (), &r);
   process_outputs (s->d);
 }
 
 static void
-on_gone (void *arg, uint64_t no)
+on_disconnect (void *arg, uint64_t call)
 {
   struct serve *s = arg;
-  struct forward *f = forward_find (s, no);
+  struct forward *f = forward_find (s, call);
 
-  if (watch_gone (s, no))
+  if (watch_remove (s, call))
     return;
   if (f && f->xfer)
     {
@@ -260,30 +281,30 @@
       httpc_abort (s->d->http, f->xfer);
       return;
     }
-  node_caller_gone (&s->d->node, now_ms (), no);
+  node_caller_gone (&s->d->node, now_ms (), call);
   if (f)
     forward_free (f);
   process_outputs (s->d);
 }
 
 static void
-on_drained (void *arg, uint64_t no)
+on_drained (void *arg, uint64_t call)
 {
   struct serve *s = arg;
-  struct forward *f = forward_find (s, no);
+  struct forward *f = forward_find (s, call);
 
   if (f && f->xfer)
     httpc_resume (s->d->http, f->xfer);
 }
 
-/* At the executor. */
+/* Requests to executors. */
 
 static void
 on_head (void *arg, int status, const char *type)
 {
   struct forward *f = arg;
 
-  f->begun = true;
+  f->head_sent = true;
   httpd_begin (f->s->http, f->call, status, type);
 }
 
@@ -292,15 +313,16 @@
 {
   struct forward *f = arg;
 
-  return httpd_chunk (f->s->http, f->call, data, len) < STREAM_AHEAD_MAX;
+  return httpd_chunk (f->s->http, f->call, data, len) < STREAM_BUFFER_MAX;
 }
 
+/* Returns the enum forward_end of a request to an executor. */
 static int
 forward_result (const struct forward *f, int end, int status)
 {
   if (end == HTTPC_OK)
     return status >= 500 ? FORWARD_ERROR : FORWARD_OK;
-  if (f->begun || f->caller_gone)
+  if (f->head_sent || f->caller_gone)
     return FORWARD_ABORTED;
   return end == HTTPC_UNREACHED ? FORWARD_UNREACHED : FORWARD_FAILED;
 }
@@ -315,14 +337,15 @@
   (void)body;
   (void)len;
   f->xfer = 0;
-  if (f->begun)
+  if (f->head_sent)
     httpd_end (s->http, f->call, end == HTTPC_OK);
   node_forwarded (&s->d->node, now_ms (), f->call, result);
-  if (f->begun || f->caller_gone)
+  if (f->head_sent || f->caller_gone)
     forward_free (f);
   process_outputs (s->d);
 }
 
+/* Sends a service request to the executor that was granted. */
 static void
 forward_send (struct serve *s, const struct out *o)
 {
@@ -339,7 +362,8 @@
     .on_end = on_end,
   };
 
-  /* The process may have been paused since the slot was granted. */
+  /* If the process was paused since the slot was granted, the grant may have
+     expired. */
   if (!f || !node_may_forward (&s->d->node, now_ms (), o->u.forward.call))
     {
       node_forwarded (&s->d->node, now_ms (), o->u.forward.call,
@@ -355,6 +379,7 @@
   f->xfer = httpc_send (s->d->http, &rq);
 }
 
+/* Sends the node's answer to a caller. */
 static void
 answer (struct serve *s, const struct out *o)
 {
@@ -394,12 +419,12 @@
   struct serve *s = calloc (1, sizeof *s);
   struct httpd_conf conf = {
     .addr = d->opt.listen,
-    .body_max = SERVICE_BODY_MAX,
+    .body_max = REQUEST_BODY_MAX,
     .cert = d->opt.cert,
     .key = d->opt.key,
     .arg = s,
     .on_request = on_request,
-    .on_disconnect = on_gone,
+    .on_disconnect = on_disconnect,
     .on_drained = on_drained,
   };
   int err;
--- a/net/httpc.c
+++ b/net/httpc.c
@@ -9,23 +9,34 @@
 
 enum
 {
-  CONNECTIONS_KEPT = 256, /* idle ones, for all servers together */
-  HANDLES_KEPT = 64,      /* of libcurl, to be used again */
-  ANSWER_MAX = 64 << 20,  /* bytes of an answer that is kept whole */
+  /* Idle connections kept open over all servers, unless httpc_limit() sets
+     another number. */
+  IDLE_CONNECTIONS_MAX = 256,
+  /* libcurl easy handles kept for reuse. */
+  IDLE_HANDLES_MAX = 64,
+  /* Maximum bytes of a response body that is collected for on_end; a longer
+     one fails the request. */
+  RESPONSE_MAX = 64 << 20,
 };
 
+/* struct xfer - a request that has not ended */
 struct xfer
 {
-  RB_ENTRY (xfer) by_no;
+  RB_ENTRY (xfer) by_id;
   struct httpc *c;
   CURL *easy;
   struct curl_slist *headers;
   struct httpc_req rq;
-  char *body; /* being sent */
-  uint64_t no;
+  /* Copy of the request's body, or NULL. */
+  char *body;
+  uint64_t id;
+  /* Body of the response as received so far, terminated; NULL while it is
+     empty and if on_data takes the body. */
   char *buf;
   size_t len;
-  bool head_told;
+  /* on_head has been called. */
+  bool head_delivered;
+  /* on_data has stopped the flow. */
   bool paused;
 };
 RB_HEAD (xfer_tree, xfer);
@@ -36,54 +47,59 @@
   uv_timer_t timer;
   CURLM *multi;
   struct xfer_tree xfers;
-  struct watch **watches; /* by descriptor */
+  /* Indexed by file descriptor; NULL where there is none yet. */
+  struct watch **watches;
   size_t n_watches;
-  CURL *idle[HANDLES_KEPT];
+  CURL *idle[IDLE_HANDLES_MAX];
   int n_idle;
-  uint64_t next_no;
+  uint64_t next_id;
 };
 
-/* struct watch - libuv's side of a descriptor of curl's.  It is kept for the
-   next socket with that number: curl closes some without telling. */
+/* struct watch - libuv poll handle of a file descriptor that libcurl uses.
+   It is never freed but reused for the next socket with the same descriptor:
+   libcurl closes some sockets without reporting CURL_POLL_REMOVE. */
 struct watch
 {
   uv_poll_t poll;
   struct httpc *c;
   curl_socket_t fd;
-  int events; /* polled for */
+  /* UV_READABLE and UV_WRITABLE as polled for; 0: not polled. */
+  int events;
 };
 
 static int
 xfer_cmp (const struct xfer *a, const struct xfer *b)
 {
-  return a->no < b->no ? -1 : a->no > b->no;
+  return a->id < b->id ? -1 : a->id > b->id;
 }
 
-RB_PROTOTYPE (xfer_tree, xfer, by_no, xfer_cmp)
-RB_GENERATE (xfer_tree, xfer, by_no, xfer_cmp)
+RB_PROTOTYPE (xfer_tree, xfer, by_id, xfer_cmp)
+RB_GENERATE (xfer_tree, xfer, by_id, xfer_cmp)
 
 static struct xfer *
-xfer_find (struct httpc *c, uint64_t no)
+xfer_find (struct httpc *c, uint64_t id)
 {
-  struct xfer key = { .no = no };
+  struct xfer key = { .id = id };
 
   return RB_FIND (xfer_tree, &c->xfers, &key);
 }
 
+/* Calls on_head unless it has been called. */
 static void
-tell_head (struct xfer *x)
+deliver_head (struct xfer *x)
 {
   long status = 0;
   char *type = NULL;
 
-  if (x->head_told || !x->rq.on_head)
+  if (x->head_delivered || !x->rq.on_head)
     return;
-  x->head_told = true;
+  x->head_delivered = true;
   curl_easy_getinfo (x->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (x->easy, CURLINFO_CONTENT_TYPE, &type);
   x->rq.on_head (x->rq.arg, (int)status, type);
 }
 
+/* Ends a request with libcurl's result @code, calls on_end and frees @x. */
 static void
 xfer_finish (struct xfer *x, CURLcode code)
 {
@@ -97,10 +113,10 @@
   if (code != CURLE_OK)
     end = sent == 0 ? HTTPC_UNREACHED : HTTPC_FAILED;
   else
-    tell_head (x);
+    deliver_head (x);
   RB_REMOVE (xfer_tree, &c->xfers, x);
   curl_multi_remove_handle (c->multi, x->easy);
-  if (c->n_idle < HANDLES_KEPT)
+  if (c->n_idle < IDLE_HANDLES_MAX)
     c->idle[c->n_idle++] = x->easy;
   else
     curl_easy_cleanup (x->easy);
@@ -112,8 +128,9 @@
   free (x);
 }
 
+/* Finishes every request that libcurl reports as completed. */
 static void
-reap (struct httpc *c)
+finish_completed (struct httpc *c)
 {
   CURLMsg *msg;
   int left;
@@ -135,9 +152,10 @@
   int running;
 
   curl_multi_socket_action (c->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-  reap (c);
+  finish_completed (c);
 }
 
+/* CURLMOPT_TIMERFUNCTION: libcurl wants to be called in @ms; -1: no timer. */
 static int
 set_timer (CURLM *multi, long ms, void *arg)
 {
@@ -166,11 +184,12 @@
   if (events & UV_WRITABLE)
     flags |= CURL_CSELECT_OUT;
   curl_multi_socket_action (c->multi, w->fd, flags, &running);
-  reap (c);
+  finish_completed (c);
 }
 
+/* Returns the watch of @fd and creates it if there is none. */
 static struct watch *
-watch_of (struct httpc *c, curl_socket_t fd)
+watch_get (struct httpc *c, curl_socket_t fd)
 {
   struct watch *w;
 
@@ -198,11 +217,12 @@
   return w;
 }
 
+/* CURLMOPT_SOCKETFUNCTION: libcurl wants @fd polled for @what. */
 static int
 set_socket (CURL *easy, curl_socket_t fd, int what, void *arg, void *sockp)
 {
   struct httpc *c = arg;
-  struct watch *w = watch_of (c, fd);
+  struct watch *w = watch_get (c, fd);
   int events = 0;
 
   (void)easy;
@@ -240,17 +260,20 @@
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETDATA, c);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, set_timer);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERDATA, c);
-  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, (long)CONNECTIONS_KEPT);
+  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS,
+                     (long)IDLE_CONNECTIONS_MAX);
   return c;
 }
 
 void
-httpc_limit (struct httpc *c, long each, long kept)
+httpc_limit (struct httpc *c, long max_per_host, long max_idle)
 {
-  curl_multi_setopt (c->multi, CURLMOPT_MAX_HOST_CONNECTIONS, each);
-  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, kept);
+  curl_multi_setopt (c->multi, CURLMOPT_MAX_HOST_CONNECTIONS, max_per_host);
+  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, max_idle);
 }
 
+/* CURLOPT_WRITEFUNCTION.  A return value other than the size of @data fails
+   the transfer, but for CURL_WRITEFUNC_PAUSE. */
 static size_t
 on_body (char *data, size_t size, size_t n, void *arg)
 {
@@ -260,13 +283,13 @@
 
   if (x->rq.on_data)
     {
-      tell_head (x);
+      deliver_head (x);
       if (x->paused)
         return CURL_WRITEFUNC_PAUSE;
       x->paused = !x->rq.on_data (x->rq.arg, data, len);
       return len;
     }
-  if (x->len + len > ANSWER_MAX)
+  if (x->len + len > RESPONSE_MAX)
     return 0;
   grown = realloc (x->buf, x->len + len + 1);
   if (!grown)
@@ -278,7 +301,8 @@
   return len;
 }
 
-/* A connection that is given up must not deliver what it still holds. */
+/* CURLOPT_SOCKOPTFUNCTION: SO_LINGER with a time of 0 makes close() discard
+   unsent data, so that an aborted request is not delivered afterwards. */
 static int
 on_socket (void *arg, curl_socket_t fd, curlsocktype purpose)
 {
@@ -290,6 +314,7 @@
   return CURL_SOCKOPT_OK;
 }
 
+/* Adds a header unless @value is NULL or the line exceeds 512 bytes. */
 static void
 add_header (struct xfer *x, const char *name, const char *value)
 {
@@ -303,7 +328,7 @@
   x->headers = curl_slist_append (x->headers, line);
 }
 
-/* What is the same for every request. */
+/* Creates an easy handle with the options that all requests share. */
 static CURL *
 handle_new (void)
 {
@@ -318,6 +343,8 @@
   return e;
 }
 
+/* Copies the request's body; a request without one is sent as a GET unless
+   its method says otherwise. */
 static void
 set_body (struct xfer *x, const struct httpc_req *rq)
 {
@@ -348,7 +375,7 @@
   x->c = c;
   x->easy = e;
   x->rq = *rq;
-  x->no = ++c->next_no;
+  x->id = ++c->next_id;
   RB_INSERT (xfer_tree, &c->xfers, x);
   add_header (x, "Content-Type", rq->type);
   add_header (x, "X-Request-Id", rq->request_id);
@@ -366,13 +393,13 @@
   curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, (long)rq->new_connection);
   curl_easy_setopt (e, CURLOPT_FORBID_REUSE, (long)rq->new_connection);
   curl_multi_add_handle (c->multi, e);
-  return x->no;
+  return x->id;
 }
 
 void
-httpc_resume (struct httpc *c, uint64_t no)
+httpc_resume (struct httpc *c, uint64_t id)
 {
-  struct xfer *x = xfer_find (c, no);
+  struct xfer *x = xfer_find (c, id);
 
   if (!x || !x->paused)
     return;
@@ -381,9 +408,9 @@
 }
 
 void
-httpc_abort (struct httpc *c, uint64_t no)
+httpc_abort (struct httpc *c, uint64_t id)
 {
-  struct xfer *x = xfer_find (c, no);
+  struct xfer *x = xfer_find (c, id);
 
   if (x)
     xfer_finish (x, CURLE_ABORTED_BY_CALLBACK);
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -10,34 +10,44 @@
 
 enum
 {
-  BACKLOG = 512,              /* connections not yet accepted */
-  REQUEST_TIMEOUT_MS = 10000, /* to send head and body of a request */
-  IDLE_TIMEOUT_MS = 60000,    /* HTTP/2 connection without a request */
+  /* Connections that wait to be accepted. */
+  BACKLOG = 512,
+  /* Time that a client has to send the head and body of a request. */
+  REQUEST_TIMEOUT_MS = 10000,
+  /* An HTTP/2 connection without a request is closed after this time. */
+  IDLE_TIMEOUT_MS = 60000,
   ADDR_SIZE = 64,
   RETRY_SIZE = 24,
 };
 
-/* struct live - a request whose answer is not done */
-struct live
+/* struct exchange - a request without a complete response */
+struct exchange
 {
-  RB_ENTRY (live) by_no;
+  RB_ENTRY (exchange) by_id;
   struct httpd *d;
   h2o_req_t *req;
   h2o_generator_t gen;
-  uint64_t no;
-  char *text; /* strings of struct httpd_req */
-  char *buf;  /* streamed bytes waiting */
+  uint64_t id;
+  /* Memory of the strings in struct httpd_req. */
+  char *strings;
+  /* Response bytes that wait for the current h2o_send() to end. */
+  char *buf;
   size_t len;
-  char *sending; /* streamed bytes handed to the server */
+  /* Response bytes passed to h2o_send(). */
+  char *sending;
   size_t sending_len;
+  /* httpd_begin() has been called. */
   bool streaming;
-  bool in_flight;
+  /* An h2o_send() has not ended. */
+  bool send_in_progress;
+  /* httpd_end() has been called. */
   bool ending;
-  bool whole;
+  /* The response was ended as complete, not aborted. */
+  bool complete;
 };
-RB_HEAD (live_tree, live);
+RB_HEAD (exchange_tree, exchange);
 
-/* The handler that libh2o calls, and the way back from it. */
+/* struct handler - libh2o's request handler with the server that it serves */
 struct handler
 {
   h2o_handler_t super;
@@ -52,48 +62,51 @@
   h2o_globalconf_t global;
   h2o_context_t ctx;
   h2o_accept_ctx_t accept;
-  struct live_tree live;
-  size_t n_live;
-  uint64_t next_no;
+  struct exchange_tree exchanges;
+  size_t n_exchanges;
+  uint64_t next_id;
   char addr[ADDR_SIZE];
 };
 
 static int
-live_cmp (const struct live *a, const struct live *b)
+exchange_cmp (const struct exchange *a, const struct exchange *b)
 {
-  return a->no < b->no ? -1 : a->no > b->no;
+  return a->id < b->id ? -1 : a->id > b->id;
 }
 
-RB_PROTOTYPE (live_tree, live, by_no, live_cmp)
-RB_GENERATE (live_tree, live, by_no, live_cmp)
+RB_PROTOTYPE (exchange_tree, exchange, by_id, exchange_cmp)
+RB_GENERATE (exchange_tree, exchange, by_id, exchange_cmp)
 
-static struct live *
-live_find (struct httpd *d, uint64_t no)
+static struct exchange *
+exchange_find (struct httpd *d, uint64_t id)
 {
-  struct live key = { .no = no };
+  struct exchange key = { .id = id };
 
-  return RB_FIND (live_tree, &d->live, &key);
+  return RB_FIND (exchange_tree, &d->exchanges, &key);
 }
 
-/* Called by libh2o when the request's memory goes. */
+/* Called by libh2o when it frees the memory of the request: the response has
+   been sent or the connection was closed. */
 static void
-live_dispose (void *p)
+exchange_dispose (void *slot)
 {
-  struct live *l = *(struct live **)p;
-  struct httpd *d = l->d;
-  uint64_t no = l->no;
-  bool gone = !l->ending;
-
-  RB_REMOVE (live_tree, &d->live, l);
-  d->n_live--;
-  free (l->text);
-  free (l->buf);
-  free (l->sending);
-  free (l);
-  if (gone)
-    d->conf.on_disconnect (d->conf.arg, no);
+  struct exchange *x = *(struct exchange **)slot;
+  struct httpd *d = x->d;
+  uint64_t id = x->id;
+  bool disconnected = !x->ending;
+
+  RB_REMOVE (exchange_tree, &d->exchanges, x);
+  d->n_exchanges--;
+  free (x->strings);
+  free (x->buf);
+  free (x->sending);
+  free (x);
+  if (disconnected)
+    d->conf.on_disconnect (d->conf.arg, id);
 }
 
+/* Copies a string to *@at, terminated, and moves *@at behind the copy.
+   Returns the copy. */
 static const char *
 copy_text (char **at, const char *src, size_t len)
 {
@@ -105,6 +118,7 @@
   return start;
 }
 
+/* Copies the value of header @name in the same way; NULL if it is missing. */
 static const char *
 copy_header (char **at, h2o_req_t *req, const char *name)
 {
@@ -116,20 +130,21 @@
   return copy_text (at, v.base, v.len);
 }
 
+/* Sets *@rq to the request; its strings are in one allocation of @x. */
 static void
-fill_request (struct live *l, struct httpd_req *rq)
+fill_request (struct exchange *x, struct httpd_req *rq)
 {
-  h2o_req_t *req = l->req;
+  h2o_req_t *req = x->req;
   size_t size = req->method.len + req->path.len + req->authority.len + 8;
   const char prefix[] = "Bearer ";
 
   for (size_t i = 0; i < req->headers.size; i++)
     size += req->headers.entries[i].value.len + 1;
-  l->text = malloc (size);
-  if (!l->text)
+  x->strings = malloc (size);
+  if (!x->strings)
     abort ();
-  char *at = l->text;
-  rq->id = l->no;
+  char *at = x->strings;
+  rq->id = x->id;
   rq->method = copy_text (&at, req->method.base, req->method.len);
   rq->path = copy_text (&at, req->path.base, req->path.len);
   rq->bearer = copy_header (&at, req, "authorization");
@@ -157,155 +172,158 @@
   return h2o_strdup (&req->pool, v.base, v.len).base;
 }
 
-static void flush_stream (struct live *l);
+static void flush_stream (struct exchange *x);
 
+/* Called by libh2o when the last h2o_send() has ended and more may be sent. */
 static void
 on_proceed (h2o_generator_t *gen, h2o_req_t *req)
 {
-  struct live *l = H2O_STRUCT_FROM_MEMBER (struct live, gen, gen);
-  struct httpd *d = l->d;
-  uint64_t no = l->no;
+  struct exchange *x = H2O_STRUCT_FROM_MEMBER (struct exchange, gen, gen);
+  struct httpd *d = x->d;
+  uint64_t id = x->id;
 
   (void)req;
-  l->in_flight = false;
-  free (l->sending);
-  l->sending = NULL;
-  l->sending_len = 0;
-  flush_stream (l);
-  l = live_find (d, no);
-  if (l && !l->ending && d->conf.on_drained)
-    d->conf.on_drained (d->conf.arg, no);
+  x->send_in_progress = false;
+  free (x->sending);
+  x->sending = NULL;
+  x->sending_len = 0;
+  flush_stream (x);
+  x = exchange_find (d, id);
+  if (x && !x->ending && d->conf.on_drained)
+    d->conf.on_drained (d->conf.arg, id);
 }
 
+/* Called by libh2o when the connection was closed during a response. */
 static void
 on_stop (h2o_generator_t *gen, h2o_req_t *req)
 {
   (void)gen;
-  (void)req; /* live_dispose follows */
+  (void)req; /* libh2o calls exchange_dispose() next. */
 }
 
-/* Hands what is buffered to the server; one piece may be on its way. */
+/* Passes the buffered bytes to h2o_send(), unless a send is in progress. */
 static void
-flush_stream (struct live *l)
+flush_stream (struct exchange *x)
 {
   h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 
-  if (l->in_flight || (l->len == 0 && !l->ending))
+  if (x->send_in_progress || (x->len == 0 && !x->ending))
     return;
-  if (l->ending)
-    state = l->whole ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
-  l->sending = l->buf;
-  l->sending_len = l->len;
-  l->buf = NULL;
-  l->len = 0;
-  l->in_flight = true;
-  h2o_iovec_t v = h2o_iovec_init (l->sending, l->sending_len);
-  h2o_send (l->req, &v, v.len ? 1 : 0, state);
+  if (x->ending)
+    state = x->complete ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
+  x->sending = x->buf;
+  x->sending_len = x->len;
+  x->buf = NULL;
+  x->len = 0;
+  x->send_in_progress = true;
+  h2o_iovec_t v = h2o_iovec_init (x->sending, x->sending_len);
+  h2o_send (x->req, &v, v.len ? 1 : 0, state);
 }
 
+/* Called by libh2o for each request. */
 static int
 on_req (h2o_handler_t *self, h2o_req_t *req)
 {
   struct httpd *d = ((struct handler *)self)->d;
-  struct live *l = calloc (1, sizeof *l);
-  struct live **slot;
+  struct exchange *x = calloc (1, sizeof *x);
+  struct exchange **slot;
   struct httpd_req rq;
 
-  if (!l)
+  if (!x)
     return -1;
-  l->d = d;
-  l->req = req;
-  l->no = ++d->next_no;
-  l->gen.proceed = on_proceed;
-  l->gen.stop = on_stop;
-  RB_INSERT (live_tree, &d->live, l);
-  d->n_live++;
-  slot = h2o_mem_alloc_shared (&req->pool, sizeof *slot, live_dispose);
-  *slot = l;
-  fill_request (l, &rq);
+  x->d = d;
+  x->req = req;
+  x->id = ++d->next_id;
+  x->gen.proceed = on_proceed;
+  x->gen.stop = on_stop;
+  RB_INSERT (exchange_tree, &d->exchanges, x);
+  d->n_exchanges++;
+  slot = h2o_mem_alloc_shared (&req->pool, sizeof *slot, exchange_dispose);
+  *slot = x;
+  fill_request (x, &rq);
   d->conf.on_request (d->conf.arg, &rq);
   return 0;
 }
 
 void
-httpd_begin (struct httpd *d, uint64_t no, int status, const char *type)
+httpd_begin (struct httpd *d, uint64_t id, int status, const char *type)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
 
-  if (!l || l->streaming)
+  if (!x || x->streaming)
     return;
-  l->streaming = true;
-  l->req->res.status = status;
-  l->req->res.reason = status < 300 ? "OK" : "Error";
+  x->streaming = true;
+  x->req->res.status = status;
+  x->req->res.reason = status < 300 ? "OK" : "Error";
   if (type)
     h2o_add_header (
-        &l->req->pool, &l->req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
-        h2o_strdup (&l->req->pool, type, SIZE_MAX).base, strlen (type));
-  h2o_start_response (l->req, &l->gen);
+        &x->req->pool, &x->req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
+        h2o_strdup (&x->req->pool, type, SIZE_MAX).base, strlen (type));
+  h2o_start_response (x->req, &x->gen);
 }
 
 size_t
-httpd_chunk (struct httpd *d, uint64_t no, const char *data, size_t len)
+httpd_chunk (struct httpd *d, uint64_t id, const char *data, size_t len)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
   char *grown;
 
-  if (!l || !l->streaming || l->ending)
+  if (!x || !x->streaming || x->ending)
     return 0;
-  grown = realloc (l->buf, l->len + len + 1);
+  grown = realloc (x->buf, x->len + len + 1);
   if (!grown)
     abort ();
-  l->buf = grown;
-  memcpy (l->buf + l->len, data, len);
-  l->len += len;
-  flush_stream (l);
-  l = live_find (d, no);
-  return l ? l->len + l->sending_len : 0;
+  x->buf = grown;
+  memcpy (x->buf + x->len, data, len);
+  x->len += len;
+  flush_stream (x);
+  x = exchange_find (d, id);
+  return x ? x->len + x->sending_len : 0;
 }
 
 void
-httpd_end (struct httpd *d, uint64_t no, bool whole)
+httpd_end (struct httpd *d, uint64_t id, bool complete)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
 
-  if (!l || !l->streaming || l->ending)
+  if (!x || !x->streaming || x->ending)
     return;
-  l->ending = true;
-  l->whole = whole;
-  flush_stream (l);
+  x->ending = true;
+  x->complete = complete;
+  flush_stream (x);
 }
 
 void
-httpd_answer (struct httpd *d, uint64_t no, int status, const char *type,
+httpd_answer (struct httpd *d, uint64_t id, int status, const char *type,
               const char *body, size_t len, int64_t retry_ms)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
   char retry[RETRY_SIZE];
   int64_t seconds = (retry_ms + 999) / 1000;
 
-  if (!l || l->streaming || l->ending)
+  if (!x || x->streaming || x->ending)
     return;
   if (retry_ms > 0)
     {
       int n = snprintf (retry, sizeof retry, "%lld", (long long)seconds);
       h2o_add_header_by_str (
-          &l->req->pool, &l->req->res.headers, H2O_STRLIT ("retry-after"), 1,
-          NULL, h2o_strdup (&l->req->pool, retry, SIZE_MAX).base, (size_t)n);
+          &x->req->pool, &x->req->res.headers, H2O_STRLIT ("retry-after"), 1,
+          NULL, h2o_strdup (&x->req->pool, retry, SIZE_MAX).base, (size_t)n);
     }
-  l->req->res.content_length = len;
-  httpd_begin (d, no, status, type);
+  x->req->res.content_length = len;
+  httpd_begin (d, id, status, type);
   if (len)
     {
-      l->buf = malloc (len);
-      if (!l->buf)
+      x->buf = malloc (len);
+      if (!x->buf)
         abort ();
-      memcpy (l->buf, body, len);
-      l->len = len;
+      memcpy (x->buf, body, len);
+      x->len = len;
     }
-  httpd_end (d, no, true);
+  httpd_end (d, id, true);
 }
 
-/* Listening. */
+/* Listening and TLS. */
 
 static void
 free_handle (uv_handle_t *h)
@@ -335,6 +353,7 @@
               h2o_uv_socket_create ((uv_stream_t *)conn, free_handle));
 }
 
+/* Parses "ip:port".  Returns 0 or a negative libuv error. */
 static int
 parse_addr (const char *addr, struct sockaddr_in *out)
 {
@@ -348,6 +367,7 @@
   return uv_ip4_addr (ip, atoi (colon + 1), out);
 }
 
+/* Binds and listens on conf.addr.  Returns 0 or a negative libuv error. */
 static int
 listen_on (struct httpd *d, uv_loop_t *loop)
 {
@@ -372,6 +392,7 @@
   return 0;
 }
 
+/* Reads certificate and key; NULL if they cannot be used. */
 static SSL_CTX *
 load_tls (const struct httpd_conf *c)
 {
@@ -398,7 +419,7 @@
   ssl = load_tls (&d->conf);
   if (!ssl)
     return -1;
-  /* Connections that use the old one keep it alive. */
+  /* The context is reference-counted: connections that use it keep it. */
   if (d->accept.ssl_ctx)
     SSL_CTX_free (d->accept.ssl_ctx);
   d->accept.ssl_ctx = ssl;
@@ -416,7 +437,7 @@
   if (!d)
     abort ();
   d->conf = *conf;
-  RB_INIT (&d->live);
+  RB_INIT (&d->exchanges);
   h2o_config_init (&d->global);
   d->global.max_request_entity_size = conf->body_max;
   d->global.http1.req_timeout = REQUEST_TIMEOUT_MS;
@@ -443,7 +464,7 @@
 size_t
 httpd_n_pending (const struct httpd *d)
 {
-  return d->n_live;
+  return d->n_exchanges;
 }
 
 void
@@ -453,6 +474,6 @@
     return;
   d->listening = false;
   uv_close ((uv_handle_t *)&d->listener, NULL);
-  /* Idle keep-alive connections are told to go. */
+  /* Closes idle keep-alive connections. */
   h2o_context_request_shutdown (&d->ctx);
 }
--- a/net/links.c
+++ b/net/links.c
@@ -8,16 +8,22 @@
 
 enum
 {
-  SEND_QUEUE = 10000, /* messages kept for a peer that is away */
+  /* Messages queued for a peer that is not reachable or reads too slowly. */
+  SEND_QUEUE = 10000,
   HEARTBEAT_MS = 1000,
   HEARTBEAT_TIMEOUT_MS = 3000,
-  MESSAGE_MAX = 4 << 20, /* bytes */
+  /* Maximum bytes of a message; ZeroMQ closes the connection of a peer that
+     sends a longer one. */
+  MESSAGE_MAX = 4 << 20,
   RECONNECT_MS = 100,
   RECONNECT_MAX_MS = 1000,
-  IDLE_LINKS_MAX = 128,
-  RECEIVE_MAX = 64, /* messages in one turn of the loop */
+  /* Maximum number of links; the oldest one is closed to open one more. */
+  LINKS_MAX = 128,
+  /* Maximum messages received in one iteration of the event loop. */
+  RECEIVE_MAX = 64,
 };
 
+/* struct link - connection to one peer, to send */
 struct link
 {
   char id[LINKS_ID_SIZE];
@@ -30,12 +36,16 @@
   struct links_conf conf;
   void *ctx;
   void *router;
-  void *zap; /* answers which public keys may connect */
+  /* REP socket of the ZAP handler (ZeroMQ RFC 27), which ZeroMQ asks whether a
+     public key may connect; NULL without encryption. */
+  void *zap;
   uv_poll_t router_poll;
   uv_poll_t zap_poll;
   uv_prepare_t prepare;
-  uv_idle_t idle; /* runs while messages are left over */
-  struct link links[IDLE_LINKS_MAX];
+  /* Active while messages may be left in the router socket. */
+  uv_idle_t idle;
+  /* Oldest first. */
+  struct link links[LINKS_MAX];
   int n_links;
   char addr[LINKS_ADDR_SIZE + 8];
 };
@@ -59,7 +69,7 @@
   zmq_setsockopt (sock, ZMQ_MAXMSGSIZE, &limit, sizeof limit);
 }
 
-/* Whether a public key, as 32 bytes, is one of the permitted. */
+/* Returns whether a public key, as 32 raw bytes, is permitted to connect. */
 static bool
 permitted (const struct links_conf *conf, const void *raw, size_t len)
 {
@@ -73,6 +83,7 @@
   return false;
 }
 
+/* enum zap_frame - frames of a ZAP request, in order */
 enum zap_frame
 {
   ZAP_VERSION,
@@ -85,8 +96,9 @@
   ZAP_FRAMES
 };
 
+/* Replies to ZAP request @id: status 200 admits the peer, 400 rejects it. */
 static void
-zap_answer (struct links *p, const zmq_msg_t *id, bool yes)
+zap_answer (struct links *p, const zmq_msg_t *id, bool ok)
 {
   zmq_msg_t copy;
 
@@ -94,19 +106,20 @@
   zmq_msg_copy (&copy, (zmq_msg_t *)id);
   zmq_send (p->zap, "1.0", 3, ZMQ_SNDMORE);
   zmq_msg_send (&copy, p->zap, ZMQ_SNDMORE);
-  zmq_send (p->zap, yes ? "200" : "400", 3, ZMQ_SNDMORE);
+  zmq_send (p->zap, ok ? "200" : "400", 3, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, 0);
 }
 
+/* Handles one ZAP request; false if none is queued. */
 static bool
-zap_one (struct links *p)
+zap_handle_one (struct links *p)
 {
   zmq_msg_t frames[ZAP_FRAMES];
   int n = 0;
   int more = 1;
-  bool yes;
+  bool ok;
 
   while (more && n < ZAP_FRAMES)
     {
@@ -118,17 +131,18 @@
     }
   if (n == 0)
     return false;
-  yes = n == ZAP_FRAMES
-        && permitted (&p->conf, zmq_msg_data (&frames[ZAP_KEY]),
-                      zmq_msg_size (&frames[ZAP_KEY]));
+  ok = n == ZAP_FRAMES
+       && permitted (&p->conf, zmq_msg_data (&frames[ZAP_KEY]),
+                     zmq_msg_size (&frames[ZAP_KEY]));
   if (n > ZAP_REQUEST_ID)
-    zap_answer (p, &frames[ZAP_REQUEST_ID], yes);
+    zap_answer (p, &frames[ZAP_REQUEST_ID], ok);
   for (int i = 0; i < n; i++)
     zmq_msg_close (&frames[i]);
   return true;
 }
 
-/* A message is the sender's routing id, then the body. */
+/* Receives one message; false if none is queued.  It consists of two frames:
+   the sender's routing id and the body. */
 static bool
 receive_one (struct links *p)
 {
@@ -156,14 +170,15 @@
 
 static void on_idle (uv_idle_t *idle);
 
-/* Whoever sends without a pause must not keep the loop from its other work.
-   Idle handles run in each turn and let the loop not wait. */
+/* Receives up to RECEIVE_MAX messages, so that a peer that sends without pause
+   does not block the loop's other work.  If more may be queued, the idle
+   handle makes the loop continue without waiting for input. */
 static void
 receive_some (struct links *p)
 {
   int n = 0;
 
-  while (p->zap && zap_one (p))
+  while (p->zap && zap_handle_one (p))
     continue;
   while (n < RECEIVE_MAX && receive_one (p))
     n++;
@@ -178,8 +193,7 @@
 static void
 on_idle (uv_idle_t *idle)
 {
-  /* The look before each wait follows. */
-  (void)idle;
+  (void)idle; /* on_prepare() runs next and receives more. */
 }
 
 static void
@@ -190,13 +204,15 @@
   receive_some (poll->data);
 }
 
-/* ZeroMQ's descriptor tells only of changes: look before each wait too. */
+/* ZeroMQ's file descriptor is edge-triggered, so the socket is also read
+   before each time that the loop waits. */
 static void
 on_prepare (uv_prepare_t *prepare)
 {
   receive_some (prepare->data);
 }
 
+/* Polls the file descriptor of a ZeroMQ socket. */
 static void
 watch_socket (struct links *p, void *sock, uv_poll_t *poll)
 {
@@ -209,6 +225,7 @@
   uv_poll_start (poll, UV_READABLE, on_poll);
 }
 
+/* Opens and binds the router socket; -1 with errno set on failure. */
 static int
 open_router (struct links *p)
 {
@@ -267,6 +284,7 @@
   return p->addr;
 }
 
+/* Connects @l to @addr and closes its old connection, if any. */
 static void
 link_open (struct links *p, struct link *l, const char *addr)
 {
@@ -291,6 +309,7 @@
   zmq_connect (l->sock, url);
 }
 
+/* Returns the link to peer @id at @addr, opened if necessary. */
 static struct link *
 link_to (struct links *p, const char *id, const char *addr)
 {
@@ -303,11 +322,11 @@
           link_open (p, &p->links[i], addr);
         return &p->links[i];
       }
-  if (p->n_links == IDLE_LINKS_MAX)
+  if (p->n_links == LINKS_MAX)
     {
       /* The oldest link is to an instance that was replaced long ago. */
       zmq_close (p->links[0].sock);
-      memmove (p->links, p->links + 1, (IDLE_LINKS_MAX - 1) * sizeof *l);
+      memmove (p->links, p->links + 1, (LINKS_MAX - 1) * sizeof *l);
       p->n_links--;
     }
   l = &p->links[p->n_links++];
@@ -321,7 +340,8 @@
 links_send (struct links *p, const char *to, const char *addr, const char *buf,
             size_t len)
 {
-  /* A full queue drops the message; its sender asks again. */
+  /* With ZMQ_DONTWAIT a full queue drops the message; the sender repeats it
+     if it gets no reply. */
   if (*addr)
     zmq_send (link_to (p, to, addr)->sock, buf, len, ZMQ_DONTWAIT);
 }
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,11 +1,13 @@
-# Shared by the demonstration and the tests of real processes: starts and
-# stops stand-ins and entry instances below $work.  Sourced, not run.
+# Functions of the demo, the benchmarks and the tests of real processes, to be
+# sourced: they start and stop stand-ins of the platform and the backend servers
+# and entry instances, whose files are in the temporary directory $work.
 BUILD=${BUILD:-build}
 bin=$PWD/$BUILD
 work=$(mktemp -d)
+# Processes to kill at the end.
 pids=
 
-# Ends whatever still runs; nothing is left behind.
+# Kills all processes that were started and removes $work.
 clean_up() {
 	for p in $pids; do kill -CONT "$p" 2>/dev/null || :; done
 	for p in $pids; do kill -KILL "$p" 2>/dev/null || :; done
@@ -15,20 +17,22 @@
 trap clean_up EXIT
 trap 'exit 1' INT TERM
 
-# wait_for SECONDS COMMAND...: until it succeeds.
+# wait_for SECONDS COMMAND...
+# Repeats the command until it succeeds; fails once the time is over.
 wait_for() {
 	tries=$(($1 * 20))
 	shift
 	while ! "$@" >/dev/null 2>&1; do
 		tries=$((tries - 1))
 		if [ $tries -le 0 ]; then
-			echo "gave up waiting: $*" >&2
+			echo "timed out: $*" >&2
 			return 1
 		fi
 		sleep 0.05
 	done
 }
 
+# Starts the platform's stand-in and sets $platform to its address.
 start_platform() {
 	rm -f "$work/platform"
 	"$bin/regress/platformd" 127.0.0.1:0 >"$work/platform" 2>/dev/null &
@@ -37,15 +41,23 @@
 	platform=$(cat "$work/platform")
 }
 
+# control JSON
+# Changes the behaviour of the platform's stand-in; see platformd.
 control() { curl -s -o /dev/null -d "$1" "http://$platform/v1/control"; }
 
 # start_backend DOMAIN WORKERS EXECUTORS
+# Starts the stand-ins of a failure domain's workers and executors in one
+# process.  Their instance list is in $work/list-DOMAIN, the runs that they start
+# and end in $work/runs-DOMAIN.
 start_backend() {
 	"$bin/regress/backendd" "$@" >"$work/list-$1" 2>"$work/runs-$1" &
 	pids="$pids $!"
 	wait_for 10 test -s "$work/list-$1"
 }
 
+# make_keys TEAM
+# Makes the keys of the links between instances, of an operator and of a team.
+# Sets peer_public, ops_key, first_key and team_key.
 make_keys() {
 	"$bin/citronctl/citronctl" peerkeys >"$work/peerkeys"
 	peer_public=$(cut -d' ' -f1 "$work/peerkeys")
@@ -58,7 +70,8 @@
 	team_key=$(sed -n 's/^key: //p' "$work/team")
 }
 
-# start_entry ID DOMAIN: sets pid_ID, url_ID
+# start_entry ID DOMAIN
+# Starts an entry instance and sets pid_ID and url_ID.
 start_entry() {
 	rm -f "$work/addr-$1"
 	"$bin/citronlbd/citronlbd" --id "$1" --domain "$2" \
@@ -76,16 +89,20 @@
 		"$1" "$2" "$peer" >"$work/list-$1"
 }
 
-# Gives the platform the list of all that was started.
+# Passes the list of all started instances to the platform's stand-in.
 publish() {
 	jq -cs '{instances:{items:(map(.items)|add)}}' "$work"/list-* \
 		>"$work/published"
 	control "@$work/published"
 }
 
+# ctl ARGUMENT...
+# Runs citronctl.
 ctl() { "$bin/citronctl/citronctl" "$@"; }
 
-# The example manifest with the keys made here.
+# make_manifest FILE
+# Writes $work/manifest.json: the manifest of the file with the keys of
+# make_keys.
 make_manifest() {
 	jq -c --slurpfile ops "$work/ops.json" --slurpfile team "$work/team.json" \
 		'.keys=[$ops[0],$team[0]]' "$1" >"$work/manifest.json"
