--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -51,7 +51,7 @@
 };
 
 static const char doc[]
-    = "Control and observe citronlb.\v"
+    = "Drive and watch citronlb.\v"
       "Commands: check FILE, apply FILE, diff FILE, show, key ID [TEAM], "
       "peerkeys, submit FILE, status [ID], wait ID, cancel ID, why ID, watch, "
       "counters";
--- a/citronlbd/citronlbd.h
+++ b/citronlbd/citronlbd.h
@@ -86,7 +86,7 @@
 int64_t now_ms (void);
 
 /**
- * pump() - Carry out the node's queued outputs.
+ * process_outputs() - Carry out the node's queued outputs.
  *
  * To be called after each input to the node.  A nested call returns at once,
  * as the outer one also carries out the new outputs.
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -17,7 +17,7 @@
 struct httpd;
 
 /**
- * struct hreq - a request
+ * struct httpd_req - a request
  *
  * What the pointers refer to is valid until the response has been sent or
  * on_disconnect has been called.
