--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -1,6 +1,7 @@
 /*
- * citronctl - control and observe citronlb from the command line: options, and
- * the commands other than those about the manifest.
+ * citronctl - control and observe citronlb from the command line.  This file
+ * parses the options and contains the commands other than those about the
+ * manifest.
  */
 #include "citronctl.h"
 
@@ -12,11 +13,13 @@
 
 enum
 {
-  /* Time that one request of the wait command waits for the task's end; it is
-     repeated until the task has ended. */
-  WAIT_MS = 60000,
+  /* Maximum time that one request of the wait command waits for the task to
+     end.  The command repeats the request until the task has ended. */
+  WAIT_REQUEST_MS = 60000,
+  /* Size of a buffer for a request's path with its query. */
   PATH_SIZE = 256,
-  /* The command and its arguments. */
+  /* Maximum number of words that are not options: the command and its
+     arguments. */
   ARGS_MAX = 3,
 };
 
@@ -30,10 +33,11 @@
   OPT_ID,
 };
 
-/* struct command_line - options, and the command with its arguments */
+/* struct command_line - the parsed command line */
 struct command_line
 {
   struct options opt;
+  /* The command, followed by its arguments. */
   const char *args[ARGS_MAX];
   int n_args;
 };
@@ -102,22 +106,24 @@
   return 0;
 }
 
-/* Returns the string in a field of @obj; "" if there is none. */
+/* Returns the string in member @field of a JSON object; "" if there is none.
+ */
 static const char *
-text_of (json_t *obj, const char *field)
+string_field (json_t *obj, const char *field)
 {
   const char *text = json_string_value (json_object_get (obj, field));
 
   return text ? text : "";
 }
 
-/* Prints an answer as a sentence, or unchanged with --json or if it is not
-   JSON.  Returns an exit code. */
+/* Prints an answer in words.  If --json is given or the answer's body is not
+   JSON, prints the body unchanged.  Returns the exit code for the answer. */
 static int
 print_answer (const struct options *opt, const struct answer *a)
 {
   int code = rpc_exit_code (a);
-  json_auto_t *json = a->body ? json_loadb (a->body, a->len, 0, NULL) : NULL;
+  json_auto_t *json
+      = a->body ? json_loadb (a->body, a->body_len, 0, NULL) : NULL;
 
   if (a->status == 0)
     fprintf (stderr, "citronctl: no server reached (%s)\n",
@@ -126,20 +132,21 @@
     printf ("%s\n", a->body ? a->body : "");
   else if (json_object_get (json, "error"))
     {
-      long long retry
+      long long retry_ms
           = json_integer_value (json_object_get (json, "retry_after_ms"));
-      fprintf (stderr, "citronctl: %s (%s) %s", text_of (json, "error"),
-               text_of (json, "outcome"), text_of (json, "field"));
-      if (retry)
-        fprintf (stderr, "; retry after %lld ms", retry);
+      fprintf (stderr, "citronctl: %s (%s) %s", string_field (json, "error"),
+               string_field (json, "outcome"), string_field (json, "field"));
+      if (retry_ms)
+        fprintf (stderr, "; retry after %lld ms", retry_ms);
       fprintf (stderr, "\n");
     }
   else
-    printf ("%s %s: %s\n", text_of (json, "id"), text_of (json, "state"),
-            text_of (json, "text"));
+    printf ("%s %s: %s\n", string_field (json, "id"),
+            string_field (json, "state"), string_field (json, "text"));
   return code;
 }
 
+/* Submits the task or gang that is described in file @path. */
 static int
 cmd_submit (const struct options *opt, const char *path)
 {
@@ -160,7 +167,8 @@
   return code;
 }
 
-/* Sends a request without a body about one task and prints the answer. */
+/* Sends a request with HTTP method @method about task @id and prints the
+   answer. */
 static int
 cmd_task (const struct options *opt, const char *method, const char *id)
 {
@@ -175,7 +183,8 @@
   return code;
 }
 
-/* Waits until a task has ended and prints its state. */
+/* Waits until task @id has ended and prints its state.  Returns EXIT_DONE if
+   the task has succeeded. */
 static int
 cmd_wait (const struct options *opt, const char *id)
 {
@@ -184,16 +193,17 @@
   json_t *json;
   int code;
   bool ended;
-  bool good;
+  bool succeeded;
 
-  snprintf (path, sizeof path, "/v1/tasks/%.100s?wait_ms=%d", id, WAIT_MS);
+  snprintf (path, sizeof path, "/v1/tasks/%.100s?wait_ms=%d", id,
+            WAIT_REQUEST_MS);
   do
     {
       rpc (opt, "GET", path, NULL, 0, &a);
-      json = a.body ? json_loadb (a.body, a.len, 0, NULL) : NULL;
-      const char *state = text_of (json, "state");
-      good = strcmp (state, "done") == 0;
-      ended = good || strcmp (state, "failed") == 0
+      json = a.body ? json_loadb (a.body, a.body_len, 0, NULL) : NULL;
+      const char *state = string_field (json, "state");
+      succeeded = strcmp (state, "done") == 0;
+      ended = succeeded || strcmp (state, "failed") == 0
               || strcmp (state, "cancelled") == 0
               || strcmp (state, "unknown") == 0;
       code = rpc_exit_code (&a);
@@ -203,25 +213,27 @@
       rpc_free (&a);
     }
   while (!ended && code == EXIT_DONE);
-  return code ? code : good ? EXIT_DONE : EXIT_TASK_FAILED;
+  return code ? code : succeeded ? EXIT_DONE : EXIT_TASK_FAILED;
 }
 
 /* Prints one decision of the scheduler. */
 static void
 print_event (json_t *e)
 {
-  const char *where = text_of (e, "where");
-  long long seen = json_integer_value (json_object_get (e, "looked_at"));
+  const char *where = string_field (e, "where");
+  long long n_considered
+      = json_integer_value (json_object_get (e, "looked_at"));
 
   printf ("%9.3f  %-14s %s%s%s: %s",
           (double)json_integer_value (json_object_get (e, "ms")) / 1000.0,
-          text_of (e, "reason"), text_of (e, "id"), *where ? " on " : "",
-          where, text_of (e, "text"));
-  if (seen)
-    printf (" (of %lld)", seen);
+          string_field (e, "reason"), string_field (e, "id"),
+          *where ? " on " : "", where, string_field (e, "text"));
+  if (n_considered)
+    printf (" (of %lld)", n_considered);
   printf ("\n");
 }
 
+/* Prints the decisions that the scheduler has made about task @id. */
 static int
 cmd_why (const struct options *opt, const char *id)
 {
@@ -237,7 +249,7 @@
   code = print_answer (opt, &a);
   if (code == EXIT_DONE && !opt->json)
     {
-      json = json_loadb (a.body, a.len, 0, NULL);
+      json = json_loadb (a.body, a.body_len, 0, NULL);
       json_array_foreach (json_object_get (json, "history"), i, e)
         print_event (e);
       json_decref (json);
@@ -246,10 +258,11 @@
   return code;
 }
 
-/* Prints one line of a watch: a decision or a number of missed ones.  The
-   empty line marks the start of the stream. */
+/* Prints one line of the response to a watch request: a decision, or the
+   number of decisions that were not sent.  An empty line marks the start of
+   the response. */
 static void
-print_line (const char *text, size_t len)
+print_watch_line (const char *text, size_t len)
 {
   json_t *json = len ? json_loadb (text, len, 0, NULL) : NULL;
 
@@ -268,8 +281,9 @@
   json_decref (json);
 }
 
+/* Prints one line of the response to a watch request unchanged. */
 static void
-print_raw (const char *text, size_t len)
+print_raw_line (const char *text, size_t len)
 {
   if (!len)
     return;
@@ -277,6 +291,7 @@
   fflush (stdout);
 }
 
+/* Prints decisions of all servers as they are made. */
 static int
 cmd_watch (const struct options *opt)
 {
@@ -284,10 +299,10 @@
 
   if (opt->watch_id)
     snprintf (path, sizeof path, "/v1/watch?id=%.100s", opt->watch_id);
-  return rpc_stream (opt, path, opt->json ? print_raw : print_line);
+  return rpc_stream (opt, path, opt->json ? print_raw_line : print_watch_line);
 }
 
-/* Sends a GET request and prints the body of the answer unchanged. */
+/* Sends GET @path and prints the body of the answer unchanged. */
 static int
 cmd_raw (const struct options *opt, const char *path)
 {
@@ -304,9 +319,9 @@
   return code;
 }
 
-/* Prints resources as cores/memory/accelerators/slots. */
+/* Prints the resources in object @r as cores/memory/accelerators/slots. */
 static void
-print_res (const char *name, json_t *r)
+print_resources (const char *name, json_t *r)
 {
   printf (" %s %lld/%lldMB/%lld/%lld", name,
           (long long)json_integer_value (json_object_get (r, "cores")),
@@ -334,19 +349,20 @@
   printf ("\nteams (cores/memory/accelerators/slots):\n");
   json_array_foreach (json_object_get (s, "teams"), i, item)
     {
-      printf ("  %-16s", text_of (item, "name"));
-      print_res ("used", json_object_get (item, "used"));
-      print_res ("granted", json_object_get (item, "granted"));
-      print_res ("limit", json_object_get (item, "limit"));
+      printf ("  %-16s", string_field (item, "name"));
+      print_resources ("used", json_object_get (item, "used"));
+      print_resources ("granted", json_object_get (item, "granted"));
+      print_resources ("limit", json_object_get (item, "limit"));
       printf (" waiting %lld\n", (long long)json_integer_value (
                                      json_object_get (item, "waiting")));
     }
   printf ("backend servers:\n");
   json_array_foreach (json_object_get (s, "workers"), i, item)
     {
-      printf ("  %-16s %-9s", text_of (item, "id"), text_of (item, "state"));
-      print_res ("used", json_object_get (item, "used"));
-      print_res ("of", json_object_get (item, "room"));
+      printf ("  %-16s %-9s", string_field (item, "id"),
+              string_field (item, "state"));
+      print_resources ("used", json_object_get (item, "used"));
+      print_resources ("of", json_object_get (item, "room"));
       printf (
           "%s%s\n",
           json_is_true (json_object_get (item, "leaving")) ? " leaving" : "",
@@ -355,6 +371,7 @@
     }
 }
 
+/* Prints the state of the fleet as known to the instance. */
 static int
 cmd_status (const struct options *opt)
 {
@@ -368,7 +385,7 @@
     return cmd_raw (opt, "/v1/status");
   rpc (opt, "GET", "/v1/status", NULL, 0, &a);
   code = rpc_exit_code (&a);
-  json = code ? NULL : json_loadb (a.body, a.len, 0, NULL);
+  json = code ? NULL : json_loadb (a.body, a.body_len, 0, NULL);
   if (!json)
     {
       print_answer (opt, &a);
@@ -377,14 +394,14 @@
     }
   printf (
       "%s in %s: config %lld (confirmed current %lld ms ago), holder %s\n",
-      text_of (json, "id"), text_of (json, "domain"),
+      string_field (json, "id"), string_field (json, "domain"),
       (long long)json_integer_value (json_object_get (json, "config_version")),
       (long long)json_integer_value (json_object_get (json, "config_age_ms")),
-      text_of (json, "holder"));
+      string_field (json, "holder"));
   json_array_foreach (json_object_get (json, "peers"), i, p)
     printf (
-        "  peer %s in %s: config %lld%s%s\n", text_of (p, "id"),
-        text_of (p, "domain"),
+        "  peer %s in %s: config %lld%s%s\n", string_field (p, "id"),
+        string_field (p, "domain"),
         (long long)json_integer_value (json_object_get (p, "config_version")),
         json_is_true (json_object_get (p, "holder")) ? ", holder" : "",
         json_is_true (json_object_get (p, "alive")) ? "" : ", unreachable");
@@ -403,7 +420,7 @@
   int max_args;
 };
 
-/* enum verb - indexes of commands[] */
+/* enum verb - the commands, as indexes of commands[] */
 enum verb
 {
   VERB_CHECK,
@@ -445,9 +462,9 @@
   return VERB_N;
 }
 
-/* Runs a command and returns its exit code. */
+/* Runs the command @verb and returns its exit code. */
 static int
-run (const struct command_line *cl, int verb)
+run_command (const struct command_line *cl, int verb)
 {
   const struct options *opt = &cl->opt;
 
@@ -510,7 +527,7 @@
   if (!cl.opt.servers)
     cl.opt.servers = "http://127.0.0.1:8080";
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  code = run (&cl, verb);
+  code = run_command (&cl, verb);
   curl_global_cleanup ();
   return code;
 }
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -10,9 +10,11 @@
 
 enum
 {
-  /* Random bytes of a key's secret and of its salt. */
+  /* Number of random bytes in the secret of a key. */
   SECRET_BYTES = 24,
+  /* Number of random bytes in the salt of a key's hash. */
   SALT_BYTES = 12,
+  /* Size of a buffer for a request's path with its query. */
   PATH_SIZE = 256,
 };
 
@@ -41,8 +43,9 @@
   return text ? text : strdup ("");
 }
 
-/* Reads and checks a manifest; on failure prints what is wrong.  Returns an
-   exit code; the caller frees *@text and *@c if it is EXIT_DONE. */
+/* Reads the manifest in file @path and checks it; prints the error if the file
+   or the manifest is unusable.  Returns an exit code.  If that is EXIT_DONE,
+   the caller frees *@text, and *@c with conf_free(). */
 static int
 load_manifest (const char *path, char **text, size_t *len, struct conf *c)
 {
@@ -86,8 +89,9 @@
   return EXIT_DONE;
 }
 
-/* Sets *@out to the current manifest and its version as JSON.  Returns an exit
-   code; the caller frees *@out. */
+/* Requests the current manifest with its version and sets *@out to them as
+   JSON, which the caller frees.  Returns an exit code.  *@out stays unchanged
+   if the request failed. */
 static int
 fetch_manifest (const struct options *opt, json_t **out)
 {
@@ -99,7 +103,7 @@
   if (code)
     fprintf (stderr, "citronctl: config: %s\n", a.body ? a.body : "no server");
   else
-    *out = json_loadb (a.body, a.len, 0, NULL);
+    *out = json_loadb (a.body, a.body_len, 0, NULL);
   rpc_free (&a);
   return code ? code : *out ? EXIT_DONE : EXIT_UNKNOWN;
 }
@@ -112,7 +116,7 @@
   json_t *current = NULL;
   char *text;
   size_t len;
-  char url[PATH_SIZE];
+  char request_path[PATH_SIZE];
   char uuid[UUID_STR_LEN];
   uuid_t u;
   long base = opt->base_version;
@@ -131,9 +135,9 @@
     }
   uuid_generate (u);
   uuid_unparse (u, uuid);
-  snprintf (url, sizeof url, "/v1/config?base=%ld&change=%s", base,
-            opt->change_id ? opt->change_id : uuid);
-  rpc (opt, "PUT", url, text, len, &a);
+  snprintf (request_path, sizeof request_path, "/v1/config?base=%ld&change=%s",
+            base, opt->change_id ? opt->change_id : uuid);
+  rpc (opt, "PUT", request_path, text, len, &a);
   code = rpc_exit_code (&a);
   if (code)
     fprintf (stderr, "citronctl: apply: %s\n", a.body ? a.body : "no server");
@@ -159,7 +163,8 @@
   return EXIT_DONE;
 }
 
-/* Returns the entry of @list whose @field is @name, or NULL. */
+/* Returns the object in the JSON array @list whose member @field is the string
+   @name, or NULL if there is none. */
 static json_t *
 find_entry (json_t *list, const char *field, const char *name)
 {
@@ -172,32 +177,34 @@
   return NULL;
 }
 
-/* Prints one line for each entry of list @list that differs between two
-   manifests, and returns their number.  @field names an entry. */
+/* Compares the lists @list_name of two manifests and prints one line for each
+   entry that differs.  Member @id_field identifies an entry.  Returns the
+   number of entries that differ. */
 static int
-diff_list (json_t *old, json_t *new, const char *list, const char *field)
+diff_list (json_t *old, json_t *new, const char *list_name,
+           const char *id_field)
 {
-  json_t *a = json_object_get (old, list);
-  json_t *b = json_object_get (new, list);
+  json_t *a = json_object_get (old, list_name);
+  json_t *b = json_object_get (new, list_name);
   json_t *item;
   size_t i;
   int n = 0;
 
   json_array_foreach (a, i, item)
     {
-      const char *name = json_string_value (json_object_get (item, field));
-      json_t *other = find_entry (b, field, name);
+      const char *name = json_string_value (json_object_get (item, id_field));
+      json_t *other = find_entry (b, id_field, name);
       if (other && json_equal (item, other))
         continue;
-      printf ("%c %s %s\n", other ? '~' : '-', list, name);
+      printf ("%c %s %s\n", other ? '~' : '-', list_name, name);
       n++;
     }
   json_array_foreach (b, i, item)
     {
-      const char *name = json_string_value (json_object_get (item, field));
-      if (find_entry (a, field, name))
+      const char *name = json_string_value (json_object_get (item, id_field));
+      if (find_entry (a, id_field, name))
         continue;
-      printf ("+ %s %s\n", list, name);
+      printf ("+ %s %s\n", list_name, name);
       n++;
     }
   return n;
@@ -236,7 +243,8 @@
   return code;
 }
 
-/* Writes random bytes to @out in hex, terminated. */
+/* Writes @bytes random bytes to @out as hexadecimal digits, terminated with a
+   NUL. */
 static void
 random_hex (char *out, size_t bytes)
 {
@@ -248,8 +256,8 @@
     snprintf (out + 2 * i, 3, "%02x", raw[i]);
 }
 
-/* This is the only time that the secret is shown: the manifest contains only a
-   salted hash of it. */
+/* The secret is printed here only and cannot be printed again, as the manifest
+   contains only a salted hash of it. */
 int
 cmd_key (const struct options *opt, const char *id, const char *team)
 {
@@ -276,11 +284,11 @@
 int
 cmd_peerkeys (void)
 {
-  char public[41];
-  char secret[41];
+  char public_key[41];
+  char secret_key[41];
 
-  if (zmq_curve_keypair (public, secret))
+  if (zmq_curve_keypair (public_key, secret_key))
     return EXIT_NOT_RUN;
-  printf ("%s %s\n", public, secret);
+  printf ("%s %s\n", public_key, secret_key);
   return EXIT_DONE;
 }
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -1,4 +1,4 @@
-/* HTTP requests to the entry instances, over libcurl. */
+/* Sends HTTP requests to the entry instances through libcurl. */
 #include "citronctl.h"
 
 #include <curl/curl.h>
@@ -7,49 +7,56 @@
 
 enum
 {
-  CONNECT_MS = 3000,
+  /* Timeout for connecting to a server. */
+  CONNECT_TIMEOUT_MS = 3000,
+  /* Size of a buffer for a URL. */
   URL_SIZE = 512,
-  /* Servers that rpc_stream() reads from at once; further ones are ignored. */
+  /* Maximum number of servers that rpc_stream() reads from; it ignores further
+     ones. */
   STREAMS_MAX = 16,
 };
 
-/* Appends a piece of the body to a struct answer. */
+/* CURLOPT_WRITEFUNCTION: appends a piece of the response's body to the struct
+   answer @arg.  Returns the number of bytes appended; 0 if there is no memory,
+   which fails the transfer. */
 static size_t
 on_body (char *data, size_t size, size_t n, void *arg)
 {
   struct answer *a = arg;
-  char *grown = realloc (a->body, a->len + size * n + 1);
+  char *grown = realloc (a->body, a->body_len + size * n + 1);
 
   if (!grown)
     return 0;
   a->body = grown;
-  memcpy (a->body + a->len, data, size * n);
-  a->len += size * n;
-  a->body[a->len] = '\0';
+  memcpy (a->body + a->body_len, data, size * n);
+  a->body_len += size * n;
+  a->body[a->body_len] = '\0';
   return size * n;
 }
 
-/* Returns the headers of every request; the caller frees them. */
+/* Returns the headers that every request has; the caller frees them. */
 static struct curl_slist *
 request_headers (const struct options *opt)
 {
-  struct curl_slist *list = NULL;
+  struct curl_slist *headers = NULL;
   char line[256];
 
-  list = curl_slist_append (list, "Content-Type: application/json");
-  list = curl_slist_append (list, "Expect:");
+  headers = curl_slist_append (headers, "Content-Type: application/json");
+  headers = curl_slist_append (headers, "Expect:");
   if (opt->key)
     {
       snprintf (line, sizeof line, "Authorization: Bearer %s", opt->key);
-      list = curl_slist_append (list, line);
+      headers = curl_slist_append (headers, line);
     }
-  return list;
+  return headers;
 }
 
-/* Creates a request; @server is the start of the URL and not terminated. */
+/* Creates a libcurl easy handle for a request.  The URL consists of the first
+   @server_len bytes of @server, followed by @path.  @headers must outlive the
+   handle. */
 static CURL *
 request_new (const struct options *opt, const char *method, const char *server,
-             size_t server_len, const char *path, struct curl_slist *list)
+             size_t server_len, const char *path, struct curl_slist *headers)
 {
   CURL *e = curl_easy_init ();
   char url[URL_SIZE];
@@ -57,22 +64,23 @@
   snprintf (url, sizeof url, "%.*s%s", (int)server_len, server, path);
   curl_easy_setopt (e, CURLOPT_URL, url);
   curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, method);
-  curl_easy_setopt (e, CURLOPT_HTTPHEADER, list);
-  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+  curl_easy_setopt (e, CURLOPT_HTTPHEADER, headers);
+  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
   curl_easy_setopt (e, CURLOPT_PROXY, "");
   if (opt->cacert)
     curl_easy_setopt (e, CURLOPT_CAINFO, opt->cacert);
   return e;
 }
 
-/* Sends a request to one server and fills in *@a. */
+/* Sends a request to one server and stores the response in *@a, which must be
+   all zero before the call.  @server is not terminated. */
 static void
 send_to (const struct options *opt, const char *method, const char *server,
          size_t server_len, const char *path, const char *body, size_t len,
          struct answer *a)
 {
-  struct curl_slist *list = request_headers (opt);
-  CURL *e = request_new (opt, method, server, server_len, path, list);
+  struct curl_slist *headers = request_headers (opt);
+  CURL *e = request_new (opt, method, server, server_len, path, headers);
   long sent = 0;
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_body);
@@ -87,7 +95,7 @@
   curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent);
   a->sent = sent > 0;
   curl_easy_cleanup (e);
-  curl_slist_free_all (list);
+  curl_slist_free_all (headers);
 }
 
 void
@@ -140,16 +148,17 @@
     }
 }
 
-/* struct stream - the response of one server of rpc_stream() */
+/* struct stream - response of one server to the request of rpc_stream() */
 struct stream
 {
-  /* The line received so far; NULL before the first byte. */
-  char *buf;
-  size_t len;
+  /* Bytes received of the current line; NULL before the first byte. */
+  char *line;
+  size_t line_len;
   void (*on_line) (const char *text, size_t len);
 };
 
-/* Splits a piece of the body into lines. */
+/* CURLOPT_WRITEFUNCTION: splits a piece of a response's body into lines and
+   passes each complete line to on_line of the struct stream @arg. */
 static size_t
 on_stream (char *data, size_t size, size_t n, void *arg)
 {
@@ -160,46 +169,48 @@
     {
       if (data[i] == '\n')
         {
-          st->on_line (st->buf, st->len);
-          st->len = 0;
+          st->on_line (st->line, st->line_len);
+          st->line_len = 0;
           continue;
         }
-      char *grown = realloc (st->buf, st->len + 2);
+      char *grown = realloc (st->line, st->line_len + 2);
       if (!grown)
         return 0;
-      st->buf = grown;
-      st->buf[st->len++] = data[i];
+      st->line = grown;
+      st->line[st->line_len++] = data[i];
     }
   return len;
 }
 
+/* Creates a libcurl easy handle that receives GET @path of one server as the
+   stream @st.  @server has @len bytes and is not terminated. */
 static CURL *
 stream_open (const struct options *opt, const char *server, size_t len,
-             const char *path, struct curl_slist *list, struct stream *st)
+             const char *path, struct curl_slist *headers, struct stream *st)
 {
-  CURL *e = request_new (opt, "GET", server, len, path, list);
+  CURL *e = request_new (opt, "GET", server, len, path, headers);
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_stream);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, st);
   return e;
 }
 
-/* Runs all streams until the last one has ended.  Returns EXIT_DONE if one of
-   them was successful, else the exit code of the last response, or
-   EXIT_NOT_RUN if there was none. */
+/* Runs all streams of @multi until the last one has ended.  Returns EXIT_DONE
+   if any response was successful, else the exit code of the last response, or
+   EXIT_NOT_RUN if no server has responded. */
 static int
 stream_run (CURLM *multi)
 {
   struct answer a = { .sent = true };
   CURLMsg *msg;
   int running = 1;
-  int left;
+  int msgs_in_queue;
   int code = EXIT_NOT_RUN;
 
   while (running)
     {
       curl_multi_perform (multi, &running);
-      while ((msg = curl_multi_info_read (multi, &left)))
+      while ((msg = curl_multi_info_read (multi, &msgs_in_queue)))
         {
           curl_easy_getinfo (msg->easy_handle, CURLINFO_RESPONSE_CODE,
                              &a.status);
@@ -207,7 +218,7 @@
             code = rpc_exit_code (&a);
         }
       if (running)
-        curl_multi_poll (multi, NULL, 0, CONNECT_MS, NULL);
+        curl_multi_poll (multi, NULL, 0, CONNECT_TIMEOUT_MS, NULL);
     }
   return code;
 }
@@ -218,7 +229,7 @@
 {
   struct stream streams[STREAMS_MAX] = { 0 };
   CURL *easy[STREAMS_MAX];
-  struct curl_slist *list = request_headers (opt);
+  struct curl_slist *headers = request_headers (opt);
   CURLM *multi = curl_multi_init ();
   const char *server = opt->servers;
   int n = 0;
@@ -228,7 +239,7 @@
     {
       size_t len = strcspn (server, ",");
       streams[n].on_line = on_line;
-      easy[n] = stream_open (opt, server, len, path, list, &streams[n]);
+      easy[n] = stream_open (opt, server, len, path, headers, &streams[n]);
       curl_multi_add_handle (multi, easy[n]);
       n++;
       server += len;
@@ -239,9 +250,9 @@
     {
       curl_multi_remove_handle (multi, easy[i]);
       curl_easy_cleanup (easy[i]);
-      free (streams[i].buf);
+      free (streams[i].line);
     }
   curl_multi_cleanup (multi);
-  curl_slist_free_all (list);
+  curl_slist_free_all (headers);
   return code;
 }
