--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -48,9 +48,9 @@
   char *text = codec_text (&sync_req_desc, req);
   struct httpc_req rq = {
     .method = "POST",
-    .type = "application/json",
+    .content_type = "application/json",
     .timeout_ms = SYNC_TIMEOUT_MS,
-    .connect_ms = SYNC_CONNECT_MS,
+    .connect_timeout_ms = SYNC_CONNECT_MS,
     /* libcurl must not send a start a second time on another connection. */
     .new_connection = req->n_starts > 0,
     .on_end = on_end,
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -261,7 +261,7 @@
 {
   struct httpd_conf conf = {
     .addr = addr,
-    .body_max = BODY_MAX,
+    .max_body_bytes = BODY_MAX,
     .arg = d,
     .on_request = on_request,
     .on_disconnect = on_disconnect,
@@ -412,7 +412,7 @@
 open_all (struct fleetd *d)
 {
   struct links_conf links = { .loop = d->loop,
-                              .listen = d->set.mesh_addr,
+                              .listen_addr = d->set.mesh_addr,
                               .arg = d,
                               .on_message = on_message,
                               .on_received = on_received };
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -31,7 +31,7 @@
   const struct options *opt = &d->opt;
   struct links_conf conf = {
     .loop = d->loop,
-    .listen = opt->peer_listen,
+    .listen_addr = opt->peer_listen,
     .public_key = opt->insecure_peers ? NULL : opt->peer_public,
     .secret_key = opt->peer_secret,
     .permitted_keys = opt->permitted,
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -64,9 +64,9 @@
   char *text = codec_text (&store_op_desc, op);
   struct httpc_req rq = {
     .method = "POST",
-    .type = "application/json",
+    .content_type = "application/json",
     .timeout_ms = STORE_TIMEOUT_MS,
-    .connect_ms = STORE_CONNECT_MS,
+    .connect_timeout_ms = STORE_CONNECT_MS,
     .on_end = on_end,
   };
 
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -100,7 +100,7 @@
   f->s = s;
   f->call = rq->id;
   f->path = strdup (rq->path);
-  f->type = rq->type ? strdup (rq->type) : NULL;
+  f->type = rq->content_type ? strdup (rq->content_type) : NULL;
   f->body = malloc (rq->body_len + 1);
   if (!f->body || !f->path)
     abort ();
@@ -354,7 +354,7 @@
   struct httpc_req rq = {
     .method = "POST",
     .timeout_ms = o->u.forward.max_run_ms,
-    .connect_ms = EXECUTOR_CONNECT_MS,
+    .connect_timeout_ms = EXECUTOR_CONNECT_MS,
     .new_connection = true,
     .arg = f,
     .on_head = on_head,
@@ -372,7 +372,7 @@
     }
   snprintf (url, sizeof url, "http://%s%.200s", o->u.forward.addr, f->path);
   rq.url = url;
-  rq.type = f->type;
+  rq.content_type = f->type;
   rq.request_id = o->u.forward.id;
   rq.body = f->body;
   rq.body_len = f->body_len;
@@ -419,9 +419,9 @@
   struct serve *s = calloc (1, sizeof *s);
   struct httpd_conf conf = {
     .addr = d->opt.listen,
-    .body_max = REQUEST_BODY_MAX,
-    .cert = d->opt.cert,
-    .key = d->opt.key,
+    .max_body_bytes = REQUEST_BODY_MAX,
+    .cert_file = d->opt.cert,
+    .key_file = d->opt.key,
     .arg = s,
     .on_request = on_request,
     .on_disconnect = on_disconnect,
--- a/net/httpc.c
+++ b/net/httpc.c
@@ -377,10 +377,10 @@
   x->rq = *rq;
   x->id = ++c->next_id;
   RB_INSERT (xfer_tree, &c->xfers, x);
-  add_header (x, "Content-Type", rq->type);
+  add_header (x, "Content-Type", rq->content_type);
   add_header (x, "X-Request-Id", rq->request_id);
-  if (rq->header)
-    x->headers = curl_slist_append (x->headers, rq->header);
+  if (rq->extra_header)
+    x->headers = curl_slist_append (x->headers, rq->extra_header);
   x->headers = curl_slist_append (x->headers, "Expect:");
   set_body (x, rq);
   curl_easy_setopt (e, CURLOPT_PRIVATE, x);
@@ -389,7 +389,8 @@
   curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, rq->method);
   curl_easy_setopt (e, CURLOPT_HTTPHEADER, x->headers);
   curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)rq->timeout_ms);
-  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)rq->connect_ms);
+  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS,
+                    (long)rq->connect_timeout_ms);
   curl_easy_setopt (e, CURLOPT_FRESH_CONNECT, (long)rq->new_connection);
   curl_easy_setopt (e, CURLOPT_FORBID_REUSE, (long)rq->new_connection);
   curl_multi_add_handle (c->multi, e);
--- a/net/httpc.h
+++ b/net/httpc.h
@@ -34,11 +34,11 @@
   const char *method;
   const char *url;
   /* Content-Type, or NULL for none. */
-  const char *type;
+  const char *content_type;
   /* X-Request-Id, or NULL for none. */
   const char *request_id;
   /* One more header as "Name: value", or NULL. */
-  const char *header;
+  const char *extra_header;
   /* NULL: the request has no body. */
   const char *body;
   size_t body_len;
@@ -46,7 +46,7 @@
      0: no bound. */
   int64_t timeout_ms;
   /* Bound on connecting; 0: libcurl's default. */
-  int64_t connect_ms;
+  int64_t connect_timeout_ms;
   /* Open a connection for this request alone.  On a reused connection that
      turns out to be dead, libcurl sends the request a second time. */
   bool new_connection;
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -151,7 +151,7 @@
   if (rq->bearer && strncmp (rq->bearer, prefix, sizeof prefix - 1) == 0)
     rq->bearer += sizeof prefix - 1;
   rq->request_id = copy_header (&at, req, "x-request-id");
-  rq->type = copy_header (&at, req, "content-type");
+  rq->content_type = copy_header (&at, req, "content-type");
   rq->host = copy_text (&at, req->authority.base, req->authority.len);
   ((char *)rq->host)[strcspn (rq->host, ":")] = '\0';
   rq->impl = req;
@@ -402,8 +402,8 @@
     return NULL;
   SSL_CTX_set_min_proto_version (ssl, TLS1_2_VERSION);
   h2o_ssl_register_alpn_protocols (ssl, h2o_http2_alpn_protocols);
-  if (SSL_CTX_use_certificate_chain_file (ssl, c->cert) == 1
-      && SSL_CTX_use_PrivateKey_file (ssl, c->key, SSL_FILETYPE_PEM) == 1)
+  if (SSL_CTX_use_certificate_chain_file (ssl, c->cert_file) == 1
+      && SSL_CTX_use_PrivateKey_file (ssl, c->key_file, SSL_FILETYPE_PEM) == 1)
     return ssl;
   SSL_CTX_free (ssl);
   return NULL;
@@ -414,7 +414,7 @@
 {
   SSL_CTX *ssl;
 
-  if (!d->conf.cert)
+  if (!d->conf.cert_file)
     return 0;
   ssl = load_tls (&d->conf);
   if (!ssl)
@@ -439,7 +439,7 @@
   d->conf = *conf;
   RB_INIT (&d->exchanges);
   h2o_config_init (&d->global);
-  d->global.max_request_entity_size = conf->body_max;
+  d->global.max_request_entity_size = conf->max_body_bytes;
   d->global.http1.req_timeout = REQUEST_TIMEOUT_MS;
   d->global.http2.idle_timeout = IDLE_TIMEOUT_MS;
   host = h2o_config_register_host (
@@ -451,7 +451,7 @@
   h2o_context_init (&d->ctx, loop, &d->global);
   d->accept.ctx = &d->ctx;
   d->accept.hosts = d->global.hosts;
-  *err = conf->cert && httpd_reload (d) ? UV_EINVAL : listen_on (d, loop);
+  *err = conf->cert_file && httpd_reload (d) ? UV_EINVAL : listen_on (d, loop);
   return *err ? NULL : d;
 }
 
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -35,7 +35,7 @@
   /* X-Request-Id, or NULL. */
   const char *request_id;
   /* Content-Type, or NULL. */
-  const char *type;
+  const char *content_type;
   /* Host without the port; may be empty. */
   const char *host;
   /* Not terminated; may be NULL if it is empty. */
@@ -62,10 +62,10 @@
   /* "ip:port"; port 0 selects a free one. */
   const char *addr;
   /* Maximum bytes of a request body; a larger one is answered with 413. */
-  size_t body_max;
+  size_t max_body_bytes;
   /* PEM files of the certificate chain and its key; NULL: no TLS. */
-  const char *cert;
-  const char *key;
+  const char *cert_file;
+  const char *key_file;
   /* Passed to the callbacks. */
   void *arg;
   /** on_request - A request has arrived, with its whole body. */
--- a/net/links.c
+++ b/net/links.c
@@ -245,7 +245,7 @@
                       LINKS_KEY_SIZE);
       zmq_setsockopt (p->router, ZMQ_ZAP_DOMAIN, "peers", 5);
     }
-  snprintf (url, sizeof url, "tcp://%s", conf->listen);
+  snprintf (url, sizeof url, "tcp://%s", conf->listen_addr);
   if (zmq_bind (p->router, url))
     return -1;
   zmq_getsockopt (p->router, ZMQ_LAST_ENDPOINT, p->addr, &size);
@@ -265,7 +265,7 @@
   p->ctx = zmq_ctx_new ();
   if (open_router (p))
     {
-      fprintf (stderr, "%s: %s\n", conf->listen, zmq_strerror (errno));
+      fprintf (stderr, "%s: %s\n", conf->listen_addr, zmq_strerror (errno));
       return NULL;
     }
   watch_socket (p, p->router, &p->router_poll);
--- a/net/links.h
+++ b/net/links.h
@@ -25,7 +25,7 @@
 {
   uv_loop_t *loop;
   /* "ip:port"; port 0 selects a free one. */
-  const char *listen;
+  const char *listen_addr;
   /* Key pair in Z85, which all peers share: as a client, an instance expects
      its own public key of the server.  NULL: clear text, open to every peer.
    */
--- a/regress/standin/backendd.c
+++ b/regress/standin/backendd.c
@@ -195,7 +195,7 @@
 open_server (struct server *s, const char *domain, int i, bool executor)
 {
   struct httpd_conf conf = { .addr = "127.0.0.1:0",
-                             .body_max = BODY_MAX,
+                             .max_body_bytes = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
                              .on_disconnect = on_gone };
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -490,7 +490,7 @@
        void (*on_request) (void *arg, const struct httpd_req *rq))
 {
   struct httpd_conf conf = { .addr = s->addr,
-                             .body_max = BODY_MAX,
+                             .max_body_bytes = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
                              .on_disconnect = on_gone };
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -116,12 +116,12 @@
   char url[160];
   struct httpc_req rq = { .method = method,
                           .url = url,
-                          .type = "application/json",
-                          .header = "Key: k",
+                          .content_type = "application/json",
+                          .extra_header = "Key: k",
                           .body = body,
                           .body_len = body ? strlen (body) : 0,
                           .timeout_ms = 3000,
-                          .connect_ms = 1000,
+                          .connect_timeout_ms = 1000,
                           .arg = &jobs[i],
                           .on_end = on_end };
 
--- a/regress/standin/platformd.c
+++ b/regress/standin/platformd.c
@@ -172,7 +172,7 @@
 {
   static struct platform p;
   struct httpd_conf conf = { .arg = &p,
-                             .body_max = BODY_MAX,
+                             .max_body_bytes = BODY_MAX,
                              .on_request = on_request,
                              .on_disconnect = on_gone };
   int err;
