--- a/net/httpc.c
+++ b/net/httpc.c
@@ -9,10 +9,10 @@
 
 enum
 {
-  /* Idle connections kept open over all servers, unless httpc_limit() sets
-     another number. */
+  /* Maximum number of idle connections kept open over all servers, unless
+     httpc_limit() sets another one. */
   IDLE_CONNECTIONS_MAX = 256,
-  /* libcurl easy handles kept for reuse. */
+  /* Maximum number of libcurl easy handles kept for reuse. */
   IDLE_HANDLES_MAX = 64,
   /* Maximum bytes of a response body that is collected for on_end; a longer
      one fails the request. */
@@ -30,13 +30,13 @@
   /* Copy of the request's body, or NULL. */
   char *body;
   uint64_t id;
-  /* Body of the response as received so far, terminated; NULL while it is
-     empty and if on_data takes the body. */
-  char *buf;
-  size_t len;
-  /* on_head has been called. */
+  /* Bytes received of the response's body, terminated with a NUL; NULL if none
+     has arrived or the request has on_data. */
+  char *response;
+  size_t response_len;
+  /* True once on_head has been called. */
   bool head_delivered;
-  /* on_data has stopped the flow. */
+  /* True while the response is paused, as on_data has returned false. */
   bool paused;
 };
 RB_HEAD (xfer_tree, xfer);
@@ -47,23 +47,33 @@
   uv_timer_t timer;
   CURLM *multi;
   struct xfer_tree xfers;
-  /* Indexed by file descriptor; NULL where there is none yet. */
-  struct watch **watches;
-  size_t n_watches;
-  CURL *idle[IDLE_HANDLES_MAX];
-  int n_idle;
-  uint64_t next_id;
+  /* Poll handles indexed by file descriptor; NULL for a descriptor that
+     libcurl has not used yet. */
+  struct socket_poll **socket_polls;
+  /* Number of elements of @socket_polls. */
+  size_t n_socket_polls;
+  /* libcurl easy handles for reuse. */
+  CURL *idle_handles[IDLE_HANDLES_MAX];
+  int n_idle_handles;
+  /* Id of the last request that was started; 0 before the first one. */
+  uint64_t last_id;
 };
 
-/* struct watch - libuv poll handle of a file descriptor that libcurl uses.
-   It is never freed but reused for the next socket with the same descriptor:
-   libcurl closes some sockets without reporting CURL_POLL_REMOVE. */
-struct watch
+/*
+ * struct socket_poll - libuv poll handle of a file descriptor that libcurl
+ * uses
+ *
+ * A handle is never freed, but reused for the next socket with the same
+ * descriptor, as libcurl closes some sockets without reporting
+ * CURL_POLL_REMOVE.
+ */
+struct socket_poll
 {
   uv_poll_t poll;
   struct httpc *c;
   curl_socket_t fd;
-  /* UV_READABLE and UV_WRITABLE as polled for; 0: not polled. */
+  /* Events that are polled for, of UV_READABLE and UV_WRITABLE; 0 if the
+     socket is not polled. */
   int events;
 };
 
@@ -84,64 +94,64 @@
   return RB_FIND (xfer_tree, &c->xfers, &key);
 }
 
-/* Calls on_head unless it has been called. */
+/* Calls on_head unless it has been called before. */
 static void
 deliver_head (struct xfer *x)
 {
   long status = 0;
-  char *type = NULL;
+  char *content_type = NULL;
 
   if (x->head_delivered || !x->rq.on_head)
     return;
   x->head_delivered = true;
   curl_easy_getinfo (x->easy, CURLINFO_RESPONSE_CODE, &status);
-  curl_easy_getinfo (x->easy, CURLINFO_CONTENT_TYPE, &type);
-  x->rq.on_head (x->rq.arg, (int)status, type);
+  curl_easy_getinfo (x->easy, CURLINFO_CONTENT_TYPE, &content_type);
+  x->rq.on_head (x->rq.arg, (int)status, content_type);
 }
 
-/* Ends a request with libcurl's result @code, calls on_end and frees @x. */
+/* Ends a request whose libcurl result is @code: calls on_end and frees @x. */
 static void
-xfer_finish (struct xfer *x, CURLcode code)
+xfer_end (struct xfer *x, CURLcode code)
 {
   struct httpc *c = x->c;
   long status = 0;
   long sent = 0;
-  int end = HTTPC_OK;
+  int result = HTTPC_OK;
 
   curl_easy_getinfo (x->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (x->easy, CURLINFO_REQUEST_SIZE, &sent);
   if (code != CURLE_OK)
-    end = sent == 0 ? HTTPC_UNREACHED : HTTPC_FAILED;
+    result = sent == 0 ? HTTPC_UNREACHED : HTTPC_FAILED;
   else
     deliver_head (x);
   RB_REMOVE (xfer_tree, &c->xfers, x);
   curl_multi_remove_handle (c->multi, x->easy);
-  if (c->n_idle < IDLE_HANDLES_MAX)
-    c->idle[c->n_idle++] = x->easy;
+  if (c->n_idle_handles < IDLE_HANDLES_MAX)
+    c->idle_handles[c->n_idle_handles++] = x->easy;
   else
     curl_easy_cleanup (x->easy);
   curl_slist_free_all (x->headers);
   free (x->body);
-  x->rq.on_end (x->rq.arg, end, (int)status, x->rq.on_data ? NULL : x->buf,
-                x->len);
-  free (x->buf);
+  x->rq.on_end (x->rq.arg, result, (int)status,
+                x->rq.on_data ? NULL : x->response, x->response_len);
+  free (x->response);
   free (x);
 }
 
-/* Finishes every request that libcurl reports as completed. */
+/* Ends every request that libcurl reports as completed. */
 static void
-finish_completed (struct httpc *c)
+end_completed_xfers (struct httpc *c)
 {
   CURLMsg *msg;
-  int left;
+  int msgs_in_queue;
 
-  while ((msg = curl_multi_info_read (c->multi, &left)))
+  while ((msg = curl_multi_info_read (c->multi, &msgs_in_queue)))
     if (msg->msg == CURLMSG_DONE)
       {
         struct xfer *x;
         CURLcode code = msg->data.result;
         curl_easy_getinfo (msg->easy_handle, CURLINFO_PRIVATE, (char **)&x);
-        xfer_finish (x, code);
+        xfer_end (x, code);
       }
 }
 
@@ -149,15 +159,16 @@
 on_timer (uv_timer_t *t)
 {
   struct httpc *c = t->data;
-  int running;
+  int n_running;
 
-  curl_multi_socket_action (c->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-  finish_completed (c);
+  curl_multi_socket_action (c->multi, CURL_SOCKET_TIMEOUT, 0, &n_running);
+  end_completed_xfers (c);
 }
 
-/* CURLMOPT_TIMERFUNCTION: libcurl wants to be called in @ms; -1: no timer. */
+/* CURLMOPT_TIMERFUNCTION: starts the timer that calls libcurl after @ms
+   milliseconds, or stops it if @ms is -1. */
 static int
-set_timer (CURLM *multi, long ms, void *arg)
+set_libcurl_timer (CURLM *multi, long ms, void *arg)
 {
   struct httpc *c = arg;
 
@@ -172,75 +183,78 @@
 static void
 on_poll (uv_poll_t *poll, int status, int events)
 {
-  struct watch *w = poll->data;
-  struct httpc *c = w->c;
-  int flags = 0;
-  int running;
+  struct socket_poll *sp = poll->data;
+  struct httpc *c = sp->c;
+  int ready_events = 0;
+  int n_running;
 
   if (status < 0)
-    flags |= CURL_CSELECT_ERR;
+    ready_events |= CURL_CSELECT_ERR;
   if (events & UV_READABLE)
-    flags |= CURL_CSELECT_IN;
+    ready_events |= CURL_CSELECT_IN;
   if (events & UV_WRITABLE)
-    flags |= CURL_CSELECT_OUT;
-  curl_multi_socket_action (c->multi, w->fd, flags, &running);
-  finish_completed (c);
+    ready_events |= CURL_CSELECT_OUT;
+  curl_multi_socket_action (c->multi, sp->fd, ready_events, &n_running);
+  end_completed_xfers (c);
 }
 
-/* Returns the watch of @fd and creates it if there is none. */
-static struct watch *
-watch_get (struct httpc *c, curl_socket_t fd)
+/* Returns the poll handle of @fd and creates it if there is none. */
+static struct socket_poll *
+socket_poll_get (struct httpc *c, curl_socket_t fd)
 {
-  struct watch *w;
+  struct socket_poll *sp;
 
-  if ((size_t)fd >= c->n_watches)
+  if ((size_t)fd >= c->n_socket_polls)
     {
       size_t n = (size_t)fd + 64;
-      c->watches = realloc (c->watches, n * sizeof (struct watch *));
-      if (!c->watches)
+      c->socket_polls
+          = realloc (c->socket_polls, n * sizeof (struct socket_poll *));
+      if (!c->socket_polls)
         abort ();
-      memset (c->watches + c->n_watches, 0,
-              (n - c->n_watches) * sizeof (struct watch *));
-      c->n_watches = n;
+      memset (c->socket_polls + c->n_socket_polls, 0,
+              (n - c->n_socket_polls) * sizeof (struct socket_poll *));
+      c->n_socket_polls = n;
     }
-  w = c->watches[fd];
-  if (w)
-    return w;
-  w = calloc (1, sizeof *w);
-  if (!w)
+  sp = c->socket_polls[fd];
+  if (sp)
+    return sp;
+  sp = calloc (1, sizeof *sp);
+  if (!sp)
     abort ();
-  w->c = c;
-  w->fd = fd;
-  uv_poll_init_socket (c->loop, &w->poll, fd);
-  w->poll.data = w;
-  c->watches[fd] = w;
-  return w;
+  sp->c = c;
+  sp->fd = fd;
+  uv_poll_init_socket (c->loop, &sp->poll, fd);
+  sp->poll.data = sp;
+  c->socket_polls[fd] = sp;
+  return sp;
 }
 
-/* CURLMOPT_SOCKETFUNCTION: libcurl wants @fd polled for @what. */
+/* CURLMOPT_SOCKETFUNCTION: polls @fd for the events @what, a CURL_POLL_ value.
+ */
 static int
-set_socket (CURL *easy, curl_socket_t fd, int what, void *arg, void *sockp)
+set_socket_events (CURL *easy, curl_socket_t fd, int what, void *arg,
+                   void *sockp)
 {
   struct httpc *c = arg;
-  struct watch *w = watch_get (c, fd);
+  struct socket_poll *sp = socket_poll_get (c, fd);
   int events = 0;
 
   (void)easy;
   (void)sockp;
   if (what == CURL_POLL_REMOVE)
     {
-      uv_poll_stop (&w->poll);
-      w->events = 0;
+      uv_poll_stop (&sp->poll);
+      sp->events = 0;
       return 0;
     }
   if (what & CURL_POLL_IN)
     events |= UV_READABLE;
   if (what & CURL_POLL_OUT)
     events |= UV_WRITABLE;
-  if (events == w->events)
+  if (events == sp->events)
     return 0;
-  w->events = events;
-  uv_poll_start (&w->poll, events, on_poll);
+  sp->events = events;
+  uv_poll_start (&sp->poll, events, on_poll);
   return 0;
 }
 
@@ -256,9 +270,9 @@
   uv_timer_init (loop, &c->timer);
   c->timer.data = c;
   c->multi = curl_multi_init ();
-  curl_multi_setopt (c->multi, CURLMOPT_SOCKETFUNCTION, set_socket);
+  curl_multi_setopt (c->multi, CURLMOPT_SOCKETFUNCTION, set_socket_events);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETDATA, c);
-  curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, set_timer);
+  curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, set_libcurl_timer);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERDATA, c);
   curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS,
                      (long)IDLE_CONNECTIONS_MAX);
@@ -272,14 +286,15 @@
   curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, max_idle);
 }
 
-/* CURLOPT_WRITEFUNCTION.  A return value other than the size of @data fails
-   the transfer, but for CURL_WRITEFUNC_PAUSE. */
+/* CURLOPT_WRITEFUNCTION: passes a piece of the response's body to on_data, or
+   appends it to the collected body.  A return value other than the size of
+   @data fails the transfer, except for CURL_WRITEFUNC_PAUSE. */
 static size_t
 on_body (char *data, size_t size, size_t n, void *arg)
 {
   struct xfer *x = arg;
   size_t len = size * n;
-  char *grown;
+  char *new_response;
 
   if (x->rq.on_data)
     {
@@ -289,15 +304,15 @@
       x->paused = !x->rq.on_data (x->rq.arg, data, len);
       return len;
     }
-  if (x->len + len > RESPONSE_MAX)
+  if (x->response_len + len > RESPONSE_MAX)
     return 0;
-  grown = realloc (x->buf, x->len + len + 1);
-  if (!grown)
+  new_response = realloc (x->response, x->response_len + len + 1);
+  if (!new_response)
     return 0;
-  x->buf = grown;
-  memcpy (x->buf + x->len, data, len);
-  x->len += len;
-  x->buf[x->len] = '\0';
+  x->response = new_response;
+  memcpy (x->response + x->response_len, data, len);
+  x->response_len += len;
+  x->response[x->response_len] = '\0';
   return len;
 }
 
@@ -306,15 +321,16 @@
 static int
 on_socket (void *arg, curl_socket_t fd, curlsocktype purpose)
 {
-  struct linger off = { .l_onoff = 1, .l_linger = 0 };
+  struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
   (void)arg;
   (void)purpose;
-  setsockopt (fd, SOL_SOCKET, SO_LINGER, &off, sizeof off);
+  setsockopt (fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
   return CURL_SOCKOPT_OK;
 }
 
-/* Adds a header unless @value is NULL or the line exceeds 512 bytes. */
+/* Adds a header to the request unless @value is NULL or the header has more
+   than 512 bytes. */
 static void
 add_header (struct xfer *x, const char *name, const char *value)
 {
@@ -328,9 +344,9 @@
   x->headers = curl_slist_append (x->headers, line);
 }
 
-/* Creates an easy handle with the options that all requests share. */
+/* Creates a libcurl easy handle with the options that all requests share. */
 static CURL *
-handle_new (void)
+easy_handle_new (void)
 {
   CURL *e = curl_easy_init ();
 
@@ -343,8 +359,8 @@
   return e;
 }
 
-/* Copies the request's body; a request without one is sent as a GET unless
-   its method says otherwise. */
+/* Copies the body of @rq to @x.  If @rq has none, makes the request a GET,
+   unless its method says otherwise. */
 static void
 set_body (struct xfer *x, const struct httpc_req *rq)
 {
@@ -368,14 +384,15 @@
 httpc_send (struct httpc *c, const struct httpc_req *rq)
 {
   struct xfer *x = calloc (1, sizeof *x);
-  CURL *e = c->n_idle ? c->idle[--c->n_idle] : handle_new ();
+  CURL *e = c->n_idle_handles ? c->idle_handles[--c->n_idle_handles]
+                              : easy_handle_new ();
 
   if (!x)
     abort ();
   x->c = c;
   x->easy = e;
   x->rq = *rq;
-  x->id = ++c->next_id;
+  x->id = ++c->last_id;
   RB_INSERT (xfer_tree, &c->xfers, x);
   add_header (x, "Content-Type", rq->content_type);
   add_header (x, "X-Request-Id", rq->request_id);
@@ -414,5 +431,5 @@
   struct xfer *x = xfer_find (c, id);
 
   if (x)
-    xfer_finish (x, CURLE_ABORTED_BY_CALLBACK);
+    xfer_end (x, CURLE_ABORTED_BY_CALLBACK);
 }
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -10,17 +10,19 @@
 
 enum
 {
-  /* Connections that wait to be accepted. */
-  BACKLOG = 512,
+  /* Maximum number of connections that wait to be accepted. */
+  LISTEN_BACKLOG = 512,
   /* Time that a client has to send the head and body of a request. */
   REQUEST_TIMEOUT_MS = 10000,
-  /* An HTTP/2 connection without a request is closed after this time. */
+  /* Time after which an HTTP/2 connection without a request is closed. */
   IDLE_TIMEOUT_MS = 60000,
+  /* Size of a buffer for an address "ip:port". */
   ADDR_SIZE = 64,
-  RETRY_SIZE = 24,
+  /* Size of a buffer for the value of a Retry-After header. */
+  RETRY_AFTER_SIZE = 24,
 };
 
-/* struct exchange - a request without a complete response */
+/* struct exchange - a request that has no complete response yet */
 struct exchange
 {
   RB_ENTRY (exchange) by_id;
@@ -30,24 +32,26 @@
   uint64_t id;
   /* Memory of the strings in struct httpd_req. */
   char *strings;
-  /* Response bytes that wait for the current h2o_send() to end. */
-  char *buf;
-  size_t len;
-  /* Response bytes passed to h2o_send(). */
+  /* Bytes of the response that wait for the current h2o_send() to end. */
+  char *queued;
+  size_t queued_len;
+  /* Bytes of the response that the current h2o_send() sends. */
   char *sending;
   size_t sending_len;
-  /* httpd_begin() has been called. */
+  /* True once httpd_begin() has been called. */
   bool streaming;
-  /* An h2o_send() has not ended. */
+  /* True from h2o_send() until libh2o calls on_proceed(). */
   bool send_in_progress;
-  /* httpd_end() has been called. */
+  /* True once httpd_end() has been called. */
   bool ending;
-  /* The response was ended as complete, not aborted. */
+  /* True if httpd_end() ended the response as complete, false if it aborts
+     the response. */
   bool complete;
 };
 RB_HEAD (exchange_tree, exchange);
 
-/* struct handler - libh2o's request handler with the server that it serves */
+/* struct handler - request handler of libh2o, extended by the server that it
+   belongs to */
 struct handler
 {
   h2o_handler_t super;
@@ -58,13 +62,16 @@
 {
   struct httpd_conf conf;
   uv_tcp_t listener;
+  /* True while the server accepts connections. */
   bool listening;
   h2o_globalconf_t global;
   h2o_context_t ctx;
   h2o_accept_ctx_t accept;
   struct exchange_tree exchanges;
   size_t n_exchanges;
-  uint64_t next_id;
+  /* Id of the last request; 0 before the first one. */
+  uint64_t last_id;
+  /* Address that the server listens on, as "ip:port". */
   char addr[ADDR_SIZE];
 };
 
@@ -85,8 +92,9 @@
   return RB_FIND (exchange_tree, &d->exchanges, &key);
 }
 
-/* Called by libh2o when it frees the memory of the request: the response has
-   been sent or the connection was closed. */
+/* Frees the exchange that *@slot points to.  libh2o calls the function when it
+   frees the memory of the request, as the response has been sent or the
+   connection was closed. */
 static void
 exchange_dispose (void *slot)
 {
@@ -98,39 +106,41 @@
   RB_REMOVE (exchange_tree, &d->exchanges, x);
   d->n_exchanges--;
   free (x->strings);
-  free (x->buf);
+  free (x->queued);
   free (x->sending);
   free (x);
   if (disconnected)
     d->conf.on_disconnect (d->conf.arg, id);
 }
 
-/* Copies a string to *@at, terminated, and moves *@at behind the copy.
-   Returns the copy. */
+/* Copies the @len bytes of @src and a NUL to *@pos and moves *@pos behind
+   them.  Returns the copy. */
 static const char *
-copy_text (char **at, const char *src, size_t len)
+copy_text (char **pos, const char *src, size_t len)
 {
-  char *start = *at;
+  char *start = *pos;
 
   memcpy (start, src, len);
   start[len] = '\0';
-  *at += len + 1;
+  *pos += len + 1;
   return start;
 }
 
-/* Copies the value of header @name in the same way; NULL if it is missing. */
+/* Copies the value of header @name and a NUL to *@pos and moves *@pos behind
+   them.  Returns the copy, or NULL if the request has no such header. */
 static const char *
-copy_header (char **at, h2o_req_t *req, const char *name)
+copy_header (char **pos, h2o_req_t *req, const char *name)
 {
   ssize_t i = h2o_find_header_by_str (&req->headers, name, strlen (name), -1);
 
   if (i < 0)
     return NULL;
   h2o_iovec_t v = req->headers.entries[i].value;
-  return copy_text (at, v.base, v.len);
+  return copy_text (pos, v.base, v.len);
 }
 
-/* Sets *@rq to the request; its strings are in one allocation of @x. */
+/* Sets *@rq to the request of @x.  The strings of @rq are in one block of
+   memory, which @x owns. */
 static void
 fill_request (struct exchange *x, struct httpd_req *rq)
 {
@@ -143,16 +153,16 @@
   x->strings = malloc (size);
   if (!x->strings)
     abort ();
-  char *at = x->strings;
+  char *pos = x->strings;
   rq->id = x->id;
-  rq->method = copy_text (&at, req->method.base, req->method.len);
-  rq->path = copy_text (&at, req->path.base, req->path.len);
-  rq->bearer = copy_header (&at, req, "authorization");
+  rq->method = copy_text (&pos, req->method.base, req->method.len);
+  rq->path = copy_text (&pos, req->path.base, req->path.len);
+  rq->bearer = copy_header (&pos, req, "authorization");
   if (rq->bearer && strncmp (rq->bearer, prefix, sizeof prefix - 1) == 0)
     rq->bearer += sizeof prefix - 1;
-  rq->request_id = copy_header (&at, req, "x-request-id");
-  rq->content_type = copy_header (&at, req, "content-type");
-  rq->host = copy_text (&at, req->authority.base, req->authority.len);
+  rq->request_id = copy_header (&pos, req, "x-request-id");
+  rq->content_type = copy_header (&pos, req, "content-type");
+  rq->host = copy_text (&pos, req->authority.base, req->authority.len);
   ((char *)rq->host)[strcspn (rq->host, ":")] = '\0';
   rq->impl = req;
   rq->body = req->entity.base;
@@ -174,7 +184,8 @@
 
 static void flush_stream (struct exchange *x);
 
-/* Called by libh2o when the last h2o_send() has ended and more may be sent. */
+/* Called by libh2o when the last h2o_send() has ended, so that more may be
+   sent. */
 static void
 on_proceed (h2o_generator_t *gen, h2o_req_t *req)
 {
@@ -193,7 +204,8 @@
     d->conf.on_drained (d->conf.arg, id);
 }
 
-/* Called by libh2o when the connection was closed during a response. */
+/* Called by libh2o when the connection was closed during a response.  Does
+   nothing. */
 static void
 on_stop (h2o_generator_t *gen, h2o_req_t *req)
 {
@@ -201,28 +213,30 @@
   (void)req; /* libh2o calls exchange_dispose() next. */
 }
 
-/* Passes the buffered bytes to h2o_send(), unless a send is in progress. */
+/* Passes the queued bytes of the response to h2o_send(), unless a send is in
+   progress. */
 static void
 flush_stream (struct exchange *x)
 {
   h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 
-  if (x->send_in_progress || (x->len == 0 && !x->ending))
+  if (x->send_in_progress || (x->queued_len == 0 && !x->ending))
     return;
   if (x->ending)
     state = x->complete ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
-  x->sending = x->buf;
-  x->sending_len = x->len;
-  x->buf = NULL;
-  x->len = 0;
+  x->sending = x->queued;
+  x->sending_len = x->queued_len;
+  x->queued = NULL;
+  x->queued_len = 0;
   x->send_in_progress = true;
   h2o_iovec_t v = h2o_iovec_init (x->sending, x->sending_len);
   h2o_send (x->req, &v, v.len ? 1 : 0, state);
 }
 
-/* Called by libh2o for each request. */
+/* Called by libh2o for each request that has arrived with its whole body.
+   Passes the request to on_request. */
 static int
-on_req (h2o_handler_t *self, h2o_req_t *req)
+on_h2o_request (h2o_handler_t *self, h2o_req_t *req)
 {
   struct httpd *d = ((struct handler *)self)->d;
   struct exchange *x = calloc (1, sizeof *x);
@@ -233,7 +247,7 @@
     return -1;
   x->d = d;
   x->req = req;
-  x->id = ++d->next_id;
+  x->id = ++d->last_id;
   x->gen.proceed = on_proceed;
   x->gen.stop = on_stop;
   RB_INSERT (exchange_tree, &d->exchanges, x);
@@ -246,7 +260,8 @@
 }
 
 void
-httpd_begin (struct httpd *d, uint64_t id, int status, const char *type)
+httpd_begin (struct httpd *d, uint64_t id, int status,
+             const char *content_type)
 {
   struct exchange *x = exchange_find (d, id);
 
@@ -255,10 +270,11 @@
   x->streaming = true;
   x->req->res.status = status;
   x->req->res.reason = status < 300 ? "OK" : "Error";
-  if (type)
-    h2o_add_header (
-        &x->req->pool, &x->req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
-        h2o_strdup (&x->req->pool, type, SIZE_MAX).base, strlen (type));
+  if (content_type)
+    h2o_add_header (&x->req->pool, &x->req->res.headers,
+                    H2O_TOKEN_CONTENT_TYPE, NULL,
+                    h2o_strdup (&x->req->pool, content_type, SIZE_MAX).base,
+                    strlen (content_type));
   h2o_start_response (x->req, &x->gen);
 }
 
@@ -270,15 +286,15 @@
 
   if (!x || !x->streaming || x->ending)
     return 0;
-  grown = realloc (x->buf, x->len + len + 1);
+  grown = realloc (x->queued, x->queued_len + len + 1);
   if (!grown)
     abort ();
-  x->buf = grown;
-  memcpy (x->buf + x->len, data, len);
-  x->len += len;
+  x->queued = grown;
+  memcpy (x->queued + x->queued_len, data, len);
+  x->queued_len += len;
   flush_stream (x);
   x = exchange_find (d, id);
-  return x ? x->len + x->sending_len : 0;
+  return x ? x->queued_len + x->sending_len : 0;
 }
 
 void
@@ -294,36 +310,39 @@
 }
 
 void
-httpd_answer (struct httpd *d, uint64_t id, int status, const char *type,
-              const char *body, size_t len, int64_t retry_ms)
+httpd_answer (struct httpd *d, uint64_t id, int status,
+              const char *content_type, const char *body, size_t len,
+              int64_t retry_ms)
 {
   struct exchange *x = exchange_find (d, id);
-  char retry[RETRY_SIZE];
+  char retry_after[RETRY_AFTER_SIZE];
   int64_t seconds = (retry_ms + 999) / 1000;
 
   if (!x || x->streaming || x->ending)
     return;
   if (retry_ms > 0)
     {
-      int n = snprintf (retry, sizeof retry, "%lld", (long long)seconds);
+      int n = snprintf (retry_after, sizeof retry_after, "%lld",
+                        (long long)seconds);
       h2o_add_header_by_str (
           &x->req->pool, &x->req->res.headers, H2O_STRLIT ("retry-after"), 1,
-          NULL, h2o_strdup (&x->req->pool, retry, SIZE_MAX).base, (size_t)n);
+          NULL, h2o_strdup (&x->req->pool, retry_after, SIZE_MAX).base,
+          (size_t)n);
     }
   x->req->res.content_length = len;
-  httpd_begin (d, id, status, type);
+  httpd_begin (d, id, status, content_type);
   if (len)
     {
-      x->buf = malloc (len);
-      if (!x->buf)
+      x->queued = malloc (len);
+      if (!x->queued)
         abort ();
-      memcpy (x->buf, body, len);
-      x->len = len;
+      memcpy (x->queued, body, len);
+      x->queued_len = len;
     }
   httpd_end (d, id, true);
 }
 
-/* Listening and TLS. */
+/* Listening for connections, and TLS. */
 
 static void
 free_handle (uv_handle_t *h)
@@ -331,6 +350,7 @@
   free (h);
 }
 
+/* Accepts a connection and passes it to libh2o. */
 static void
 on_connection (uv_stream_t *listener, int status)
 {
@@ -353,7 +373,8 @@
               h2o_uv_socket_create ((uv_stream_t *)conn, free_handle));
 }
 
-/* Parses "ip:port".  Returns 0 or a negative libuv error. */
+/* Parses @addr, which has the form "ip:port".  Returns 0 or a negative libuv
+   error. */
 static int
 parse_addr (const char *addr, struct sockaddr_in *out)
 {
@@ -367,7 +388,8 @@
   return uv_ip4_addr (ip, atoi (colon + 1), out);
 }
 
-/* Binds and listens on conf.addr.  Returns 0 or a negative libuv error. */
+/* Binds the listener to conf.addr and starts to listen.  Returns 0 or a
+   negative libuv error. */
 static int
 listen_on (struct httpd *d, uv_loop_t *loop)
 {
@@ -382,7 +404,8 @@
   d->listener.data = d;
   err = uv_tcp_bind (&d->listener, (struct sockaddr *)&sa, 0);
   if (!err)
-    err = uv_listen ((uv_stream_t *)&d->listener, BACKLOG, on_connection);
+    err = uv_listen ((uv_stream_t *)&d->listener, LISTEN_BACKLOG,
+                     on_connection);
   if (err)
     return err;
   uv_tcp_getsockname (&d->listener, (struct sockaddr *)&sa, &len);
@@ -392,7 +415,8 @@
   return 0;
 }
 
-/* Reads certificate and key; NULL if they cannot be used. */
+/* Returns a TLS context with the certificate and key of @c, or NULL if they
+   cannot be used. */
 static SSL_CTX *
 load_tls (const struct httpd_conf *c)
 {
@@ -419,7 +443,8 @@
   ssl = load_tls (&d->conf);
   if (!ssl)
     return -1;
-  /* The context is reference-counted: connections that use it keep it. */
+  /* The TLS context is reference-counted, so open connections keep the old
+     one. */
   if (d->accept.ssl_ctx)
     SSL_CTX_free (d->accept.ssl_ctx);
   d->accept.ssl_ctx = ssl;
@@ -446,7 +471,7 @@
       &d->global, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
   path = h2o_config_register_path (host, "/", 0);
   handler = (struct handler *)h2o_create_handler (path, sizeof *handler);
-  handler->super.on_req = on_req;
+  handler->super.on_req = on_h2o_request;
   handler->d = d;
   h2o_context_init (&d->ctx, loop, &d->global);
   d->accept.ctx = &d->ctx;
@@ -474,6 +499,6 @@
     return;
   d->listening = false;
   uv_close ((uv_handle_t *)&d->listener, NULL);
-  /* Closes idle keep-alive connections. */
+  /* Close idle keep-alive connections. */
   h2o_context_request_shutdown (&d->ctx);
 }
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -3,8 +3,8 @@
  * libuv loop.  It speaks HTTP/1.1 and, under TLS, HTTP/2.
  *
  * Each request has an id.  A response is sent whole with httpd_answer(), or
- * piece by piece with httpd_begin(), httpd_chunk() and httpd_end(); all four
- * do nothing if the request of that id has ended.
+ * piece by piece with httpd_begin(), httpd_chunk() and httpd_end().  These
+ * four functions do nothing if the request with the given id has ended.
  */
 #ifndef HTTPD_H
 #define HTTPD_H
@@ -19,65 +19,72 @@
 /**
  * struct httpd_req - a request
  *
- * What the pointers refer to is valid until the response has been sent or
+ * The strings and the body are valid until the response has been sent or
  * on_disconnect has been called.
  */
 struct httpd_req
 {
-  /* Not reused by this server, never 0. */
+  /* Id of the request: never 0, and not used again by this server. */
   uint64_t id;
   const char *method;
-  /* Path with the query. */
+  /* Path of the URL, with the query. */
   const char *path;
-  /* Value of Authorization, without "Bearer " if it starts with that; NULL if
+  /* Value of the Authorization header, without "Bearer " at its start; NULL if
      the header is missing. */
   const char *bearer;
-  /* X-Request-Id, or NULL. */
+  /* Value of the X-Request-Id header; NULL if it is missing. */
   const char *request_id;
-  /* Content-Type, or NULL. */
+  /* Value of the Content-Type header; NULL if it is missing. */
   const char *content_type;
-  /* Host without the port; may be empty. */
+  /* Host that the request is addressed to, without the port; may be empty. */
   const char *host;
-  /* Not terminated; may be NULL if it is empty. */
+  /* Body of the request, not terminated; may be NULL if @body_len is 0. */
   const char *body;
   size_t body_len;
-  /* Data of the server itself. */
+  /* Data of the server's implementation. */
   void *impl;
 };
 
 /**
- * httpd_req_header() - Value of a header that struct httpd_req has no member
+ * httpd_req_header() - Look up a header that struct httpd_req has no member
  * for.
- * @name: in lower case
+ * @name: name of the header in lower case
  *
- * To be called from on_request only.
+ * May be called from on_request only.
  *
- * Return: the value, valid as long as @rq, or NULL if the header is missing.
+ * Return: the value of the header, valid as long as the strings of @rq, or
+ * NULL if the header is missing.
  */
 const char *httpd_req_header (const struct httpd_req *rq, const char *name);
 
-/** struct httpd_conf - for httpd_new(); the strings must outlive the server */
+/**
+ * struct httpd_conf - settings of a server
+ *
+ * The strings must outlive the server.
+ */
 struct httpd_conf
 {
-  /* "ip:port"; port 0 selects a free one. */
+  /* Address to listen on, as "ip:port"; port 0 selects a free one. */
   const char *addr;
   /* Maximum bytes of a request body; a larger one is answered with 413. */
   size_t max_body_bytes;
-  /* PEM files of the certificate chain and its key; NULL: no TLS. */
+  /* PEM file of the certificate chain; NULL for no TLS. */
   const char *cert_file;
+  /* PEM file of the certificate's private key. */
   const char *key_file;
-  /* Passed to the callbacks. */
+  /* First argument of the callbacks. */
   void *arg;
-  /** on_request - A request has arrived, with its whole body. */
+  /** on_request - Called when a request has arrived with its whole body. */
   void (*on_request) (void *arg, const struct httpd_req *rq);
   /**
-   * on_disconnect - The connection was closed before httpd_answer() or
-   * httpd_end() was called for the request.
+   * on_disconnect - Called when the connection was closed before
+   * httpd_answer() or httpd_end() was called for request @id.
    */
   void (*on_disconnect) (void *arg, uint64_t id);
   /**
-   * on_drained - Buffered data of a streamed response has been sent, so more
-   * may be passed to httpd_chunk().  May be NULL.
+   * on_drained - Called when buffered data of the streamed response to request
+   * @id has been sent, so that more may be passed to httpd_chunk().  May be
+   * NULL.
    */
   void (*on_drained) (void *arg, uint64_t id);
 };
@@ -90,52 +97,68 @@
  */
 struct httpd *httpd_new (uv_loop_t *loop, const struct httpd_conf *conf,
                          int *err);
-/** httpd_addr() - Return: "ip:port" that @d listens on, owned by @d. */
+
+/**
+ * httpd_addr() - Return: the address that @d listens on, as "ip:port"; owned
+ * by @d.
+ */
 const char *httpd_addr (const struct httpd *d);
 
 /**
- * httpd_reload() - Read certificate and key again, for new connections.
+ * httpd_reload() - Read the certificate and the key again, for use by new
+ * connections.
  *
  * Return: 0, or -1 if they cannot be used; the server then keeps the old ones.
  */
 int httpd_reload (struct httpd *d);
 
 /**
- * httpd_stop() - Accept no more connections and close the idle ones.
+ * httpd_stop() - Stop accepting connections and close the idle ones.
  *
  * Pending requests are not affected.
  */
 void httpd_stop (struct httpd *d);
 
-/** httpd_n_pending() - Return: number of requests without a complete response.
+/**
+ * httpd_n_pending() - Return: the number of requests that have no complete
+ * response yet.
  */
 size_t httpd_n_pending (const struct httpd *d);
 
 /**
  * httpd_answer() - Send a whole response.
- * @type: Content-Type, or NULL
- * @body: copied
- * @retry_ms: sent as Retry-After, rounded up to seconds; 0: no such header
+ * @id: id of the request
+ * @status: HTTP status
+ * @content_type: value of the Content-Type header, or NULL for none
+ * @body: body of the response, with @len bytes; the function copies it
+ * @retry_ms: value of the Retry-After header in milliseconds, sent in seconds
+ *            and rounded up; 0 for no such header
  */
-void httpd_answer (struct httpd *d, uint64_t id, int status, const char *type,
-                   const char *body, size_t len, int64_t retry_ms);
+void httpd_answer (struct httpd *d, uint64_t id, int status,
+                   const char *content_type, const char *body, size_t len,
+                   int64_t retry_ms);
 
-/** httpd_begin() - Start a streamed response; @type may be NULL. */
-void httpd_begin (struct httpd *d, uint64_t id, int status, const char *type);
+/**
+ * httpd_begin() - Start a streamed response.
+ * @content_type: value of the Content-Type header, or NULL for none
+ */
+void httpd_begin (struct httpd *d, uint64_t id, int status,
+                  const char *content_type);
 
 /**
  * httpd_chunk() - Send a piece of a streamed response.
- * @data: copied
+ * @data: the piece, with @len bytes; the function copies it
  *
- * Return: number of bytes not yet sent, for flow control by the caller; 0 if
- * the request has ended.
+ * Return: the number of bytes of the response that are not sent yet, for flow
+ * control by the caller; 0 if the request has ended.
  */
 size_t httpd_chunk (struct httpd *d, uint64_t id, const char *data,
                     size_t len);
 
 /**
  * httpd_end() - End a streamed response.
- * @complete: false aborts it, so that the client sees that it is incomplete
+ * @complete: false aborts the response, so that the client sees that it is
+ *            incomplete
  */
 void httpd_end (struct httpd *d, uint64_t id, bool complete);
 
--- a/net/links.c
+++ b/net/links.c
@@ -8,70 +8,82 @@
 
 enum
 {
-  /* Messages queued for a peer that is not reachable or reads too slowly. */
-  SEND_QUEUE = 10000,
-  HEARTBEAT_MS = 1000,
+  /* Maximum number of messages queued for a peer that is unreachable or reads
+     too slowly. */
+  SEND_QUEUE_MAX = 10000,
+  HEARTBEAT_INTERVAL_MS = 1000,
+  /* Time without an answer to a heartbeat after which ZeroMQ closes the
+     connection. */
   HEARTBEAT_TIMEOUT_MS = 3000,
-  /* Maximum bytes of a message; ZeroMQ closes the connection of a peer that
-     sends a longer one. */
+  /* Maximum number of bytes in a message.  ZeroMQ closes the connection of a
+     peer that sends a longer one. */
   MESSAGE_MAX = 4 << 20,
-  RECONNECT_MS = 100,
-  RECONNECT_MAX_MS = 1000,
-  /* Maximum number of links; the oldest one is closed to open one more. */
+  /* First interval between attempts to reconnect to a peer; later intervals
+     are longer. */
+  RECONNECT_INTERVAL_MS = 100,
+  /* Maximum interval between attempts to reconnect to a peer. */
+  RECONNECT_INTERVAL_MAX_MS = 1000,
+  /* Maximum number of links.  To open one more, the oldest link is closed. */
   LINKS_MAX = 128,
-  /* Maximum messages received in one iteration of the event loop. */
-  RECEIVE_MAX = 64,
+  /* Maximum number of messages that one call of receive_batch() receives. */
+  RECEIVE_BATCH_MAX = 64,
 };
 
-/* struct link - connection to one peer, to send */
+/* struct link - connection to one peer for sending messages */
 struct link
 {
   char id[LINKS_ID_SIZE];
   char addr[LINKS_ADDR_SIZE];
-  void *sock;
+  void *socket;
 };
 
 struct links
 {
   struct links_conf conf;
+  /* ZeroMQ context. */
   void *ctx;
+  /* ROUTER socket that receives the messages of all peers. */
   void *router;
-  /* REP socket of the ZAP handler (ZeroMQ RFC 27), which ZeroMQ asks whether a
-     public key may connect; NULL without encryption. */
+  /* REP socket of the ZAP handler (ZeroMQ RFC 27).  ZeroMQ asks the handler
+     whether a public key may connect.  NULL without encryption. */
   void *zap;
   uv_poll_t router_poll;
   uv_poll_t zap_poll;
   uv_prepare_t prepare;
-  /* Active while messages may be left in the router socket. */
+  /* Active while the router socket may contain more messages, so that the
+     event loop does not wait for input. */
   uv_idle_t idle;
-  /* Oldest first. */
+  /* The links, the oldest one first. */
   struct link links[LINKS_MAX];
   int n_links;
+  /* Address that the router socket is bound to, as "ip:port". */
   char addr[LINKS_ADDR_SIZE + 8];
 };
 
 static void
-set_int (void *sock, int option, int value)
+set_int_option (void *socket, int option, int value)
 {
-  zmq_setsockopt (sock, option, &value, sizeof value);
+  zmq_setsockopt (socket, option, &value, sizeof value);
 }
 
+/* Sets the socket options that the router and all links share. */
 static void
-set_common (void *sock)
+set_common_options (void *socket)
 {
-  set_int (sock, ZMQ_LINGER, 0);
-  set_int (sock, ZMQ_SNDHWM, SEND_QUEUE);
-  set_int (sock, ZMQ_HEARTBEAT_IVL, HEARTBEAT_MS);
-  set_int (sock, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS);
-  set_int (sock, ZMQ_RECONNECT_IVL, RECONNECT_MS);
-  set_int (sock, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
+  set_int_option (socket, ZMQ_LINGER, 0);
+  set_int_option (socket, ZMQ_SNDHWM, SEND_QUEUE_MAX);
+  set_int_option (socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS);
+  set_int_option (socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS);
+  set_int_option (socket, ZMQ_RECONNECT_IVL, RECONNECT_INTERVAL_MS);
+  set_int_option (socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_INTERVAL_MAX_MS);
   int64_t limit = MESSAGE_MAX;
-  zmq_setsockopt (sock, ZMQ_MAXMSGSIZE, &limit, sizeof limit);
+  zmq_setsockopt (socket, ZMQ_MAXMSGSIZE, &limit, sizeof limit);
 }
 
-/* Returns whether a public key, as 32 raw bytes, is permitted to connect. */
+/* Returns true if the public key @raw is permitted to connect.  A key must
+   have 32 bytes. */
 static bool
-permitted (const struct links_conf *conf, const void *raw, size_t len)
+key_is_permitted (const struct links_conf *conf, const void *raw, size_t len)
 {
   char z85[LINKS_KEY_SIZE];
 
@@ -83,7 +95,7 @@
   return false;
 }
 
-/* enum zap_frame - frames of a ZAP request, in order */
+/* enum zap_frame - indexes of the frames of a ZAP request */
 enum zap_frame
 {
   ZAP_VERSION,
@@ -93,12 +105,13 @@
   ZAP_IDENTITY,
   ZAP_MECHANISM,
   ZAP_KEY,
-  ZAP_FRAMES
+  ZAP_N_FRAMES
 };
 
-/* Replies to ZAP request @id: status 200 admits the peer, 400 rejects it. */
+/* Replies to ZAP request @id, with status 200 to admit the peer or 400 to
+   reject it. */
 static void
-zap_answer (struct links *p, const zmq_msg_t *id, bool ok)
+zap_reply (struct links *p, const zmq_msg_t *id, bool admit)
 {
   zmq_msg_t copy;
 
@@ -106,22 +119,23 @@
   zmq_msg_copy (&copy, (zmq_msg_t *)id);
   zmq_send (p->zap, "1.0", 3, ZMQ_SNDMORE);
   zmq_msg_send (&copy, p->zap, ZMQ_SNDMORE);
-  zmq_send (p->zap, ok ? "200" : "400", 3, ZMQ_SNDMORE);
+  zmq_send (p->zap, admit ? "200" : "400", 3, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
   zmq_send (p->zap, "", 0, 0);
 }
 
-/* Handles one ZAP request; false if none is queued. */
+/* Receives one ZAP request and replies to it.  Returns false if none is
+   queued. */
 static bool
 zap_handle_one (struct links *p)
 {
-  zmq_msg_t frames[ZAP_FRAMES];
+  zmq_msg_t frames[ZAP_N_FRAMES];
   int n = 0;
   int more = 1;
-  bool ok;
+  bool admit;
 
-  while (more && n < ZAP_FRAMES)
+  while (more && n < ZAP_N_FRAMES)
     {
       zmq_msg_init (&frames[n]);
       if (zmq_msg_recv (&frames[n], p->zap, ZMQ_DONTWAIT) < 0)
@@ -131,18 +145,19 @@
     }
   if (n == 0)
     return false;
-  ok = n == ZAP_FRAMES
-       && permitted (&p->conf, zmq_msg_data (&frames[ZAP_KEY]),
-                     zmq_msg_size (&frames[ZAP_KEY]));
+  admit = n == ZAP_N_FRAMES
+          && key_is_permitted (&p->conf, zmq_msg_data (&frames[ZAP_KEY]),
+                               zmq_msg_size (&frames[ZAP_KEY]));
   if (n > ZAP_REQUEST_ID)
-    zap_answer (p, &frames[ZAP_REQUEST_ID], ok);
+    zap_reply (p, &frames[ZAP_REQUEST_ID], admit);
   for (int i = 0; i < n; i++)
     zmq_msg_close (&frames[i]);
   return true;
 }
 
-/* Receives one message; false if none is queued.  It consists of two frames:
-   the sender's routing id and the body. */
+/* Receives one message and passes its body to on_message.  A message consists
+   of two frames: the sender's routing id and the body.  Returns false if no
+   message is queued. */
 static bool
 receive_one (struct links *p)
 {
@@ -170,19 +185,20 @@
 
 static void on_idle (uv_idle_t *idle);
 
-/* Receives up to RECEIVE_MAX messages, so that a peer that sends without pause
-   does not block the loop's other work.  If more may be queued, the idle
-   handle makes the loop continue without waiting for input. */
+/* Receives at most RECEIVE_BATCH_MAX messages, so that a peer that sends
+   without pause does not block the other work of the event loop.  If more
+   messages may be queued, the idle handle makes the event loop continue
+   without waiting for input. */
 static void
-receive_some (struct links *p)
+receive_batch (struct links *p)
 {
   int n = 0;
 
   while (p->zap && zap_handle_one (p))
     continue;
-  while (n < RECEIVE_MAX && receive_one (p))
+  while (n < RECEIVE_BATCH_MAX && receive_one (p))
     n++;
-  if (n == RECEIVE_MAX)
+  if (n == RECEIVE_BATCH_MAX)
     uv_idle_start (&p->idle, on_idle);
   else
     uv_idle_stop (&p->idle);
@@ -201,31 +217,33 @@
 {
   (void)status;
   (void)events;
-  receive_some (poll->data);
+  receive_batch (poll->data);
 }
 
-/* ZeroMQ's file descriptor is edge-triggered, so the socket is also read
-   before each time that the loop waits. */
+/* Called before each time that the event loop waits for input.  The file
+   descriptor of a ZeroMQ socket is edge-triggered, so the socket is read here
+   as well as in on_poll(). */
 static void
 on_prepare (uv_prepare_t *prepare)
 {
-  receive_some (prepare->data);
+  receive_batch (prepare->data);
 }
 
-/* Polls the file descriptor of a ZeroMQ socket. */
+/* Polls a ZeroMQ socket for input. */
 static void
-watch_socket (struct links *p, void *sock, uv_poll_t *poll)
+poll_socket (struct links *p, void *socket, uv_poll_t *poll)
 {
   int fd = -1;
   size_t size = sizeof fd;
 
-  zmq_getsockopt (sock, ZMQ_FD, &fd, &size);
+  zmq_getsockopt (socket, ZMQ_FD, &fd, &size);
   uv_poll_init (p->conf.loop, poll, fd);
   poll->data = p;
   uv_poll_start (poll, UV_READABLE, on_poll);
 }
 
-/* Opens and binds the router socket; -1 with errno set on failure. */
+/* Opens and binds the router socket, and the socket of the ZAP handler if the
+   links are encrypted.  Returns 0, or -1 with errno set. */
 static int
 open_router (struct links *p)
 {
@@ -234,13 +252,13 @@
   size_t size = sizeof p->addr;
 
   p->router = zmq_socket (p->ctx, ZMQ_ROUTER);
-  set_common (p->router);
+  set_common_options (p->router);
   if (conf->public_key)
     {
       p->zap = zmq_socket (p->ctx, ZMQ_REP);
       if (zmq_bind (p->zap, "inproc://zeromq.zap.01"))
         return -1;
-      set_int (p->router, ZMQ_CURVE_SERVER, 1);
+      set_int_option (p->router, ZMQ_CURVE_SERVER, 1);
       zmq_setsockopt (p->router, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
       zmq_setsockopt (p->router, ZMQ_ZAP_DOMAIN, "peers", 5);
@@ -268,9 +286,9 @@
       fprintf (stderr, "%s: %s\n", conf->listen_addr, zmq_strerror (errno));
       return NULL;
     }
-  watch_socket (p, p->router, &p->router_poll);
+  poll_socket (p, p->router, &p->router_poll);
   if (p->zap)
-    watch_socket (p, p->zap, &p->zap_poll);
+    poll_socket (p, p->zap, &p->zap_poll);
   uv_prepare_init (conf->loop, &p->prepare);
   p->prepare.data = p;
   uv_idle_init (conf->loop, &p->idle);
@@ -284,32 +302,32 @@
   return p->addr;
 }
 
-/* Connects @l to @addr and closes its old connection, if any. */
+/* Closes the connection of @l, if there is one, and connects @l to @addr. */
 static void
 link_open (struct links *p, struct link *l, const char *addr)
 {
   const struct links_conf *conf = &p->conf;
   char url[LINKS_ADDR_SIZE + 8];
 
-  if (l->sock)
-    zmq_close (l->sock);
+  if (l->socket)
+    zmq_close (l->socket);
   snprintf (l->addr, sizeof l->addr, "%s", addr);
-  l->sock = zmq_socket (p->ctx, ZMQ_DEALER);
-  set_common (l->sock);
+  l->socket = zmq_socket (p->ctx, ZMQ_DEALER);
+  set_common_options (l->socket);
   if (conf->public_key)
     {
-      zmq_setsockopt (l->sock, ZMQ_CURVE_SERVERKEY, conf->public_key,
+      zmq_setsockopt (l->socket, ZMQ_CURVE_SERVERKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->sock, ZMQ_CURVE_PUBLICKEY, conf->public_key,
+      zmq_setsockopt (l->socket, ZMQ_CURVE_PUBLICKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->sock, ZMQ_CURVE_SECRETKEY, conf->secret_key,
+      zmq_setsockopt (l->socket, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
     }
   snprintf (url, sizeof url, "tcp://%s", addr);
-  zmq_connect (l->sock, url);
+  zmq_connect (l->socket, url);
 }
 
-/* Returns the link to peer @id at @addr, opened if necessary. */
+/* Returns the link to peer @id at address @addr, and opens it if necessary. */
 static struct link *
 link_to (struct links *p, const char *id, const char *addr)
 {
@@ -325,7 +343,7 @@
   if (p->n_links == LINKS_MAX)
     {
       /* The oldest link is to an instance that was replaced long ago. */
-      zmq_close (p->links[0].sock);
+      zmq_close (p->links[0].socket);
       memmove (p->links, p->links + 1, (LINKS_MAX - 1) * sizeof *l);
       p->n_links--;
     }
@@ -340,10 +358,10 @@
 links_send (struct links *p, const char *to, const char *addr, const char *buf,
             size_t len)
 {
-  /* With ZMQ_DONTWAIT a full queue drops the message; the sender repeats it
-     if it gets no reply. */
+  /* With ZMQ_DONTWAIT, ZeroMQ drops the message if the peer's queue is full.
+     The sender sends the message again if it gets no reply. */
   if (*addr)
-    zmq_send (link_to (p, to, addr)->sock, buf, len, ZMQ_DONTWAIT);
+    zmq_send (link_to (p, to, addr)->socket, buf, len, ZMQ_DONTWAIT);
 }
 
 void
@@ -355,7 +373,7 @@
   if (p->zap)
     uv_poll_stop (&p->zap_poll);
   for (int i = 0; i < p->n_links; i++)
-    zmq_close (p->links[i].sock);
+    zmq_close (p->links[i].socket);
   zmq_close (p->router);
   if (p->zap)
     zmq_close (p->zap);
--- a/net/links.h
+++ b/net/links.h
@@ -12,33 +12,46 @@
 
 enum
 {
-  /* A CURVE key in Z85, with the terminating NUL. */
+  /* Size of a CURVE key in Z85 encoding, with the terminating NUL. */
   LINKS_KEY_SIZE = 41,
+  /* Size of a peer's id, with the terminating NUL. */
   LINKS_ID_SIZE = 96,
+  /* Size of a peer's address, with the terminating NUL. */
   LINKS_ADDR_SIZE = 64,
 };
 
 struct links;
 
-/** struct links_conf - for links_new(); the strings must outlive the links */
+/**
+ * struct links_conf - settings of the links
+ *
+ * The strings must outlive the links.
+ */
 struct links_conf
 {
   uv_loop_t *loop;
-  /* "ip:port"; port 0 selects a free one. */
+  /* Address to listen on, as "ip:port"; port 0 selects a free one. */
   const char *listen_addr;
-  /* Key pair in Z85, which all peers share: as a client, an instance expects
-     its own public key of the server.  NULL: clear text, open to every peer.
-   */
+  /* Public key in Z85 encoding.  All instances share one key pair: an instance
+     that connects to a peer expects the peer to have this public key.  NULL
+     for links in clear text, on which every peer may connect. */
   const char *public_key;
+  /* Secret key that belongs to the public key, in Z85 encoding. */
   const char *secret_key;
-  /* Public keys that may connect. */
+  /* Public keys of the peers that may connect. */
   const char (*permitted_keys)[LINKS_KEY_SIZE];
   int n_permitted;
-  /* Passed to the callbacks. */
+  /* First argument of the callbacks. */
   void *arg;
-  /** on_message - A message has arrived; @buf is borrowed. */
+  /**
+   * on_message - Called with each message that has arrived; @buf is valid
+   * during the call.
+   */
   void (*on_message) (void *arg, const char *buf, size_t len);
-  /** on_received - Called after each batch of on_message.  May be NULL. */
+  /**
+   * on_received - Called after each batch of calls of on_message.  May be
+   * NULL.
+   */
   void (*on_received) (void *arg);
 };
 
@@ -49,15 +62,18 @@
  */
 struct links *links_new (const struct links_conf *conf);
 
-/** links_addr() - Return: "ip:port" that @l listens on, owned by @l. */
+/**
+ * links_addr() - Return: the address that @l listens on, as "ip:port"; owned
+ * by @l.
+ */
 const char *links_addr (const struct links *l);
 
 /**
  * links_send() - Send a message to a peer.
  * @to: id of the peer
- * @addr: its "ip:port"; the link is opened again if it has changed.  Empty:
- *        the message is dropped
- * @buf: copied
+ * @addr: address of the peer, as "ip:port".  If the address has changed, the
+ *        link is opened again; if it is empty, the message is dropped.
+ * @buf: the message, with @len bytes; the function copies it
  *
  * Delivery is not guaranteed: the message is dropped if the peer's queue is
  * full.
@@ -65,7 +81,7 @@
 void links_send (struct links *l, const char *to, const char *addr,
                  const char *buf, size_t len);
 
-/** links_free() - Close all links; messages not yet sent are dropped. */
+/** links_free() - Close all links.  Messages not sent yet are dropped. */
 void links_free (struct links *l);
 
 #endif
