--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -1,7 +1,7 @@
 /*
- * Syncs with workers and executors: one sync is one POST of struct sync_req,
- * answered by struct sync_rep.  The assumptions about workers are documented
- * with those structs.
+ * Sends syncs to workers and executors.  A sync is one POST of struct
+ * sync_req, which is answered by struct sync_rep.  The assumptions about
+ * workers are documented with these two structs.
  */
 #include "citronlbd.h"
 
@@ -11,11 +11,11 @@
 
 enum
 {
-  SYNC_CONNECT_MS = 1000,
+  SYNC_CONNECT_TIMEOUT_MS = 1000,
 };
 
-/* struct sync_call - a sync that has not been answered */
-struct sync_call
+/* struct pending_sync - a sync that has been sent and not been answered */
+struct pending_sync
 {
   struct daemon *d;
   char worker[CLB_ID_MAX];
@@ -23,49 +23,49 @@
 };
 
 static void
-on_end (void *arg, int end, int status, const char *body, size_t len)
+on_end (void *arg, int result, int status, const char *body, size_t len)
 {
-  struct sync_call *c = arg;
-  struct sync_rep rep;
-  struct codec_err ce;
-  bool good
-      = end == HTTPC_OK && status == 200
-        && !codec_parse (&sync_rep_desc, body, len, CODEC_LENIENT, &rep, &ce);
+  struct pending_sync *p = arg;
+  struct sync_rep reply;
+  struct codec_err err;
+  bool valid = result == HTTPC_OK && status == 200
+               && !codec_parse (&sync_rep_desc, body, len, CODEC_LENIENT,
+                                &reply, &err);
 
-  node_sync (&c->d->node, now_ms (), c->worker, c->seq, good ? &rep : NULL);
-  if (good)
-    codec_free (&sync_rep_desc, &rep);
-  process_outputs (c->d);
-  free (c);
+  node_sync (&p->d->node, now_ms (), p->worker, p->seq, valid ? &reply : NULL);
+  if (valid)
+    codec_free (&sync_rep_desc, &reply);
+  process_outputs (p->d);
+  free (p);
 }
 
 void
 backend_sync (struct daemon *d, const char *worker, const char *addr,
               const struct sync_req *req)
 {
-  struct sync_call *c = calloc (1, sizeof *c);
+  struct pending_sync *p = calloc (1, sizeof *p);
   char url[CLB_ADDR_MAX + 32];
-  char *text = codec_text (&sync_req_desc, req);
+  char *body = codec_text (&sync_req_desc, req);
   struct httpc_req rq = {
     .method = "POST",
     .content_type = "application/json",
     .timeout_ms = SYNC_TIMEOUT_MS,
-    .connect_timeout_ms = SYNC_CONNECT_MS,
+    .connect_timeout_ms = SYNC_CONNECT_TIMEOUT_MS,
     /* libcurl must not send a start a second time on another connection. */
     .new_connection = req->n_starts > 0,
     .on_end = on_end,
   };
 
-  if (!c || !text)
+  if (!p || !body)
     abort ();
-  c->d = d;
-  c->seq = req->seq;
-  clb_copy (c->worker, worker, sizeof c->worker);
+  p->d = d;
+  p->seq = req->seq;
+  clb_copy (p->worker, worker, sizeof p->worker);
   snprintf (url, sizeof url, "http://%s/v1/sync", addr);
   rq.url = url;
-  rq.body = text;
-  rq.body_len = strlen (text);
-  rq.arg = c;
-  httpc_send (d->http, &rq);
-  free (text);
+  rq.body = body;
+  rq.body_len = strlen (body);
+  rq.arg = p;
+  httpc_send (d->http_client, &rq);
+  free (body);
 }
--- a/citronlbd/citronlbd.h
+++ b/citronlbd/citronlbd.h
@@ -1,8 +1,8 @@
 /**
- * DOC: The daemon's modules.  Each owns its sockets and state and passes its
- * input to struct node, which does no input or output of its own.  The node
- * queues outputs, which process_outputs() passes to the module that sends
- * them.
+ * DOC: The daemon's modules.  Each module owns its sockets and its state and
+ * passes input to struct node, which does no input or output of its own.  The
+ * node queues outputs, and process_outputs() passes each output to the module
+ * that sends it.
  */
 #ifndef CITRONLBD_H
 #define CITRONLBD_H
@@ -16,35 +16,42 @@
 
 enum
 {
+  /* Size of a key in Z85 encoding, with the terminating NUL. */
   KEY_Z85_SIZE = LINKS_KEY_SIZE,
-  /* Public keys that may connect to an instance. */
-  PERMITTED_MAX = 8,
+  /* Maximum number of public keys that may connect to an instance. */
+  PERMITTED_KEYS_MAX = 8,
 };
 
-/** struct options - the settings, checked */
+/** struct options - the settings of the daemon, after they were checked */
 struct options
 {
+  /* Settings of the node. */
   struct settings node;
-  /* Address for callers, as "ip:port". */
-  char listen[CLB_ADDR_MAX];
-  /* Address for the links between instances. */
-  char peer_listen[CLB_ADDR_MAX];
-  /* Address of the platform's service. */
-  char platform[CLB_ADDR_MAX];
-  /* PEM files of the certificate chain and its key; both NULL: no TLS. */
-  const char *cert;
-  const char *key;
-  /* Links between instances in clear text; the keys below are then empty. */
+  /* Address to listen on for callers, as "ip:port". */
+  char listen_addr[CLB_ADDR_MAX];
+  /* Address to listen on for the links between instances, as "ip:port". */
+  char peer_listen_addr[CLB_ADDR_MAX];
+  /* Address of the platform's service, as "ip:port". */
+  char platform_addr[CLB_ADDR_MAX];
+  /* PEM file of the certificate chain; NULL for no TLS. */
+  const char *cert_file;
+  /* PEM file of the certificate's private key; NULL for no TLS. */
+  const char *key_file;
+  /* True if the links between instances are in clear text; the keys for the
+     links are then empty. */
   bool insecure_peers;
-  char peer_public[KEY_Z85_SIZE];
-  char peer_secret[KEY_Z85_SIZE];
-  /* Public keys that may connect. */
-  char permitted[PERMITTED_MAX][KEY_Z85_SIZE];
-  int n_permitted;
-  /* Settings file of the fleet's platform, or NULL.  If set, no other member
-     is set. */
+  /* Public key for the links between instances. */
+  char peer_public_key[KEY_Z85_SIZE];
+  /* Secret key for the links between instances. */
+  char peer_secret_key[KEY_Z85_SIZE];
+  /* Public keys of the instances that may connect to this one. */
+  char permitted_peer_keys[PERMITTED_KEYS_MAX][KEY_Z85_SIZE];
+  int n_permitted_peer_keys;
+  /* Path of the settings file of the fleet's platform; NULL if the daemon does
+     not run on that platform.  If it is set, no other member is set. */
   const char *fleet_file;
-  /* File that the bound addresses are written to, or NULL. */
+  /* Path of the file that the bound addresses are written to; NULL for none.
+   */
   const char *addr_file;
 };
 
@@ -52,15 +59,15 @@
  * options_read() - Read and check the settings.
  *
  * A flag takes precedence over its CITRONLB_* environment variable.  On an
- * error, prints which setting is wrong to standard error and exits: with 64
- * for wrong usage, with 78 for a wrong setting.
+ * error, the function writes to standard error which setting is wrong and
+ * exits, with status 64 for wrong usage and 78 for a wrong setting.
  */
 void options_read (int argc, char **argv, struct options *opt);
 
 struct daemon;
-struct serve;
+struct caller_server;
 
-/** struct daemon - the event loop, the node and the modules around it */
+/** struct daemon - the event loop, the node and the daemon's modules */
 struct daemon
 {
   struct options opt;
@@ -71,25 +78,27 @@
   uv_signal_t sighup;
   struct node node;
   /* Client for the platform, workers and executors. */
-  struct httpc *http;
-  struct links *peers;
+  struct httpc *http_client;
+  /* Links to the other entry instances. */
+  struct links *peer_links;
   /* Number of messages of peers that could not be decoded and were ignored. */
   uint64_t damaged_messages;
-  struct serve *serve;
-  /* process_outputs() is running. */
+  /* HTTP server for callers. */
+  struct caller_server *caller_server;
+  /* True while process_outputs() is running. */
   bool processing_outputs;
-  /* A signal to stop has arrived. */
+  /* True once a signal to stop has arrived. */
   bool stopping;
 };
 
-/** now_ms() - Return: the monotonic clock in milliseconds. */
+/** now_ms() - Return: the time of the monotonic clock in milliseconds. */
 int64_t now_ms (void);
 
 /**
  * process_outputs() - Carry out the node's queued outputs.
  *
- * To be called after each input to the node.  A nested call returns at once,
- * as the outer one also carries out the new outputs.
+ * This function must be called after each input to the node.  A nested call
+ * returns at once, as the outer call also carries out the new outputs.
  */
 void process_outputs (struct daemon *d);
 
@@ -103,9 +112,10 @@
 struct links *peers_new (struct daemon *d);
 
 /**
- * peers_send() - Send a message to a peer; it may be lost.
+ * peers_send() - Send a message to a peer; delivery is not guaranteed.
  * @to: id of the peer
- * @addr: its "ip:port"; empty if unknown: the message is dropped
+ * @addr: address of the peer, as "ip:port"; the message is dropped if the
+ *        address is empty
  */
 void peers_send (struct daemon *d, const char *to, const char *addr,
                  const struct pmsg *m);
@@ -113,61 +123,79 @@
 /* platform.c: table service, object store and instance list */
 
 /**
- * platform_send() - Start a store operation.
- * @token: passed to node_store() with the answer
+ * platform_send() - Send a store operation to the platform's service.
+ * @token: identifies the operation; node_store() gets it with the reply
  */
 void platform_send (struct daemon *d, uint64_t token,
                     const struct store_op *op);
 
 /* backend.c: workers and executors */
 
-/** backend_sync() - Send a sync; node_sync() gets the answer. */
+/**
+ * backend_sync() - Send a sync to a worker or executor.
+ * @worker: id of the worker or executor
+ * @addr: address of the worker or executor, as "ip:port"
+ *
+ * node_sync() gets the reply, or NULL if there is none.
+ */
 void backend_sync (struct daemon *d, const char *worker, const char *addr,
                    const struct sync_req *req);
 
-/* serve.c: requests of callers, and service requests to executors */
+/* caller_server.c: requests of callers, and service requests to executors */
 
 /**
- * serve_new() - Listen for callers.
+ * caller_server_new() - Create the HTTP server for callers.
  *
  * Return: the server, or NULL after a message on standard error.
  */
-struct serve *serve_new (struct daemon *d);
+struct caller_server *caller_server_new (struct daemon *d);
 
-/** serve_addr() - Return: "ip:port" that @s listens on, owned by @s. */
-const char *serve_addr (const struct serve *s);
+/**
+ * caller_server_addr() - Return: the address that @s listens on, as "ip:port";
+ * owned by @s.
+ */
+const char *caller_server_addr (const struct caller_server *s);
 
 /**
- * serve_reload() - Read the TLS certificate and key again.
+ * caller_server_reload() - Read the TLS certificate and key again.
  *
  * Return: 0, or -1 if they cannot be used; the old ones then stay in use.
  */
-int serve_reload (struct serve *s);
+int caller_server_reload (struct caller_server *s);
 
-/** serve_output() - Carry out one output that concerns callers. */
-void serve_output (struct serve *s, const struct out *o);
+/**
+ * caller_server_output() - Carry out one output of the node that concerns
+ * callers.
+ */
+void caller_server_output (struct caller_server *s, const struct out *o);
 
 /**
- * serve_stop() - Stop listening and end all watches.
+ * caller_server_stop() - Stop listening and end the responses to all watchers.
  *
- * May be called again, to find out whether pending requests are left.
+ * The function may be called again to find out whether requests are still
+ * pending.
  *
  * Return: true once no request is pending.
  */
-bool serve_stop (struct serve *s);
+bool caller_server_stop (struct caller_server *s);
 
 /* log.c: log lines on standard error */
 
+/** log_open() - Open the log; without it, log_info() writes nothing. */
 void log_open (void);
 
-/** log_info() - Write one line, at the priority INFO. */
+/** log_info() - Write one log line at the priority INFO. */
 void log_info (const char *fmt, ...) __attribute__ ((format (printf, 1, 2)));
 
 /**
- * log_event() - Write a line if @e changes the state of the instance, of a
- * worker or of the configuration; all other decisions are only counted.
+ * log_event() - Write a log line if decision @e changes the state of the
+ * instance, of a worker or of the configuration.
+ *
+ * All other decisions are counted but not logged.
  */
 void log_event (const struct event *e);
+
+/** log_close() - Close the log. */
 void log_close (void);
 
 #endif
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -14,63 +14,73 @@
 
 enum
 {
-  /* Interval of fleet_tick() on the leader and on the other instances. */
+  /* Interval of fleet_tick() on the leader. */
   TICK_LEADER_MS = 10,
+  /* Interval of fleet_tick() on the other instances. */
   TICK_FOLLOWER_MS = 25,
-  /* Connections to one executor: a poll for ended tasks, and starts. */
-  EXEC_CONNECTIONS = 4,
-  /* Idle connections kept open, over all executors. */
-  EXEC_IDLE_CONNECTIONS = 1500,
-  /* Connections to the table service: three feeds, the journal, and callers'
-     writes. */
-  STORE_CONNECTIONS = 24,
-  STORE_IDLE_CONNECTIONS = 32,
-  /* Maximum bytes of the body of a caller's request. */
-  BODY_MAX = 256 << 10,
+  /* Maximum number of connections to one executor, for a poll for ended tasks
+     and for starts of tasks. */
+  EXEC_CONNECTIONS_MAX = 4,
+  /* Maximum number of idle connections kept open, over all executors. */
+  EXEC_IDLE_CONNECTIONS_MAX = 1500,
+  /* Maximum number of connections to the table service, for three feeds, the
+     journal and the writes of callers. */
+  STORE_CONNECTIONS_MAX = 24,
+  /* Maximum number of idle connections to the table service kept open. */
+  STORE_IDLE_CONNECTIONS_MAX = 32,
+  /* Maximum number of bytes in the body of a caller's request. */
+  REQUEST_BODY_MAX = 256 << 10,
   /* Time from the signal to stop until the instance stops listening.  The
-     platform routes new connections here until two readiness checks, one per
-     second, have failed. */
+     platform routes new connections to the instance until two readiness
+     checks, one per second, have failed. */
   STOP_DELAY_MS = 3000,
-  /* The process exits this long before the platform kills it. */
+  /* Time between the exit of the process and the time at which the platform
+     would kill it.  The process then exits even if requests are pending. */
   KILL_MARGIN_MS = 500,
   /* Interval of the log lines about the load. */
   LOAD_INTERVAL_MS = 1000,
 };
 
-/* struct fleetd - the event loop, the fleet and the sockets around it */
+/* struct fleetd - the event loop, the fleet, and its clients, links and
+   servers */
 struct fleetd
 {
-  struct pf_settings set;
+  struct pf_settings settings;
   /* Path of the settings file. */
-  const char *path;
+  const char *settings_path;
   uv_loop_t *loop;
   uv_timer_t timer;
   uv_signal_t signals[3];
   struct fleet fleet;
+  /* HTTP client for the table service. */
   struct httpc *store_http;
+  /* HTTP client for executors. */
   struct httpc *exec_http;
   struct pf_store store;
   struct pf_orders orders;
-  struct links *links;
-  /* Servers for callers' requests, readiness checks and metrics; metrics is
-     NULL if the settings have no address for it. */
-  struct httpd *callers;
-  struct httpd *ready;
-  struct httpd *metrics;
-  /* process_outputs() is running. */
+  /* Links to the other instances. */
+  struct links *mesh_links;
+  /* HTTP server for the requests of callers. */
+  struct httpd *caller_server;
+  /* HTTP server for the platform's readiness checks. */
+  struct httpd *readiness_server;
+  /* HTTP server for metrics; NULL if the settings have no address for it. */
+  struct httpd *metrics_server;
+  /* True while process_outputs() is running. */
   bool processing_outputs;
-  /* Time of the signal to stop; 0: none has arrived. */
-  int64_t stop_ms;
-  /* The callers' server has stopped listening. */
+  /* Value of boottime_ms() when the signal to stop arrived; 0 if none has
+     arrived. */
+  int64_t stop_signal_ms;
+  /* True once caller_server has stopped listening. */
   bool listener_closed;
-  /* Time of the last log line about the load, and the CPU time of the process
-     at that time. */
+  /* Value of boottime_ms() at the last log line about the load. */
   int64_t load_logged_ms;
+  /* CPU time of the process at the last log line about the load. */
   int64_t load_cpu_ms;
 };
 
-/* Returns a clock that also advances while the machine is suspended, so that a
-   lease expires then. */
+/* Returns the time of a clock that also advances while the machine is
+   suspended, so that a lease expires during the suspension. */
 static int64_t
 boottime_ms (void)
 {
@@ -95,6 +105,7 @@
   logline_write (wall_ms (), line);
 }
 
+/* Sends a message to the instance at address @addr; it may be lost. */
 static void
 send_mesh (struct fleetd *d, const char *addr, const struct mesh_msg *m)
 {
@@ -103,7 +114,7 @@
 
   if (mesh_pack (m, &buf, &len))
     return;
-  links_send (d->links, addr, addr, buf, len);
+  links_send (d->mesh_links, addr, addr, buf, len);
   free (buf);
 }
 
@@ -117,7 +128,7 @@
     {
     case OUT_ANSWER:
       body = o->u.answer.body ? o->u.answer.body : "{}";
-      httpd_answer (d->callers, o->u.answer.call, o->u.answer.status,
+      httpd_answer (d->caller_server, o->u.answer.call, o->u.answer.status,
                     "application/json", body, strlen (body),
                     o->u.answer.retry_ms);
       break;
@@ -159,20 +170,21 @@
 }
 
 static void
-on_store (void *arg, uint64_t token, const struct store_rep *rep)
+on_store_reply (void *arg, uint64_t token, const struct store_rep *reply)
 {
   struct fleetd *d = arg;
 
-  fleet_store_reply (&d->fleet, boottime_ms (), token, rep);
+  fleet_store_reply (&d->fleet, boottime_ms (), token, reply);
   process_outputs (d);
 }
 
 static void
-on_order (void *arg, const struct order *o, const struct order_result *res)
+on_order_result (void *arg, const struct order *o,
+                 const struct order_result *result)
 {
   struct fleetd *d = arg;
 
-  fleet_order_result (&d->fleet, boottime_ms (), o, res);
+  fleet_order_result (&d->fleet, boottime_ms (), o, result);
   process_outputs (d);
 }
 
@@ -181,9 +193,9 @@
 {
   struct fleetd *d = arg;
   struct mesh_msg m;
-  struct codec_err ce;
+  struct codec_err parse_err;
 
-  if (mesh_unpack (buf, len, &m, &ce))
+  if (mesh_unpack (buf, len, &m, &parse_err))
     {
       log_line ("event=bad-message");
       return;
@@ -199,7 +211,7 @@
 }
 
 static void
-on_caller (void *arg, const struct httpd_req *rq)
+on_caller_request (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   struct fleet_request req;
@@ -218,18 +230,18 @@
 }
 
 static void
-on_ready (void *arg, const struct httpd_req *rq)
+on_readiness_check (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   int status = 404;
 
   if (pf_is_ready_path (rq->path))
     status = fleet_ready (&d->fleet, boottime_ms ()) ? 200 : 503;
-  httpd_answer (d->ready, rq->id, status, "text/plain", "", 0, 0);
+  httpd_answer (d->readiness_server, rq->id, status, "text/plain", "", 0, 0);
 }
 
 static void
-on_metrics (void *arg, const struct httpd_req *rq)
+on_metrics_request (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   clb_auto char *fleet = fleet_metrics (&d->fleet);
@@ -242,8 +254,8 @@
                 (unsigned long long)logline_stats ()->dropped)
       < 0)
     abort ();
-  httpd_answer (d->metrics, rq->id, 200, "text/plain; version=0.0.4", text,
-                strlen (text), 0);
+  httpd_answer (d->metrics_server, rq->id, 200, "text/plain; version=0.0.4",
+                text, strlen (text), 0);
 }
 
 static void
@@ -253,7 +265,8 @@
   (void)id;
 }
 
-/* Opens an HTTP server; NULL after a message on standard error. */
+/* Opens an HTTP server on @addr.  Returns NULL after a message on standard
+   error. */
 static struct httpd *
 open_server (struct fleetd *d, const char *addr,
              void (*on_request) (void *arg, const struct httpd_req *rq),
@@ -261,7 +274,7 @@
 {
   struct httpd_conf conf = {
     .addr = addr,
-    .max_body_bytes = BODY_MAX,
+    .max_body_bytes = REQUEST_BODY_MAX,
     .arg = d,
     .on_request = on_request,
     .on_disconnect = on_disconnect,
@@ -279,20 +292,21 @@
 static void
 stop_when_done (struct fleetd *d)
 {
-  int64_t since = boottime_ms () - d->stop_ms;
+  int64_t elapsed_ms = boottime_ms () - d->stop_signal_ms;
 
-  if (!d->stop_ms || since < STOP_DELAY_MS)
+  if (!d->stop_signal_ms || elapsed_ms < STOP_DELAY_MS)
     return;
   if (!d->listener_closed)
     {
       d->listener_closed = true;
-      httpd_stop (d->callers);
+      httpd_stop (d->caller_server);
     }
-  if (httpd_n_pending (d->callers) == 0
-      || since > d->set.grace_ms - KILL_MARGIN_MS)
+  if (httpd_n_pending (d->caller_server) == 0
+      || elapsed_ms > d->settings.grace_ms - KILL_MARGIN_MS)
     uv_stop (d->loop);
 }
 
+/* Returns the CPU time that the process has used. */
 static int64_t
 cpu_ms (void)
 {
@@ -302,7 +316,8 @@
   return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* Logs the instance's load since the last such line. */
+/* Logs the load of the instance, unless the last such line is less than
+   LOAD_INTERVAL_MS old. */
 static void
 log_load (struct fleetd *d)
 {
@@ -332,32 +347,32 @@
 on_timer (uv_timer_t *t)
 {
   struct fleetd *d = t->data;
-  int64_t pause;
+  int64_t tick_ms;
 
   fleet_tick (&d->fleet, boottime_ms (), wall_ms ());
   process_outputs (d);
   log_load (d);
   logline_flush ();
-  pause = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
-  uv_timer_start (t, on_timer, (uint64_t)pause, 0);
+  tick_ms = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
+  uv_timer_start (t, on_timer, (uint64_t)tick_ms, 0);
   stop_when_done (d);
 }
 
-/* Reads the settings file again, on SIGHUP. */
+/* Reads the settings file again.  Called on SIGHUP. */
 static void
 reload (struct fleetd *d)
 {
-  struct pf_settings set;
-  struct codec_err ce;
+  struct pf_settings new_settings;
+  struct codec_err parse_err;
 
-  if (pf_settings_read (d->path, &set, &ce))
+  if (pf_settings_read (d->settings_path, &new_settings, &parse_err))
     {
       log_line ("event=settings-refused");
       return;
     }
-  /* Only these two bounds can change while the process runs. */
-  d->set.grace_ms = set.grace_ms;
-  d->fleet.settings.revoke_ms = set.revoke_ms;
+  /* Only grace_ms and revoke_ms can change while the process runs. */
+  d->settings.grace_ms = new_settings.grace_ms;
+  d->fleet.settings.revoke_ms = new_settings.revoke_ms;
   log_line ("event=settings-reloaded");
 }
 
@@ -371,90 +386,94 @@
       reload (d);
       return;
     }
-  if (d->stop_ms)
+  if (d->stop_signal_ms)
     return;
-  d->stop_ms = boottime_ms ();
+  d->stop_signal_ms = boottime_ms ();
   log_line ("event=stopping");
-  fleet_stop (&d->fleet, d->stop_ms);
+  fleet_stop (&d->fleet, d->stop_signal_ms);
   process_outputs (d);
 }
 
 static void
 catch_signals (struct fleetd *d)
 {
-  static const int numbers[] = { SIGTERM, SIGINT, SIGHUP };
+  static const int signal_numbers[] = { SIGTERM, SIGINT, SIGHUP };
 
-  for (size_t i = 0; i < CLB_COUNT (numbers); i++)
+  for (size_t i = 0; i < CLB_COUNT (signal_numbers); i++)
     {
       uv_signal_init (d->loop, &d->signals[i]);
       d->signals[i].data = d;
-      uv_signal_start (&d->signals[i], on_signal, numbers[i]);
+      uv_signal_start (&d->signals[i], on_signal, signal_numbers[i]);
     }
 }
 
+/* Initializes the fleet with the settings that it needs. */
 static void
-start_core (struct fleetd *d)
+init_fleet (struct fleetd *d)
 {
-  struct fleet_settings set = { .boot = wall_ms (),
-                                .revoke_ms = d->set.revoke_ms,
-                                .millicores = d->set.millicores,
-                                .codec = pf_codec };
-
-  clb_copy (set.id, d->set.id, sizeof set.id);
-  clb_copy (set.zone, d->set.zone, sizeof set.zone);
-  clb_copy (set.mesh_addr, d->set.mesh_addr, sizeof set.mesh_addr);
-  fleet_init (&d->fleet, &set, boottime_ms ());
+  struct fleet_settings settings = { .boot = wall_ms (),
+                                     .revoke_ms = d->settings.revoke_ms,
+                                     .millicores = d->settings.millicores,
+                                     .codec = pf_codec };
+
+  clb_copy (settings.id, d->settings.id, sizeof settings.id);
+  clb_copy (settings.zone, d->settings.zone, sizeof settings.zone);
+  clb_copy (settings.mesh_addr, d->settings.mesh_addr,
+            sizeof settings.mesh_addr);
+  fleet_init (&d->fleet, &settings, boottime_ms ());
 }
 
-/* Opens all clients, links and servers; false after a message on standard
-   error. */
+/* Opens all clients, links and servers.  Returns false after a message on
+   standard error. */
 static bool
 open_all (struct fleetd *d)
 {
   struct links_conf links = { .loop = d->loop,
-                              .listen_addr = d->set.mesh_addr,
+                              .listen_addr = d->settings.mesh_addr,
                               .arg = d,
                               .on_message = on_message,
                               .on_received = on_received };
 
   d->store_http = httpc_new (d->loop);
-  httpc_limit (d->store_http, STORE_CONNECTIONS, STORE_IDLE_CONNECTIONS);
+  httpc_limit (d->store_http, STORE_CONNECTIONS_MAX,
+               STORE_IDLE_CONNECTIONS_MAX);
   d->exec_http = httpc_new (d->loop);
-  httpc_limit (d->exec_http, EXEC_CONNECTIONS, EXEC_IDLE_CONNECTIONS);
-  d->store
-      = (struct pf_store){ d->store_http, d->set.store_addr, d, on_store };
-  d->orders
-      = (struct pf_orders){ d->exec_http, d->set.advice_addr, d, on_order };
-  d->links = links_new (&links);
-  d->callers
-      = open_server (d, d->set.callers_addr, on_caller, on_caller_disconnect);
-  d->ready = open_server (d, d->set.ready_addr, on_ready, ignore_disconnect);
-  if (*d->set.metrics_addr)
-    d->metrics
-        = open_server (d, d->set.metrics_addr, on_metrics, ignore_disconnect);
-  return d->links && d->callers && d->ready
-         && (d->metrics || !*d->set.metrics_addr);
+  httpc_limit (d->exec_http, EXEC_CONNECTIONS_MAX, EXEC_IDLE_CONNECTIONS_MAX);
+  d->store = (struct pf_store){ d->store_http, d->settings.store_addr, d,
+                                on_store_reply };
+  d->orders = (struct pf_orders){ d->exec_http, d->settings.advice_addr, d,
+                                  on_order_result };
+  d->mesh_links = links_new (&links);
+  d->caller_server = open_server (d, d->settings.callers_addr,
+                                  on_caller_request, on_caller_disconnect);
+  d->readiness_server = open_server (d, d->settings.ready_addr,
+                                     on_readiness_check, ignore_disconnect);
+  if (*d->settings.metrics_addr)
+    d->metrics_server = open_server (d, d->settings.metrics_addr,
+                                     on_metrics_request, ignore_disconnect);
+  return d->mesh_links && d->caller_server && d->readiness_server
+         && (d->metrics_server || !*d->settings.metrics_addr);
 }
 
 int
-fleetd_run (const char *settings)
+fleetd_run (const char *settings_path)
 {
   static struct fleetd d;
-  struct codec_err ce;
-  int err = pf_settings_read (settings, &d.set, &ce);
+  struct codec_err parse_err;
+  int err = pf_settings_read (settings_path, &d.settings, &parse_err);
 
   if (err)
     {
-      fprintf (stderr, "citronlbd: %s: %s: %s\n", settings, clb_err_name (err),
-               ce.path);
+      fprintf (stderr, "citronlbd: %s: %s: %s\n", settings_path,
+               clb_err_name (err), parse_err.path);
       return EX_CONFIG;
     }
-  d.path = settings;
+  d.settings_path = settings_path;
   signal (SIGPIPE, SIG_IGN);
-  logline_open (d.set.id);
+  logline_open (d.settings.id);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   d.loop = uv_default_loop ();
-  start_core (&d);
+  init_fleet (&d);
   if (!open_all (&d))
     return EX_UNAVAILABLE;
   catch_signals (&d);
@@ -466,6 +485,6 @@
   log_line ("event=stopped");
   logline_flush ();
   fleet_fini (&d.fleet);
-  links_free (d.links);
+  links_free (d.mesh_links);
   return EX_OK;
 }
--- a/citronlbd/fleetd.h
+++ b/citronlbd/fleetd.h
@@ -7,10 +7,10 @@
 
 /**
  * fleetd_run() - Run one instance until a signal stops it.
- * @settings: path of the settings file
+ * @settings_path: path of the settings file
  *
  * Return: an exit status of sysexits.h.
  */
-int fleetd_run (const char *settings);
+int fleetd_run (const char *settings_path);
 
 #endif
--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -1,6 +1,6 @@
 /*
- * Log lines on standard error.  Only changes of state are logged; everything
- * else is counted.
+ * Writes log lines to standard error.  Only changes of state are logged; all
+ * other decisions are counted.
  */
 #include "citronlbd.h"
 
--- a/citronlbd/logline.c
+++ b/citronlbd/logline.c
@@ -8,37 +8,42 @@
 #include <unistd.h>
 
 /* Lines not yet written to standard output. */
-static char buffer[LOGLINE_BUFFER];
-static size_t buffered;
+static char buffer[LOGLINE_BUFFER_SIZE];
+/* Number of bytes in the buffer. */
+static size_t n_buffered;
 static struct logline_stats stats;
-/* Second of the last logline_write(), and the number of calls in it. */
+/* Second of the wall clock in which logline_write() was last called. */
 static int64_t current_second;
+/* Number of calls of logline_write() in the current second. */
 static int lines_in_second;
-/* stats.dropped as last logged by an event=log-dropped line. */
+/* Value of stats.dropped when an event=log-dropped line was last logged. */
 static uint64_t reported_dropped;
+/* Id of the instance, part of each line. */
 static char node_name[96];
 static log4c_category_t *category;
 
-/* log4c appender: adds a line to the buffer, which logline_flush() writes. */
+/* Append function of the log4c appender: adds a line to the buffer, which
+   logline_flush() writes to standard output. */
 static int
 append (log4c_appender_t *app, const log4c_logging_event_t *event)
 {
   size_t len = strlen (event->evt_msg);
 
   (void)app;
-  if (buffered + len + 1 > sizeof buffer)
+  if (n_buffered + len + 1 > sizeof buffer)
     {
       stats.dropped++;
       return 0;
     }
-  memcpy (buffer + buffered, event->evt_msg, len);
-  buffer[buffered + len] = '\n';
-  buffered += len + 1;
+  memcpy (buffer + n_buffered, event->evt_msg, len);
+  buffer[n_buffered + len] = '\n';
+  n_buffered += len + 1;
   stats.written++;
   return 0;
 }
 
-/* Opens and closes the log4c appender, which needs neither. */
+/* Open and close function of the log4c appender, which has nothing to open or
+   close. */
 static int
 no_op (log4c_appender_t *app)
 {
@@ -71,41 +76,42 @@
 
 /* Passes one line to log4c, which calls append(). */
 static void
-put (int64_t now_ms, const char *line)
+pass_to_log4c (int64_t wall_ms, const char *line)
 {
   if (category)
     log4c_category_log (category, LOG4C_PRIORITY_INFO, "t=%lld node=%s %s",
-                        (long long)now_ms, node_name, line);
+                        (long long)wall_ms, node_name, line);
 }
 
 void
-logline_write (int64_t now_ms, const char *line)
+logline_write (int64_t wall_ms, const char *line)
 {
-  if (now_ms / 1000 != current_second)
+  if (wall_ms / 1000 != current_second)
     {
-      char note[64];
-      current_second = now_ms / 1000;
+      char dropped_line[64];
+      current_second = wall_ms / 1000;
       lines_in_second = 0;
       if (stats.dropped != reported_dropped)
         {
-          snprintf (note, sizeof note, "event=log-dropped lines=%llu",
+          snprintf (dropped_line, sizeof dropped_line,
+                    "event=log-dropped lines=%llu",
                     (unsigned long long)(stats.dropped - reported_dropped));
           reported_dropped = stats.dropped;
-          put (now_ms, note);
+          pass_to_log4c (wall_ms, dropped_line);
         }
     }
-  if (++lines_in_second > LOGLINE_RATE)
+  if (++lines_in_second > LOGLINE_PER_SECOND_MAX)
     stats.dropped++;
   else
-    put (now_ms, line);
+    pass_to_log4c (wall_ms, line);
 }
 
 void
 logline_flush (void)
 {
-  while (buffered > 0)
+  while (n_buffered > 0)
     {
-      ssize_t n = write (STDOUT_FILENO, buffer, buffered);
+      ssize_t n = write (STDOUT_FILENO, buffer, n_buffered);
       if (n < 0 && errno == EINTR)
         continue;
       if (n < 0 && errno == EAGAIN)
@@ -114,11 +120,11 @@
         {
           /* The reader has closed the pipe. */
           stats.dropped++;
-          buffered = 0;
+          n_buffered = 0;
           return;
         }
-      memmove (buffer, buffer + n, buffered - (size_t)n);
-      buffered -= (size_t)n;
+      memmove (buffer, buffer + n, n_buffered - (size_t)n);
+      n_buffered -= (size_t)n;
     }
 }
 
--- a/citronlbd/logline.h
+++ b/citronlbd/logline.h
@@ -9,14 +9,14 @@
 
 enum
 {
-  /* Maximum lines per second; more are dropped. */
-  LOGLINE_RATE = 1500,
-  /* Bytes that wait to be read from standard output; lines that do not fit are
-     dropped. */
-  LOGLINE_BUFFER = 256 << 10,
+  /* Maximum number of lines per second; further lines are dropped. */
+  LOGLINE_PER_SECOND_MAX = 1500,
+  /* Size of the buffer for lines not yet written to standard output; lines
+     that do not fit are dropped. */
+  LOGLINE_BUFFER_SIZE = 256 << 10,
 };
 
-/** struct logline_stats - numbers of lines since logline_open() */
+/** struct logline_stats - numbers of lines since the start of the process */
 struct logline_stats
 {
   uint64_t written;
@@ -30,16 +30,22 @@
 void logline_open (const char *node);
 
 /**
- * logline_write() - Buffer one line.
- * @now_ms: wall clock, written at the start of the line
+ * logline_write() - Add one line to the buffer.
+ * @wall_ms: time of the wall clock, written at the start of the line
  * @line: "name=value" words, without a newline
  */
-void logline_write (int64_t now_ms, const char *line);
+void logline_write (int64_t wall_ms, const char *line);
 
-/** logline_flush() - Write the buffer as far as possible without blocking. */
+/**
+ * logline_flush() - Write as much of the buffer as possible to standard output
+ * without blocking.
+ */
 void logline_flush (void);
 
-/** logline_stats() - Return: the counters, which stay valid. */
+/**
+ * logline_stats() - Return: the numbers of lines; the pointer is valid until
+ * the process exits.
+ */
 const struct logline_stats *logline_stats (void);
 
 #endif
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -1,4 +1,4 @@
-/* citronlbd - one entry instance of the cluster scheduler. */
+/* citronlbd - daemon that runs one entry instance of the cluster scheduler. */
 #include "citronlbd.h"
 #include "fleetd.h"
 
@@ -13,13 +13,14 @@
 
 enum
 {
-  /* Interval of node_tick() while journal records are being written or wait
-     for it, and otherwise. */
+  /* Interval of node_tick() while journal records are being written or wait to
+     be written. */
   TICK_BUSY_MS = 2,
+  /* Interval of node_tick() while there are no such journal records. */
   TICK_IDLE_MS = 20,
-  /* Time that a stopped node still accepts connections, for callers that use
-     an old list of instances. */
-  STOP_DELAY_MS = 500,
+  /* Time after the stop of the node for which the daemon still accepts
+     connections, for callers that use an old list of instances. */
+  LISTEN_AFTER_STOP_MS = 500,
 };
 
 int64_t
@@ -31,6 +32,8 @@
   return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
+/* Sends a message of the node to a peer, or drops the message if the node does
+   not know the peer any more. */
 static void
 send_peer (struct daemon *d, const struct out *o)
 {
@@ -56,7 +59,7 @@
       backend_sync (d, o->u.sync.worker, o->u.sync.addr, &o->u.sync.req);
       break;
     default:
-      serve_output (d->serve, o);
+      caller_server_output (d->caller_server, o);
       break;
     }
 }
@@ -84,13 +87,15 @@
 static void
 stop_when_done (struct daemon *d)
 {
-  static int64_t since_ms;
+  /* Time at which the node was first found to be stopped; 0 before that. */
+  static int64_t node_stopped_ms;
 
   if (!d->stopping || !node_stopped (&d->node))
     return;
-  if (since_ms == 0)
-    since_ms = now_ms ();
-  if (now_ms () - since_ms >= STOP_DELAY_MS && serve_stop (d->serve))
+  if (node_stopped_ms == 0)
+    node_stopped_ms = now_ms ();
+  if (now_ms () - node_stopped_ms >= LISTEN_AFTER_STOP_MS
+      && caller_server_stop (d->caller_server))
     uv_stop (d->loop);
 }
 
@@ -116,8 +121,9 @@
 
   if (signum == SIGHUP)
     {
-      if (serve_reload (d->serve))
-        log_info ("tls: %s cannot be used, the old one stays", d->opt.cert);
+      if (caller_server_reload (d->caller_server))
+        log_info ("tls: %s cannot be used, the old one stays",
+                  d->opt.cert_file);
       else
         log_info ("tls: reloaded");
       return;
@@ -138,31 +144,34 @@
   uv_signal_start (sig, on_signal, signum);
 }
 
-/* Writes the bound addresses to the address file, if one is set: the file is
-   renamed into place, so that a reader never sees a part of it. */
+/* Writes the bound addresses to the address file, if one is set.  The function
+   writes them to a temporary file and renames it, so that a reader never sees
+   an incomplete file. */
 static void
 write_addrs (const struct daemon *d)
 {
-  char part[512];
+  char temp_path[512];
   FILE *f;
 
   if (!d->opt.addr_file)
     return;
-  snprintf (part, sizeof part, "%s.part", d->opt.addr_file);
-  f = fopen (part, "w");
+  snprintf (temp_path, sizeof temp_path, "%s.part", d->opt.addr_file);
+  f = fopen (temp_path, "w");
   if (!f)
     {
-      fprintf (stderr, "citronlbd: %s: cannot be written\n", part);
+      fprintf (stderr, "citronlbd: %s: cannot be written\n", temp_path);
       exit (EX_CANTCREAT);
     }
-  fprintf (f, "%s %s\n", serve_addr (d->serve), links_addr (d->peers));
+  fprintf (f, "%s %s\n", caller_server_addr (d->caller_server),
+           links_addr (d->peer_links));
   fclose (f);
-  rename (part, d->opt.addr_file);
+  rename (temp_path, d->opt.addr_file);
 }
 
-/* Returns the number of this start: the wall clock in milliseconds. */
+/* Returns the number of this start of the process: the wall clock in
+   milliseconds. */
 static int64_t
-new_boot (void)
+boot_number (void)
 {
   struct timespec ts;
 
@@ -182,13 +191,13 @@
   log_open ();
   curl_global_init (CURL_GLOBAL_DEFAULT);
   d.loop = uv_default_loop ();
-  d.opt.node.boot = new_boot ();
-  d.http = httpc_new (d.loop);
-  d.serve = serve_new (&d);
-  d.peers = d.serve ? peers_new (&d) : NULL;
-  if (!d.peers)
+  d.opt.node.boot = boot_number ();
+  d.http_client = httpc_new (d.loop);
+  d.caller_server = caller_server_new (&d);
+  d.peer_links = d.caller_server ? peers_new (&d) : NULL;
+  if (!d.peer_links)
     return EX_UNAVAILABLE;
-  clb_copy (d.opt.node.peer_addr, links_addr (d.peers), CLB_ADDR_MAX);
+  clb_copy (d.opt.node.peer_addr, links_addr (d.peer_links), CLB_ADDR_MAX);
   node_init (&d.node, &d.opt.node, now_ms ());
   write_addrs (&d);
   catch_signal (&d, &d.sigterm, SIGTERM);
@@ -198,10 +207,10 @@
   d.timer.data = &d;
   uv_timer_start (&d.timer, on_timer, 0, 0);
   log_info ("%s in %s: callers %s, peers %s", d.opt.node.id, d.opt.node.domain,
-            serve_addr (d.serve), links_addr (d.peers));
+            caller_server_addr (d.caller_server), links_addr (d.peer_links));
   uv_run (d.loop, UV_RUN_DEFAULT);
   log_info ("stopped");
-  links_free (d.peers);
+  links_free (d.peer_links);
   node_fini (&d.node);
   log_close ();
   return EX_OK;
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -1,4 +1,4 @@
-/* Settings: command-line flags and environment variables. */
+/* Reads the settings from command-line flags and environment variables. */
 #include "citronlbd.h"
 
 #include <argp.h>
@@ -17,33 +17,33 @@
   OPT_PLATFORM,
   OPT_TLS_CERT,
   OPT_TLS_KEY,
-  OPT_PEER_PUBLIC,
-  OPT_PEER_SECRET_FILE,
-  OPT_PEER_PERMITTED,
+  OPT_PEER_PUBLIC_KEY,
+  OPT_PEER_SECRET_KEY_FILE,
+  OPT_PERMITTED_PEER_KEYS,
   OPT_INSECURE_PEERS,
   OPT_FIRST_KEY,
   OPT_ADDR_FILE,
   OPT_FLEET,
 };
 
-/* struct setting - a flag and the environment variable used without it */
+/* struct setting - a setting, given by a flag or an environment variable */
 struct setting
 {
   /* enum opt_key */
   int key;
   const char *flag;
   const char *env;
-  /* From the command line, else from the environment; NULL: not given.  "1"
-     for a flag without an argument. */
+  /* Argument of the flag, or else the value of the environment variable; NULL
+     if neither is given.  A flag without an argument sets the value to "1". */
   const char *value;
 };
 
 enum
 {
-  SETTINGS_N = 14,
+  N_SETTINGS = 14,
 };
 
-static struct setting settings[SETTINGS_N] = {
+static struct setting settings[N_SETTINGS] = {
   { OPT_ID, "id", "CITRONLB_ID", NULL },
   { OPT_DOMAIN, "domain", "CITRONLB_DOMAIN", NULL },
   { OPT_LISTEN, "listen", "CITRONLB_LISTEN", NULL },
@@ -51,10 +51,11 @@
   { OPT_PLATFORM, "platform", "CITRONLB_PLATFORM", NULL },
   { OPT_TLS_CERT, "tls-cert", "CITRONLB_TLS_CERT", NULL },
   { OPT_TLS_KEY, "tls-key", "CITRONLB_TLS_KEY", NULL },
-  { OPT_PEER_PUBLIC, "peer-public", "CITRONLB_PEER_PUBLIC", NULL },
-  { OPT_PEER_SECRET_FILE, "peer-secret-file", "CITRONLB_PEER_SECRET_FILE",
+  { OPT_PEER_PUBLIC_KEY, "peer-public", "CITRONLB_PEER_PUBLIC", NULL },
+  { OPT_PEER_SECRET_KEY_FILE, "peer-secret-file", "CITRONLB_PEER_SECRET_FILE",
+    NULL },
+  { OPT_PERMITTED_PEER_KEYS, "peer-permitted", "CITRONLB_PEER_PERMITTED",
     NULL },
-  { OPT_PEER_PERMITTED, "peer-permitted", "CITRONLB_PEER_PERMITTED", NULL },
   { OPT_INSECURE_PEERS, "insecure-peers", "CITRONLB_INSECURE_PEERS", NULL },
   { OPT_FIRST_KEY, "first-key", "CITRONLB_FIRST_KEY", NULL },
   { OPT_ADDR_FILE, "addr-file", "CITRONLB_ADDR_FILE", NULL },
@@ -74,10 +75,11 @@
     0 },
   { "tls-key", OPT_TLS_KEY, "FILE", 0,
     "Private key of the certificate in PEM format", 0 },
-  { "peer-public", OPT_PEER_PUBLIC, "Z85", 0, "Public key for peer links", 0 },
-  { "peer-secret-file", OPT_PEER_SECRET_FILE, "FILE", 0,
+  { "peer-public", OPT_PEER_PUBLIC_KEY, "Z85", 0, "Public key for peer links",
+    0 },
+  { "peer-secret-file", OPT_PEER_SECRET_KEY_FILE, "FILE", 0,
     "File with the secret key for peer links", 0 },
-  { "peer-permitted", OPT_PEER_PERMITTED, "Z85,...", 0,
+  { "peer-permitted", OPT_PERMITTED_PEER_KEYS, "Z85,...", 0,
     "Public keys that peers may use; default: the one of --peer-public", 0 },
   { "insecure-peers", OPT_INSECURE_PEERS, NULL, 0,
     "Peer links in clear text, open to everyone; for demonstrations only", 0 },
@@ -90,11 +92,12 @@
   { 0 },
 };
 
-/* Returns the setting of an enum opt_key, or NULL if @key is none. */
+/* Returns the setting that has the enum opt_key @key, or NULL if none has it.
+ */
 static struct setting *
-setting_of (int key)
+find_setting (int key)
 {
-  for (int i = 0; i < SETTINGS_N; i++)
+  for (int i = 0; i < N_SETTINGS; i++)
     if (settings[i].key == key)
       return &settings[i];
   return NULL;
@@ -103,7 +106,7 @@
 static error_t
 parse_opt (int key, char *arg, struct argp_state *state)
 {
-  struct setting *s = setting_of (key);
+  struct setting *s = find_setting (key);
 
   if (s)
     s->value = arg ? arg : "1";
@@ -114,139 +117,147 @@
   return 0;
 }
 
-/* Reports a wrong setting and exits. */
-static void __attribute__ ((noreturn)) bad_setting (int key, const char *what)
+/* Prints what is wrong with setting @key and exits. */
+static void __attribute__ ((noreturn))
+reject_setting (int key, const char *problem)
 {
-  const struct setting *s = setting_of (key);
+  const struct setting *s = find_setting (key);
 
-  fprintf (stderr, "citronlbd: --%s (%s): %s\n", s->flag, s->env, what);
+  fprintf (stderr, "citronlbd: --%s (%s): %s\n", s->flag, s->env, problem);
   exit (EX_CONFIG);
 }
 
 static const char *
-value_of (int key)
+setting_value (int key)
 {
-  return setting_of (key)->value;
+  return find_setting (key)->value;
 }
 
-/* Checks a required name and copies it to @out. */
+/* Copies setting @key to @out.  Exits if it is not given or not a valid name.
+ */
 static void
 read_name (int key, char *out, size_t size)
 {
-  const char *v = value_of (key);
+  const char *value = setting_value (key);
 
-  if (!v || !*v)
-    bad_setting (key, "must be set");
-  if (strlen (v) >= size || strlen (v) > 30
-      || strspn (v, "abcdefghijklmnopqrstuvwxyz"
-                    "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-")
-             != strlen (v))
-    bad_setting (key, "must be 1 to 30 letters, digits, '_' or '-'");
-  clb_copy (out, v, size);
+  if (!value || !*value)
+    reject_setting (key, "must be set");
+  if (strlen (value) >= size || strlen (value) > 30
+      || strspn (value, "abcdefghijklmnopqrstuvwxyz"
+                        "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-")
+             != strlen (value))
+    reject_setting (key, "must be 1 to 30 letters, digits, '_' or '-'");
+  clb_copy (out, value, size);
 }
 
-/* Checks a required "ip:port" and copies it to @out. */
+/* Copies setting @key to @out.  Exits if it is not given or does not have the
+   form "ip:port". */
 static void
 read_addr (int key, char *out)
 {
-  const char *v = value_of (key);
+  const char *value = setting_value (key);
   struct sockaddr_in sa;
   char ip[CLB_ADDR_MAX];
   char *end;
 
-  if (!v)
-    bad_setting (key, "must be set");
-  clb_copy (ip, v, sizeof ip);
+  if (!value)
+    reject_setting (key, "must be set");
+  clb_copy (ip, value, sizeof ip);
   char *colon = strrchr (ip, ':');
-  if (!colon || strlen (v) >= CLB_ADDR_MAX)
-    bad_setting (key, "must be IP:PORT");
+  if (!colon || strlen (value) >= CLB_ADDR_MAX)
+    reject_setting (key, "must be IP:PORT");
   *colon = '\0';
   long port = strtol (colon + 1, &end, 10);
   if (end == colon + 1 || *end || port < 0 || port > 65535)
-    bad_setting (key, "the port must be 0 to 65535");
+    reject_setting (key, "the port must be 0 to 65535");
   if (uv_ip4_addr (ip, (int)port, &sa))
-    bad_setting (key, "must be an IPv4 address");
-  clb_copy (out, v, CLB_ADDR_MAX);
+    reject_setting (key, "must be an IPv4 address");
+  clb_copy (out, value, CLB_ADDR_MAX);
 }
 
-/* Checks the length of a key in Z85 and copies it to @out. */
+/* Copies @value, a key in Z85 encoding from setting @key, to @out.  Exits if
+   its length is wrong. */
 static void
-read_key (int key, const char *v, char out[KEY_Z85_SIZE])
+read_key (int key, const char *value, char out[KEY_Z85_SIZE])
 {
-  if (strlen (v) != KEY_Z85_SIZE - 1)
-    bad_setting (key, "a key must have 40 characters");
-  clb_copy (out, v, KEY_Z85_SIZE);
+  if (strlen (value) != KEY_Z85_SIZE - 1)
+    reject_setting (key, "a key must have 40 characters");
+  clb_copy (out, value, KEY_Z85_SIZE);
 }
 
-/* Reads the secret key from the first line of its file. */
+/* Reads the secret key of the links between instances from the first line of
+   its file. */
 static void
-read_secret (struct options *opt)
+read_secret_key (struct options *opt)
 {
-  const char *path = value_of (OPT_PEER_SECRET_FILE);
+  const char *path = setting_value (OPT_PEER_SECRET_KEY_FILE);
   char line[128] = "";
   FILE *f = fopen (path, "r");
 
   if (!f)
-    bad_setting (OPT_PEER_SECRET_FILE, "cannot be read");
+    reject_setting (OPT_PEER_SECRET_KEY_FILE, "cannot be read");
   if (!fgets (line, sizeof line, f))
     line[0] = '\0';
   fclose (f);
   line[strcspn (line, "\r\n")] = '\0';
-  read_key (OPT_PEER_SECRET_FILE, line, opt->peer_secret);
+  read_key (OPT_PEER_SECRET_KEY_FILE, line, opt->peer_secret_key);
 }
 
-/* Reads the public keys that peers may use; without that setting, only the
-   instance's own public key. */
+/* Reads the public keys that peers may use.  If the setting is not given,
+   peers may use only the instance's own public key. */
 static void
-read_permitted (struct options *opt)
+read_permitted_keys (struct options *opt)
 {
-  const char *v = value_of (OPT_PEER_PERMITTED);
-  char copy[PERMITTED_MAX * KEY_Z85_SIZE + 1];
+  const char *value = setting_value (OPT_PERMITTED_PEER_KEYS);
+  char copy[PERMITTED_KEYS_MAX * KEY_Z85_SIZE + 1];
   char *save = NULL;
 
-  if (!v)
-    v = opt->peer_public;
-  if (strlen (v) >= sizeof copy)
-    bad_setting (OPT_PEER_PERMITTED, "must be at most 8 keys");
-  clb_copy (copy, v, sizeof copy);
+  if (!value)
+    value = opt->peer_public_key;
+  if (strlen (value) >= sizeof copy)
+    reject_setting (OPT_PERMITTED_PEER_KEYS, "must be at most 8 keys");
+  clb_copy (copy, value, sizeof copy);
   for (char *k = strtok_r (copy, ",", &save); k;
        k = strtok_r (NULL, ",", &save))
-    if (opt->n_permitted < PERMITTED_MAX)
-      read_key (OPT_PEER_PERMITTED, k, opt->permitted[opt->n_permitted++]);
+    if (opt->n_permitted_peer_keys < PERMITTED_KEYS_MAX)
+      read_key (OPT_PERMITTED_PEER_KEYS, k,
+                opt->permitted_peer_keys[opt->n_permitted_peer_keys++]);
 }
 
 /* Reads the keys of the links between instances. */
 static void
 read_peer_keys (struct options *opt)
 {
-  opt->insecure_peers = value_of (OPT_INSECURE_PEERS) != NULL;
+  opt->insecure_peers = setting_value (OPT_INSECURE_PEERS) != NULL;
   if (opt->insecure_peers)
     return;
-  if (!value_of (OPT_PEER_PUBLIC))
-    bad_setting (OPT_PEER_PUBLIC, "must be set, unless --insecure-peers is");
-  if (!value_of (OPT_PEER_SECRET_FILE))
-    bad_setting (OPT_PEER_SECRET_FILE,
-                 "must be set, unless --insecure-peers is");
-  read_key (OPT_PEER_PUBLIC, value_of (OPT_PEER_PUBLIC), opt->peer_public);
-  read_secret (opt);
-  read_permitted (opt);
+  if (!setting_value (OPT_PEER_PUBLIC_KEY))
+    reject_setting (OPT_PEER_PUBLIC_KEY,
+                    "must be set, unless --insecure-peers is");
+  if (!setting_value (OPT_PEER_SECRET_KEY_FILE))
+    reject_setting (OPT_PEER_SECRET_KEY_FILE,
+                    "must be set, unless --insecure-peers is");
+  read_key (OPT_PEER_PUBLIC_KEY, setting_value (OPT_PEER_PUBLIC_KEY),
+            opt->peer_public_key);
+  read_secret_key (opt);
+  read_permitted_keys (opt);
 }
 
-/* Reads the optional key of an operator, valid until a manifest is accepted.
- */
+/* Reads the optional key of an operator that is valid until a manifest is
+   accepted. */
 static void
 read_first_key (struct options *opt)
 {
-  const char *v = value_of (OPT_FIRST_KEY);
-  const char *colon = v ? strchr (v, ':') : NULL;
+  const char *value = setting_value (OPT_FIRST_KEY);
+  const char *colon = value ? strchr (value, ':') : NULL;
 
-  if (!v)
+  if (!value)
     return;
-  if (!colon || (size_t)(colon - v) >= sizeof opt->node.first_salt
+  if (!colon || (size_t)(colon - value) >= sizeof opt->node.first_salt
       || strlen (colon + 1) != CONF_HASH_HEX - 1)
-    bad_setting (OPT_FIRST_KEY,
-                 "must be SALT:HASH as printed by 'citronctl key'");
-  memcpy (opt->node.first_salt, v, (size_t)(colon - v));
+    reject_setting (OPT_FIRST_KEY,
+                    "must be SALT:HASH as printed by 'citronctl key'");
+  memcpy (opt->node.first_salt, value, (size_t)(colon - value));
   clb_copy (opt->node.first_hash, colon + 1, CONF_HASH_HEX);
 }
 
@@ -259,25 +270,25 @@
           .doc = "One entry instance of the citronlb cluster scheduler." };
 
   memset (opt, 0, sizeof *opt);
-  for (int i = 0; i < SETTINGS_N; i++)
+  for (int i = 0; i < N_SETTINGS; i++)
     settings[i].value = getenv (settings[i].env);
   argp_err_exit_status = EX_USAGE;
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
-  opt->fleet_file = value_of (OPT_FLEET);
+  opt->fleet_file = setting_value (OPT_FLEET);
   if (opt->fleet_file)
     return;
   read_name (OPT_ID, opt->node.id, sizeof opt->node.id);
   read_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
-  read_addr (OPT_LISTEN, opt->listen);
-  read_addr (OPT_PEER_LISTEN, opt->peer_listen);
-  read_addr (OPT_PLATFORM, opt->platform);
-  opt->cert = value_of (OPT_TLS_CERT);
-  opt->key = value_of (OPT_TLS_KEY);
-  if (opt->cert && !opt->key)
-    bad_setting (OPT_TLS_KEY, "must be set with --tls-cert");
-  if (opt->key && !opt->cert)
-    bad_setting (OPT_TLS_CERT, "must be set with --tls-key");
+  read_addr (OPT_LISTEN, opt->listen_addr);
+  read_addr (OPT_PEER_LISTEN, opt->peer_listen_addr);
+  read_addr (OPT_PLATFORM, opt->platform_addr);
+  opt->cert_file = setting_value (OPT_TLS_CERT);
+  opt->key_file = setting_value (OPT_TLS_KEY);
+  if (opt->cert_file && !opt->key_file)
+    reject_setting (OPT_TLS_KEY, "must be set with --tls-cert");
+  if (opt->key_file && !opt->cert_file)
+    reject_setting (OPT_TLS_CERT, "must be set with --tls-key");
   read_peer_keys (opt);
   read_first_key (opt);
-  opt->addr_file = value_of (OPT_ADDR_FILE);
+  opt->addr_file = setting_value (OPT_ADDR_FILE);
 }
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -1,4 +1,4 @@
-/* Encodes and decodes the messages on the links between entry instances. */
+/* Encodes and decodes the messages that entry instances send to each other. */
 #include "citronlbd.h"
 
 #include <stdlib.h>
@@ -31,11 +31,11 @@
   const struct options *opt = &d->opt;
   struct links_conf conf = {
     .loop = d->loop,
-    .listen_addr = opt->peer_listen,
-    .public_key = opt->insecure_peers ? NULL : opt->peer_public,
-    .secret_key = opt->peer_secret,
-    .permitted_keys = opt->permitted,
-    .n_permitted = opt->n_permitted,
+    .listen_addr = opt->peer_listen_addr,
+    .public_key = opt->insecure_peers ? NULL : opt->peer_public_key,
+    .secret_key = opt->peer_secret_key,
+    .permitted_keys = opt->permitted_peer_keys,
+    .n_permitted = opt->n_permitted_peer_keys,
     .arg = d,
     .on_message = on_message,
     .on_received = on_received,
@@ -53,6 +53,6 @@
 
   if (!*addr || pmsg_pack (m, &buf, &len))
     return;
-  links_send (d->peers, to, addr, buf, len);
+  links_send (d->peer_links, to, addr, buf, len);
   free (buf);
 }
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -1,10 +1,11 @@
 /*
- * The platform's table service, object store and instance list.
+ * Sends operations to the platform's table service, object store and instance
+ * list.
  *
- * An operation is one POST of struct store_op, answered by one struct
- * store_rep.  Assumptions about the platform: status 503 means that the
- * operation had no effect, 504 that it may have had one; a transaction is
- * atomic; and each write of a row raises its version.
+ * An operation is one POST of struct store_op, which is answered by one struct
+ * store_rep.  The assumptions about the platform are: status 503 means that
+ * the operation had no effect, and status 504 that it may have had an effect;
+ * a transaction is atomic; each write of a row raises the row's version.
  */
 #include "citronlbd.h"
 
@@ -15,70 +16,73 @@
 enum
 {
   STORE_TIMEOUT_MS = 2000,
-  STORE_CONNECT_MS = 1000,
+  STORE_CONNECT_TIMEOUT_MS = 1000,
+  /* HTTP status of an operation that had no effect. */
   STATUS_NO_EFFECT = 503,
 };
 
-/* struct store_call - an operation in progress */
-struct store_call
+/* struct pending_op - an operation that has been sent and not been answered */
+struct pending_op
 {
   struct daemon *d;
   uint64_t token;
 };
 
-/* Sets *@rep to the answer, or its err to the outcome of a failed request. */
+/* Sets *@reply to the reply to an operation.  If the request failed, sets only
+   the err of *@reply: to CLB_EUNAVAIL if the operation had no effect, to
+   CLB_EUNKNOWN if it may have had one. */
 static void
-read_rep (struct store_rep *rep, int end, int status, const char *body,
-          size_t len)
+parse_reply (struct store_rep *reply, int result, int status, const char *body,
+             size_t len)
 {
-  struct codec_err ce;
+  struct codec_err parse_err;
 
-  memset (rep, 0, sizeof *rep);
-  if (end == HTTPC_UNREACHED
-      || (end == HTTPC_OK && status == STATUS_NO_EFFECT))
-    rep->err = CLB_EUNAVAIL;
-  else if (end == HTTPC_FAILED || status != 200
-           || codec_parse (&store_rep_desc, body, len, CODEC_LENIENT, rep,
-                           &ce))
-    rep->err = CLB_EUNKNOWN;
+  memset (reply, 0, sizeof *reply);
+  if (result == HTTPC_UNREACHED
+      || (result == HTTPC_OK && status == STATUS_NO_EFFECT))
+    reply->err = CLB_EUNAVAIL;
+  else if (result == HTTPC_FAILED || status != 200
+           || codec_parse (&store_rep_desc, body, len, CODEC_LENIENT, reply,
+                           &parse_err))
+    reply->err = CLB_EUNKNOWN;
 }
 
 static void
-on_end (void *arg, int end, int status, const char *body, size_t len)
+on_end (void *arg, int result, int status, const char *body, size_t len)
 {
-  struct store_call *c = arg;
-  struct store_rep rep;
+  struct pending_op *p = arg;
+  struct store_rep reply;
 
-  read_rep (&rep, end, status, body, len);
-  node_store (&c->d->node, now_ms (), c->token, &rep);
-  codec_free (&store_rep_desc, &rep);
-  process_outputs (c->d);
-  free (c);
+  parse_reply (&reply, result, status, body, len);
+  node_store (&p->d->node, now_ms (), p->token, &reply);
+  codec_free (&store_rep_desc, &reply);
+  process_outputs (p->d);
+  free (p);
 }
 
 void
 platform_send (struct daemon *d, uint64_t token, const struct store_op *op)
 {
-  struct store_call *c = calloc (1, sizeof *c);
+  struct pending_op *p = calloc (1, sizeof *p);
   char url[CLB_ADDR_MAX + 32];
-  char *text = codec_text (&store_op_desc, op);
+  char *op_text = codec_text (&store_op_desc, op);
   struct httpc_req rq = {
     .method = "POST",
     .content_type = "application/json",
     .timeout_ms = STORE_TIMEOUT_MS,
-    .connect_timeout_ms = STORE_CONNECT_MS,
+    .connect_timeout_ms = STORE_CONNECT_TIMEOUT_MS,
     .on_end = on_end,
   };
 
-  if (!c || !text)
+  if (!p || !op_text)
     abort ();
-  c->d = d;
-  c->token = token;
-  snprintf (url, sizeof url, "http://%s/v1/store", d->opt.platform);
+  p->d = d;
+  p->token = token;
+  snprintf (url, sizeof url, "http://%s/v1/store", d->opt.platform_addr);
   rq.url = url;
-  rq.body = text;
-  rq.body_len = strlen (text);
-  rq.arg = c;
-  httpc_send (d->http, &rq);
-  free (text);
+  rq.body = op_text;
+  rq.body_len = strlen (op_text);
+  rq.arg = p;
+  httpc_send (d->http_client, &rq);
+  free (op_text);
 }
