--- a/citronlbd/citronlbd.h
+++ b/citronlbd/citronlbd.h
@@ -102,7 +102,7 @@
  */
 void process_outputs (struct daemon *d);
 
-/* peers.c: links between entry instances */
+/* peers.c: messages between entry instances */
 
 /**
  * peers_new() - Open the links and listen for peers.
@@ -120,28 +120,32 @@
 void peers_send (struct daemon *d, const char *to, const char *addr,
                  const struct pmsg *m);
 
-/* platform.c: table service, object store and instance list */
+/* platform.c: operations of the platform's table service, object store and
+   instance list */
 
 /**
  * platform_send() - Send a store operation to the platform's service.
- * @token: identifies the operation; node_store() gets it with the reply
+ * @token: identifies the operation; passed to node_store() with the reply
+ *
+ * The function copies what it needs of @op.
  */
 void platform_send (struct daemon *d, uint64_t token,
                     const struct store_op *op);
 
-/* backend.c: workers and executors */
+/* backend.c: syncs with workers and executors */
 
 /**
  * backend_sync() - Send a sync to a worker or executor.
  * @worker: id of the worker or executor
  * @addr: address of the worker or executor, as "ip:port"
  *
- * node_sync() gets the reply, or NULL if there is none.
+ * The reply is passed to node_sync(), or NULL if no valid reply arrived.
  */
 void backend_sync (struct daemon *d, const char *worker, const char *addr,
                    const struct sync_req *req);
 
-/* caller_server.c: requests of callers, and service requests to executors */
+/* serve.c: HTTP server for requests of callers; it forwards service requests
+   to executors */
 
 /**
  * caller_server_new() - Create the HTTP server for callers.
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -156,7 +156,7 @@
 {
   struct out *o;
 
-  /* An output's callback may call this function again; the outer call then
+  /* Carrying out an output may call this function again; the outer call then
      carries out the new outputs. */
   if (d->processing_outputs)
     return;
--- a/citronlbd/logline.h
+++ b/citronlbd/logline.h
@@ -1,6 +1,7 @@
 /**
- * DOC: Structured log lines on standard output.  Writing never blocks: lines
- * beyond the buffer's size or the maximum rate are dropped and counted.
+ * DOC: Structured log lines on standard output.  Writing never blocks: a line
+ * that does not fit in the buffer or exceeds the maximum rate is dropped and
+ * counted.
  */
 #ifndef LOGLINE_H
 #define LOGLINE_H
@@ -19,13 +20,16 @@
 /** struct logline_stats - numbers of lines since the start of the process */
 struct logline_stats
 {
+  /* Number of lines that were added to the buffer. */
   uint64_t written;
+  /* Number of lines that were dropped. */
   uint64_t dropped;
 };
 
 /**
  * logline_open() - Set standard output to non-blocking mode and start to log.
- * @node: id of the instance, copied; part of each line
+ * @node: id of the instance, which is part of each line; the function copies
+ * it
  */
 void logline_open (const char *node);
 
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -69,7 +69,7 @@
 {
   struct out *o;
 
-  /* An output's callback may call this function again; the outer call then
+  /* Carrying out an output may call this function again; the outer call then
      carries out the new outputs. */
   if (d->processing_outputs)
     return;
@@ -136,6 +136,7 @@
   process_outputs (d);
 }
 
+/* Makes @signum call on_signal() in the event loop. */
 static void
 catch_signal (struct daemon *d, uv_signal_t *sig, int signum)
 {
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -29,9 +29,11 @@
 /* struct setting - a setting, given by a flag or an environment variable */
 struct setting
 {
-  /* enum opt_key */
+  /* The setting's enum opt_key. */
   int key;
+  /* Name of the flag, without the leading "--". */
   const char *flag;
+  /* Name of the environment variable. */
   const char *env;
   /* Argument of the flag, or else the value of the environment variable; NULL
      if neither is given.  A flag without an argument sets the value to "1". */
@@ -127,6 +129,7 @@
   exit (EX_CONFIG);
 }
 
+/* Returns the value of setting @key, or NULL if it is not given. */
 static const char *
 setting_value (int key)
 {
@@ -210,15 +213,15 @@
 {
   const char *value = setting_value (OPT_PERMITTED_PEER_KEYS);
   char copy[PERMITTED_KEYS_MAX * KEY_Z85_SIZE + 1];
-  char *save = NULL;
+  char *strtok_state = NULL;
 
   if (!value)
     value = opt->peer_public_key;
   if (strlen (value) >= sizeof copy)
     reject_setting (OPT_PERMITTED_PEER_KEYS, "must be at most 8 keys");
   clb_copy (copy, value, sizeof copy);
-  for (char *k = strtok_r (copy, ",", &save); k;
-       k = strtok_r (NULL, ",", &save))
+  for (char *k = strtok_r (copy, ",", &strtok_state); k;
+       k = strtok_r (NULL, ",", &strtok_state))
     if (opt->n_permitted_peer_keys < PERMITTED_KEYS_MAX)
       read_key (OPT_PERMITTED_PEER_KEYS, k,
                 opt->permitted_peer_keys[opt->n_permitted_peer_keys++]);
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -3,6 +3,8 @@
 
 #include <stdlib.h>
 
+/* Passes a message of a peer to the node, or ignores the message if it cannot
+   be decoded. */
 static void
 on_message (void *arg, const char *buf, size_t len)
 {
--- a/net/httpc.c
+++ b/net/httpc.c
@@ -14,8 +14,8 @@
   IDLE_CONNECTIONS_MAX = 256,
   /* Maximum number of libcurl easy handles kept for reuse. */
   IDLE_HANDLES_MAX = 64,
-  /* Maximum bytes of a response body that is collected for on_end; a longer
-     one fails the request. */
+  /* Maximum number of bytes in a response body that is collected for on_end; a
+     longer body fails the request. */
   RESPONSE_MAX = 64 << 20,
 };
 
@@ -27,7 +27,7 @@
   CURL *easy;
   struct curl_slist *headers;
   struct httpc_req rq;
-  /* Copy of the request's body, or NULL. */
+  /* Copy of the request's body; NULL if it has none. */
   char *body;
   uint64_t id;
   /* Bytes received of the response's body, terminated with a NUL; NULL if none
@@ -329,8 +329,8 @@
   return CURL_SOCKOPT_OK;
 }
 
-/* Adds a header to the request unless @value is NULL or the header has more
-   than 512 bytes. */
+/* Adds a header to the request, unless @value is NULL or the header does not
+   fit in 512 bytes. */
 static void
 add_header (struct xfer *x, const char *name, const char *value)
 {
