--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
 # Targets: all, demo, check, lint, format, bench, soak, deps, clean.
-# BUILD is the directory of the build, SAN the sanitizers' compiler flags.
+# BUILD is the directory that everything is built in.
+# SAN holds compiler flags that enable sanitizers.
 CC ?= cc
 BUILD ?= build
 SAN ?=
@@ -49,11 +50,12 @@
 	@$(MAKE) -s all
 	@$(MAKE) -s check-run
 
-# Runs the tests without a build.
+# Runs the tests without building anything first.
 check-run:
 	@BUILD=$(BUILD) regress/run
 
-# Runs random scenarios: SEEDS seeds, 1000 if not set, starting at FIRST.
+# Runs random scenarios with SEEDS seeds (1000 by default); the first seed is
+# FIRST (1 by default).
 soak: all
 	@$(BUILD)/regress/scn-run -s $(or $(FIRST),1) -n $(or $(SEEDS),1000) regress/scenarios/walk.lua
 
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -33,7 +33,7 @@
 }
 
 /* Sends a message of the node to a peer, or drops the message if the node does
-   not know the peer any more. */
+   not know the peer. */
 static void
 send_peer (struct daemon *d, const struct out *o)
 {
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -29,8 +29,8 @@
 /* struct setting - a setting, given by a flag or an environment variable */
 struct setting
 {
-  /* The setting's enum opt_key. */
-  int key;
+  /* Key of the setting, an enum opt_key. */
+  int opt_key;
   /* Name of the flag, without the leading "--". */
   const char *flag;
   /* Name of the environment variable. */
@@ -100,7 +100,7 @@
 find_setting (int key)
 {
   for (int i = 0; i < N_SETTINGS; i++)
-    if (settings[i].key == key)
+    if (settings[i].opt_key == key)
       return &settings[i];
   return NULL;
 }
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,10 +1,11 @@
-# Functions of the demo, the benchmarks and the tests of real processes, to be
-# sourced: they start and stop stand-ins of the platform and the backend servers
-# and entry instances, whose files are in the temporary directory $work.
+# Functions for the demo, the benchmarks and the tests of real processes.  They
+# start and stop entry instances and stand-ins of the platform and of the backend
+# servers.  The files of these processes are in the temporary directory $work.
+# This file is to be sourced.
 BUILD=${BUILD:-build}
 bin=$PWD/$BUILD
 work=$(mktemp -d)
-# Processes to kill at the end.
+# Ids of the processes that clean_up kills.
 pids=
 
 # Kills all processes that were started and removes $work.
@@ -18,7 +19,8 @@
 trap 'exit 1' INT TERM
 
 # wait_for SECONDS COMMAND...
-# Repeats the command until it succeeds; fails once the time is over.
+# Repeats the command until it succeeds.  Fails if it has not succeeded within
+# the given time.
 wait_for() {
 	tries=$(($1 * 20))
 	shift
@@ -42,13 +44,14 @@
 }
 
 # control JSON
-# Changes the behaviour of the platform's stand-in; see platformd.
+# Sends a control message that changes the behaviour of the platform's stand-in;
+# see platformd.
 control() { curl -s -o /dev/null -d "$1" "http://$platform/v1/control"; }
 
 # start_backend DOMAIN WORKERS EXECUTORS
-# Starts the stand-ins of a failure domain's workers and executors in one
-# process.  Their instance list is in $work/list-DOMAIN, the runs that they start
-# and end in $work/runs-DOMAIN.
+# Starts one process with the stand-ins of a failure domain's workers and
+# executors.  It writes their instance list to $work/list-DOMAIN and the runs
+# that they start and end to $work/runs-DOMAIN.
 start_backend() {
 	"$bin/regress/backendd" "$@" >"$work/list-$1" 2>"$work/runs-$1" &
 	pids="$pids $!"
@@ -56,8 +59,8 @@
 }
 
 # make_keys TEAM
-# Makes the keys of the links between instances, of an operator and of a team.
-# Sets peer_public, ops_key, first_key and team_key.
+# Makes a key pair for the links between instances, a key for an operator and a
+# key for the team.  Sets peer_public, ops_key, first_key and team_key.
 make_keys() {
 	"$bin/citronctl/citronctl" peerkeys >"$work/peerkeys"
 	peer_public=$(cut -d' ' -f1 "$work/peerkeys")
@@ -71,7 +74,8 @@
 }
 
 # start_entry ID DOMAIN
-# Starts an entry instance and sets pid_ID and url_ID.
+# Starts an entry instance and sets pid_ID to its process id and url_ID to its
+# URL.
 start_entry() {
 	rm -f "$work/addr-$1"
 	"$bin/citronlbd/citronlbd" --id "$1" --domain "$2" \
@@ -101,8 +105,8 @@
 ctl() { "$bin/citronctl/citronctl" "$@"; }
 
 # make_manifest FILE
-# Writes $work/manifest.json: the manifest of the file with the keys of
-# make_keys.
+# Writes the manifest of the file, with its keys replaced by those of make_keys,
+# to $work/manifest.json.
 make_manifest() {
 	jq -c --slurpfile ops "$work/ops.json" --slurpfile team "$work/team.json" \
 		'.keys=[$ops[0],$team[0]]' "$1" >"$work/manifest.json"
