--- a/citronctl/citronctl.h
+++ b/citronctl/citronctl.h
@@ -26,7 +26,7 @@
   /* The request may have been carried out; its outcome is unknown. */
   EXIT_UNKNOWN = 70,
   /* A file cannot be read. */
-  EXIT_NO_READ = 74,
+  EXIT_UNREADABLE = 74,
   /* The manifest was refused, as another change was made first. */
   EXIT_CONFLICT = 75,
   /* The key is not valid or lacks the permission. */
@@ -44,7 +44,7 @@
    */
   const char *cacert;
   /* True if answers are printed as JSON. */
-  bool json;
+  bool print_json;
   /* For apply: id of the change; NULL selects a random one. */
   const char *change_id;
   /* For apply: version of the manifest that the new one was made from; -1
@@ -60,7 +60,7 @@
   /* HTTP status; 0 if there was no complete response. */
   long status;
   /* True if any byte of the request was sent to a server. */
-  bool sent;
+  bool request_sent;
   /* Body of the response, terminated with a NUL; NULL if the body is empty. */
   char *body;
   size_t body_len;
--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -75,7 +75,7 @@
       cl->opt.key = arg;
       break;
     case OPT_JSON:
-      cl->opt.json = true;
+      cl->opt.print_json = true;
       break;
     case OPT_CACERT:
       cl->opt.cacert = arg;
@@ -127,8 +127,8 @@
 
   if (a->status == 0)
     fprintf (stderr, "citronctl: no server reached (%s)\n",
-             a->sent ? "outcome unknown" : "not run");
-  else if (opt->json || !json)
+             a->request_sent ? "outcome unknown" : "not run");
+  else if (opt->print_json || !json)
     printf ("%s\n", a->body ? a->body : "");
   else if (json_object_get (json, "error"))
     {
@@ -158,7 +158,7 @@
   if (!text)
     {
       fprintf (stderr, "citronctl: %s: cannot be read\n", path);
-      return EXIT_NO_READ;
+      return EXIT_UNREADABLE;
     }
   rpc (opt, "POST", "/v1/tasks", text, len, &a);
   code = print_answer (opt, &a);
@@ -247,7 +247,7 @@
   snprintf (path, sizeof path, "/v1/why/%.100s", id);
   rpc (opt, "GET", path, NULL, 0, &a);
   code = print_answer (opt, &a);
-  if (code == EXIT_DONE && !opt->json)
+  if (code == EXIT_DONE && !opt->print_json)
     {
       json = json_loadb (a.body, a.body_len, 0, NULL);
       json_array_foreach (json_object_get (json, "history"), i, e)
@@ -299,12 +299,13 @@
 
   if (opt->watch_id)
     snprintf (path, sizeof path, "/v1/watch?id=%.100s", opt->watch_id);
-  return rpc_stream (opt, path, opt->json ? print_raw_line : print_watch_line);
+  return rpc_stream (opt, path,
+                     opt->print_json ? print_raw_line : print_watch_line);
 }
 
 /* Sends GET @path and prints the body of the answer unchanged. */
 static int
-cmd_raw (const struct options *opt, const char *path)
+get_and_print (const struct options *opt, const char *path)
 {
   struct answer a;
   int code;
@@ -381,8 +382,8 @@
   size_t i;
   int code;
 
-  if (opt->json)
-    return cmd_raw (opt, "/v1/status");
+  if (opt->print_json)
+    return get_and_print (opt, "/v1/status");
   rpc (opt, "GET", "/v1/status", NULL, 0, &a);
   code = rpc_exit_code (&a);
   json = code ? NULL : json_loadb (a.body, a.body_len, 0, NULL);
@@ -496,7 +497,7 @@
     case VERB_WATCH:
       return cmd_watch (opt);
     default:
-      return cmd_raw (opt, "/metrics");
+      return get_and_print (opt, "/metrics");
     }
 }
 
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -56,7 +56,7 @@
   if (!*text)
     {
       fprintf (stderr, "citronctl: %s: cannot be read\n", path);
-      return EXIT_NO_READ;
+      return EXIT_UNREADABLE;
     }
   err = conf_parse (*text, *len, c, &ce);
   if (!err)
@@ -78,7 +78,7 @@
 
   if (code)
     return code;
-  if (opt->json)
+  if (opt->print_json)
     printf ("{\"teams\":%zu,\"keys\":%zu,\"queues\":%zu}\n", c.n_teams,
             c.n_keys, c.n_queues);
   else
@@ -158,7 +158,8 @@
 
   if (code)
     return code;
-  json_dumpf (current, stdout, opt->json ? JSON_COMPACT : JSON_INDENT (2));
+  json_dumpf (current, stdout,
+              opt->print_json ? JSON_COMPACT : JSON_INDENT (2));
   printf ("\n");
   return EXIT_DONE;
 }
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -93,7 +93,7 @@
   if (curl_easy_perform (e) == CURLE_OK)
     curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &a->status);
   curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent);
-  a->sent = sent > 0;
+  a->request_sent = sent > 0;
   curl_easy_cleanup (e);
   curl_slist_free_all (headers);
 }
@@ -105,7 +105,7 @@
   const char *server = opt->servers;
 
   memset (a, 0, sizeof *a);
-  while (*server && a->status == 0 && !a->sent)
+  while (*server && a->status == 0 && !a->request_sent)
     {
       size_t n = strcspn (server, ",");
       send_to (opt, method, server, n, path, body, len, a);
@@ -125,7 +125,7 @@
 rpc_exit_code (const struct answer *a)
 {
   if (a->status == 0)
-    return a->sent ? EXIT_UNKNOWN : EXIT_NOT_RUN;
+    return a->request_sent ? EXIT_UNKNOWN : EXIT_NOT_RUN;
   if (a->status < 300)
     return EXIT_DONE;
   switch (a->status)
@@ -201,7 +201,7 @@
 static int
 stream_run (CURLM *multi)
 {
-  struct answer a = { .sent = true };
+  struct answer a = { .request_sent = true };
   CURLMsg *msg;
   int running = 1;
   int msgs_in_queue;
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -120,7 +120,7 @@
 
 /* Carries out one output of the fleet. */
 static void
-carry_out (struct fleetd *d, struct out *o)
+execute_output (struct fleetd *d, struct out *o)
 {
   const char *body;
 
@@ -163,7 +163,7 @@
   d->processing_outputs = true;
   while ((o = fleet_next_out (&d->fleet)))
     {
-      carry_out (d, o);
+      execute_output (d, o);
       out_free (o);
     }
   d->processing_outputs = false;
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -45,7 +45,7 @@
 
 /* Carries out one output of the node. */
 static void
-carry_out (struct daemon *d, const struct out *o)
+execute_output (struct daemon *d, const struct out *o)
 {
   switch (o->kind)
     {
@@ -76,7 +76,7 @@
   d->processing_outputs = true;
   while ((o = node_next_out (&d->node)))
     {
-      carry_out (d, o);
+      execute_output (d, o);
       out_free (o);
     }
   d->processing_outputs = false;
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -66,7 +66,8 @@
 {
   /* Address to listen on, as "ip:port"; port 0 selects a free one. */
   const char *addr;
-  /* Maximum bytes of a request body; a larger one is answered with 413. */
+  /* Maximum number of bytes in a request's body.  A request with a larger body
+     is answered with status 413. */
   size_t max_body_bytes;
   /* PEM file of the certificate chain; NULL for no TLS. */
   const char *cert_file;
--- a/net/links.c
+++ b/net/links.c
@@ -54,8 +54,8 @@
      event loop does not wait for input. */
   uv_idle_t idle;
   /* The links, the oldest one first. */
-  struct link links[LINKS_MAX];
-  int n_links;
+  struct link entries[LINKS_MAX];
+  int n_entries;
   /* Address that the router socket is bound to, as "ip:port". */
   char addr[LINKS_ADDR_SIZE + 8];
 };
@@ -111,24 +111,24 @@
 /* Replies to ZAP request @id, with status 200 to admit the peer or 400 to
    reject it. */
 static void
-zap_reply (struct links *p, const zmq_msg_t *id, bool admit)
+zap_reply (struct links *links, const zmq_msg_t *id, bool admit)
 {
   zmq_msg_t copy;
 
   zmq_msg_init (&copy);
   zmq_msg_copy (&copy, (zmq_msg_t *)id);
-  zmq_send (p->zap, "1.0", 3, ZMQ_SNDMORE);
-  zmq_msg_send (&copy, p->zap, ZMQ_SNDMORE);
-  zmq_send (p->zap, admit ? "200" : "400", 3, ZMQ_SNDMORE);
-  zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
-  zmq_send (p->zap, "", 0, ZMQ_SNDMORE);
-  zmq_send (p->zap, "", 0, 0);
+  zmq_send (links->zap, "1.0", 3, ZMQ_SNDMORE);
+  zmq_msg_send (&copy, links->zap, ZMQ_SNDMORE);
+  zmq_send (links->zap, admit ? "200" : "400", 3, ZMQ_SNDMORE);
+  zmq_send (links->zap, "", 0, ZMQ_SNDMORE);
+  zmq_send (links->zap, "", 0, ZMQ_SNDMORE);
+  zmq_send (links->zap, "", 0, 0);
 }
 
 /* Receives one ZAP request and replies to it.  Returns false if none is
    queued. */
 static bool
-zap_handle_one (struct links *p)
+zap_handle_one (struct links *links)
 {
   zmq_msg_t frames[ZAP_N_FRAMES];
   int n = 0;
@@ -138,7 +138,7 @@
   while (more && n < ZAP_N_FRAMES)
     {
       zmq_msg_init (&frames[n]);
-      if (zmq_msg_recv (&frames[n], p->zap, ZMQ_DONTWAIT) < 0)
+      if (zmq_msg_recv (&frames[n], links->zap, ZMQ_DONTWAIT) < 0)
         break;
       more = zmq_msg_more (&frames[n]);
       n++;
@@ -146,10 +146,10 @@
   if (n == 0)
     return false;
   admit = n == ZAP_N_FRAMES
-          && key_is_permitted (&p->conf, zmq_msg_data (&frames[ZAP_KEY]),
+          && key_is_permitted (&links->conf, zmq_msg_data (&frames[ZAP_KEY]),
                                zmq_msg_size (&frames[ZAP_KEY]));
   if (n > ZAP_REQUEST_ID)
-    zap_reply (p, &frames[ZAP_REQUEST_ID], admit);
+    zap_reply (links, &frames[ZAP_REQUEST_ID], admit);
   for (int i = 0; i < n; i++)
     zmq_msg_close (&frames[i]);
   return true;
@@ -159,7 +159,7 @@
    of two frames: the sender's routing id and the body.  Returns false if no
    message is queued. */
 static bool
-receive_one (struct links *p)
+receive_one (struct links *links)
 {
   zmq_msg_t msg;
   int more = 1;
@@ -168,15 +168,15 @@
   while (more)
     {
       zmq_msg_init (&msg);
-      if (zmq_msg_recv (&msg, p->router, ZMQ_DONTWAIT) < 0)
+      if (zmq_msg_recv (&msg, links->router, ZMQ_DONTWAIT) < 0)
         {
           zmq_msg_close (&msg);
           return false;
         }
       more = zmq_msg_more (&msg);
       if (frame == 1)
-        p->conf.on_message (p->conf.arg, zmq_msg_data (&msg),
-                            zmq_msg_size (&msg));
+        links->conf.on_message (links->conf.arg, zmq_msg_data (&msg),
+                                zmq_msg_size (&msg));
       frame++;
       zmq_msg_close (&msg);
     }
@@ -190,20 +190,20 @@
    messages may be queued, the idle handle makes the event loop continue
    without waiting for input. */
 static void
-receive_batch (struct links *p)
+receive_batch (struct links *links)
 {
   int n = 0;
 
-  while (p->zap && zap_handle_one (p))
+  while (links->zap && zap_handle_one (links))
     continue;
-  while (n < RECEIVE_BATCH_MAX && receive_one (p))
+  while (n < RECEIVE_BATCH_MAX && receive_one (links))
     n++;
   if (n == RECEIVE_BATCH_MAX)
-    uv_idle_start (&p->idle, on_idle);
+    uv_idle_start (&links->idle, on_idle);
   else
-    uv_idle_stop (&p->idle);
-  if (n && p->conf.on_received)
-    p->conf.on_received (p->conf.arg);
+    uv_idle_stop (&links->idle);
+  if (n && links->conf.on_received)
+    links->conf.on_received (links->conf.arg);
 }
 
 static void
@@ -231,152 +231,154 @@
 
 /* Polls a ZeroMQ socket for input. */
 static void
-poll_socket (struct links *p, void *socket, uv_poll_t *poll)
+poll_socket (struct links *links, void *socket, uv_poll_t *poll)
 {
   int fd = -1;
   size_t size = sizeof fd;
 
   zmq_getsockopt (socket, ZMQ_FD, &fd, &size);
-  uv_poll_init (p->conf.loop, poll, fd);
-  poll->data = p;
+  uv_poll_init (links->conf.loop, poll, fd);
+  poll->data = links;
   uv_poll_start (poll, UV_READABLE, on_poll);
 }
 
 /* Opens and binds the router socket, and the socket of the ZAP handler if the
    links are encrypted.  Returns 0, or -1 with errno set. */
 static int
-open_router (struct links *p)
+open_router (struct links *links)
 {
-  const struct links_conf *conf = &p->conf;
+  const struct links_conf *conf = &links->conf;
   char url[LINKS_ADDR_SIZE + 8];
-  size_t size = sizeof p->addr;
+  size_t size = sizeof links->addr;
 
-  p->router = zmq_socket (p->ctx, ZMQ_ROUTER);
-  set_common_options (p->router);
+  links->router = zmq_socket (links->ctx, ZMQ_ROUTER);
+  set_common_options (links->router);
   if (conf->public_key)
     {
-      p->zap = zmq_socket (p->ctx, ZMQ_REP);
-      if (zmq_bind (p->zap, "inproc://zeromq.zap.01"))
+      links->zap = zmq_socket (links->ctx, ZMQ_REP);
+      if (zmq_bind (links->zap, "inproc://zeromq.zap.01"))
         return -1;
-      set_int_option (p->router, ZMQ_CURVE_SERVER, 1);
-      zmq_setsockopt (p->router, ZMQ_CURVE_SECRETKEY, conf->secret_key,
+      set_int_option (links->router, ZMQ_CURVE_SERVER, 1);
+      zmq_setsockopt (links->router, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (p->router, ZMQ_ZAP_DOMAIN, "peers", 5);
+      zmq_setsockopt (links->router, ZMQ_ZAP_DOMAIN, "peers", 5);
     }
   snprintf (url, sizeof url, "tcp://%s", conf->listen_addr);
-  if (zmq_bind (p->router, url))
+  if (zmq_bind (links->router, url))
     return -1;
-  zmq_getsockopt (p->router, ZMQ_LAST_ENDPOINT, p->addr, &size);
-  memmove (p->addr, p->addr + strlen ("tcp://"),
-           strlen (p->addr + strlen ("tcp://")) + 1);
+  zmq_getsockopt (links->router, ZMQ_LAST_ENDPOINT, links->addr, &size);
+  memmove (links->addr, links->addr + strlen ("tcp://"),
+           strlen (links->addr + strlen ("tcp://")) + 1);
   return 0;
 }
 
 struct links *
 links_new (const struct links_conf *conf)
 {
-  struct links *p = calloc (1, sizeof *p);
+  struct links *links = calloc (1, sizeof *links);
 
-  if (!p)
+  if (!links)
     abort ();
-  p->conf = *conf;
-  p->ctx = zmq_ctx_new ();
-  if (open_router (p))
+  links->conf = *conf;
+  links->ctx = zmq_ctx_new ();
+  if (open_router (links))
     {
       fprintf (stderr, "%s: %s\n", conf->listen_addr, zmq_strerror (errno));
       return NULL;
     }
-  poll_socket (p, p->router, &p->router_poll);
-  if (p->zap)
-    poll_socket (p, p->zap, &p->zap_poll);
-  uv_prepare_init (conf->loop, &p->prepare);
-  p->prepare.data = p;
-  uv_idle_init (conf->loop, &p->idle);
-  uv_prepare_start (&p->prepare, on_prepare);
-  return p;
+  poll_socket (links, links->router, &links->router_poll);
+  if (links->zap)
+    poll_socket (links, links->zap, &links->zap_poll);
+  uv_prepare_init (conf->loop, &links->prepare);
+  links->prepare.data = links;
+  uv_idle_init (conf->loop, &links->idle);
+  uv_prepare_start (&links->prepare, on_prepare);
+  return links;
 }
 
 const char *
-links_addr (const struct links *p)
+links_addr (const struct links *links)
 {
-  return p->addr;
+  return links->addr;
 }
 
-/* Closes the connection of @l, if there is one, and connects @l to @addr. */
+/* Closes the connection of @link, if there is one, and connects @link to
+   @addr. */
 static void
-link_open (struct links *p, struct link *l, const char *addr)
+link_open (struct links *links, struct link *link, const char *addr)
 {
-  const struct links_conf *conf = &p->conf;
+  const struct links_conf *conf = &links->conf;
   char url[LINKS_ADDR_SIZE + 8];
 
-  if (l->socket)
-    zmq_close (l->socket);
-  snprintf (l->addr, sizeof l->addr, "%s", addr);
-  l->socket = zmq_socket (p->ctx, ZMQ_DEALER);
-  set_common_options (l->socket);
+  if (link->socket)
+    zmq_close (link->socket);
+  snprintf (link->addr, sizeof link->addr, "%s", addr);
+  link->socket = zmq_socket (links->ctx, ZMQ_DEALER);
+  set_common_options (link->socket);
   if (conf->public_key)
     {
-      zmq_setsockopt (l->socket, ZMQ_CURVE_SERVERKEY, conf->public_key,
+      zmq_setsockopt (link->socket, ZMQ_CURVE_SERVERKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->socket, ZMQ_CURVE_PUBLICKEY, conf->public_key,
+      zmq_setsockopt (link->socket, ZMQ_CURVE_PUBLICKEY, conf->public_key,
                       LINKS_KEY_SIZE);
-      zmq_setsockopt (l->socket, ZMQ_CURVE_SECRETKEY, conf->secret_key,
+      zmq_setsockopt (link->socket, ZMQ_CURVE_SECRETKEY, conf->secret_key,
                       LINKS_KEY_SIZE);
     }
   snprintf (url, sizeof url, "tcp://%s", addr);
-  zmq_connect (l->socket, url);
+  zmq_connect (link->socket, url);
 }
 
 /* Returns the link to peer @id at address @addr, and opens it if necessary. */
 static struct link *
-link_to (struct links *p, const char *id, const char *addr)
+link_to (struct links *links, const char *id, const char *addr)
 {
-  struct link *l;
+  struct link *link;
 
-  for (int i = 0; i < p->n_links; i++)
-    if (strcmp (p->links[i].id, id) == 0)
+  for (int i = 0; i < links->n_entries; i++)
+    if (strcmp (links->entries[i].id, id) == 0)
       {
-        if (strcmp (p->links[i].addr, addr) != 0)
-          link_open (p, &p->links[i], addr);
-        return &p->links[i];
+        if (strcmp (links->entries[i].addr, addr) != 0)
+          link_open (links, &links->entries[i], addr);
+        return &links->entries[i];
       }
-  if (p->n_links == LINKS_MAX)
+  if (links->n_entries == LINKS_MAX)
     {
       /* The oldest link is to an instance that was replaced long ago. */
-      zmq_close (p->links[0].socket);
-      memmove (p->links, p->links + 1, (LINKS_MAX - 1) * sizeof *l);
-      p->n_links--;
+      zmq_close (links->entries[0].socket);
+      memmove (links->entries, links->entries + 1,
+               (LINKS_MAX - 1) * sizeof *link);
+      links->n_entries--;
     }
-  l = &p->links[p->n_links++];
-  memset (l, 0, sizeof *l);
-  snprintf (l->id, sizeof l->id, "%s", id);
-  link_open (p, l, addr);
-  return l;
+  link = &links->entries[links->n_entries++];
+  memset (link, 0, sizeof *link);
+  snprintf (link->id, sizeof link->id, "%s", id);
+  link_open (links, link, addr);
+  return link;
 }
 
 void
-links_send (struct links *p, const char *to, const char *addr, const char *buf,
-            size_t len)
+links_send (struct links *links, const char *to, const char *addr,
+            const char *buf, size_t len)
 {
   /* With ZMQ_DONTWAIT, ZeroMQ drops the message if the peer's queue is full.
      The sender sends the message again if it gets no reply. */
   if (*addr)
-    zmq_send (link_to (p, to, addr)->socket, buf, len, ZMQ_DONTWAIT);
+    zmq_send (link_to (links, to, addr)->socket, buf, len, ZMQ_DONTWAIT);
 }
 
 void
-links_free (struct links *p)
+links_free (struct links *links)
 {
-  uv_poll_stop (&p->router_poll);
-  uv_prepare_stop (&p->prepare);
-  uv_idle_stop (&p->idle);
-  if (p->zap)
-    uv_poll_stop (&p->zap_poll);
-  for (int i = 0; i < p->n_links; i++)
-    zmq_close (p->links[i].socket);
-  zmq_close (p->router);
-  if (p->zap)
-    zmq_close (p->zap);
-  zmq_ctx_term (p->ctx);
-  free (p);
+  uv_poll_stop (&links->router_poll);
+  uv_prepare_stop (&links->prepare);
+  uv_idle_stop (&links->idle);
+  if (links->zap)
+    uv_poll_stop (&links->zap_poll);
+  for (int i = 0; i < links->n_entries; i++)
+    zmq_close (links->entries[i].socket);
+  zmq_close (links->router);
+  if (links->zap)
+    zmq_close (links->zap);
+  zmq_ctx_term (links->ctx);
+  free (links);
 }
--- a/net/links.h
+++ b/net/links.h
@@ -63,10 +63,10 @@
 struct links *links_new (const struct links_conf *conf);
 
 /**
- * links_addr() - Return: the address that @l listens on, as "ip:port"; owned
- * by @l.
+ * links_addr() - Return: the address that @links listens on, as "ip:port";
+ * owned by @links.
  */
-const char *links_addr (const struct links *l);
+const char *links_addr (const struct links *links);
 
 /**
  * links_send() - Send a message to a peer.
@@ -78,10 +78,10 @@
  * Delivery is not guaranteed: the message is dropped if the peer's queue is
  * full.
  */
-void links_send (struct links *l, const char *to, const char *addr,
+void links_send (struct links *links, const char *to, const char *addr,
                  const char *buf, size_t len);
 
 /** links_free() - Close all links.  Messages not sent yet are dropped. */
-void links_free (struct links *l);
+void links_free (struct links *links);
 
 #endif
