--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -49,7 +49,7 @@
 static int
 load_manifest (const char *path, char **text, size_t *len, struct conf *c)
 {
-  struct codec_err ce;
+  struct codec_err parse_err;
   int err;
 
   *text = read_file (path, len);
@@ -58,10 +58,10 @@
       fprintf (stderr, "citronctl: %s: cannot be read\n", path);
       return EXIT_UNREADABLE;
     }
-  err = conf_parse (*text, *len, c, &ce);
+  err = conf_parse (*text, *len, c, &parse_err);
   if (!err)
     return EXIT_DONE;
-  fprintf (stderr, "citronctl: %s: %s: %s\n", path, ce.path,
+  fprintf (stderr, "citronctl: %s: %s: %s\n", path, parse_err.path,
            clb_err_name (err));
   free (*text);
   *text = NULL;
@@ -118,25 +118,26 @@
   size_t len;
   char request_path[PATH_SIZE];
   char uuid[UUID_STR_LEN];
-  uuid_t u;
-  long base = opt->base_version;
+  uuid_t binary_uuid;
+  long base_version = opt->base_version;
   int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
   conf_free (&c);
-  if (base < 0 && (code = fetch_manifest (opt, &current)) == EXIT_DONE)
-    base = (long)json_integer_value (json_object_get (current, "version"));
+  if (base_version < 0 && (code = fetch_manifest (opt, &current)) == EXIT_DONE)
+    base_version
+        = (long)json_integer_value (json_object_get (current, "version"));
   json_decref (current);
   if (code)
     {
       free (text);
       return code;
     }
-  uuid_generate (u);
-  uuid_unparse (u, uuid);
+  uuid_generate (binary_uuid);
+  uuid_unparse (binary_uuid, uuid);
   snprintf (request_path, sizeof request_path, "/v1/config?base=%ld&change=%s",
-            base, opt->change_id ? opt->change_id : uuid);
+            base_version, opt->change_id ? opt->change_id : uuid);
   rpc (opt, "PUT", request_path, text, len, &a);
   code = rpc_exit_code (&a);
   if (code)
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -23,11 +23,11 @@
 on_body (char *data, size_t size, size_t n, void *arg)
 {
   struct answer *a = arg;
-  char *grown = realloc (a->body, a->body_len + size * n + 1);
+  char *new_body = realloc (a->body, a->body_len + size * n + 1);
 
-  if (!grown)
+  if (!new_body)
     return 0;
-  a->body = grown;
+  a->body = new_body;
   memcpy (a->body + a->body_len, data, size * n);
   a->body_len += size * n;
   a->body[a->body_len] = '\0';
@@ -81,7 +81,7 @@
 {
   struct curl_slist *headers = request_headers (opt);
   CURL *e = request_new (opt, method, server, server_len, path, headers);
-  long sent = 0;
+  long sent_bytes = 0;
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, a);
@@ -92,8 +92,8 @@
     }
   if (curl_easy_perform (e) == CURLE_OK)
     curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &a->status);
-  curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent);
-  a->request_sent = sent > 0;
+  curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent_bytes);
+  a->request_sent = sent_bytes > 0;
   curl_easy_cleanup (e);
   curl_slist_free_all (headers);
 }
@@ -162,36 +162,37 @@
 static size_t
 on_stream (char *data, size_t size, size_t n, void *arg)
 {
-  struct stream *st = arg;
+  struct stream *stream = arg;
   size_t len = size * n;
 
   for (size_t i = 0; i < len; i++)
     {
       if (data[i] == '\n')
         {
-          st->on_line (st->line, st->line_len);
-          st->line_len = 0;
+          stream->on_line (stream->line, stream->line_len);
+          stream->line_len = 0;
           continue;
         }
-      char *grown = realloc (st->line, st->line_len + 2);
-      if (!grown)
+      char *new_line = realloc (stream->line, stream->line_len + 2);
+      if (!new_line)
         return 0;
-      st->line = grown;
-      st->line[st->line_len++] = data[i];
+      stream->line = new_line;
+      stream->line[stream->line_len++] = data[i];
     }
   return len;
 }
 
 /* Creates a libcurl easy handle that receives GET @path of one server as the
-   stream @st.  @server has @len bytes and is not terminated. */
+   @stream.  @server has @len bytes and is not terminated. */
 static CURL *
 stream_open (const struct options *opt, const char *server, size_t len,
-             const char *path, struct curl_slist *headers, struct stream *st)
+             const char *path, struct curl_slist *headers,
+             struct stream *stream)
 {
   CURL *e = request_new (opt, "GET", server, len, path, headers);
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_stream);
-  curl_easy_setopt (e, CURLOPT_WRITEDATA, st);
+  curl_easy_setopt (e, CURLOPT_WRITEDATA, stream);
   return e;
 }
 
@@ -203,13 +204,13 @@
 {
   struct answer a = { .request_sent = true };
   CURLMsg *msg;
-  int running = 1;
+  int n_running = 1;
   int msgs_in_queue;
   int code = EXIT_NOT_RUN;
 
-  while (running)
+  while (n_running)
     {
-      curl_multi_perform (multi, &running);
+      curl_multi_perform (multi, &n_running);
       while ((msg = curl_multi_info_read (multi, &msgs_in_queue)))
         {
           curl_easy_getinfo (msg->easy_handle, CURLINFO_RESPONSE_CODE,
@@ -217,7 +218,7 @@
           if (a.status && code != EXIT_DONE)
             code = rpc_exit_code (&a);
         }
-      if (running)
+      if (n_running)
         curl_multi_poll (multi, NULL, 0, CONNECT_TIMEOUT_MS, NULL);
     }
   return code;
--- a/citronlbd/backend.c
+++ b/citronlbd/backend.c
@@ -27,10 +27,10 @@
 {
   struct pending_sync *p = arg;
   struct sync_rep reply;
-  struct codec_err err;
+  struct codec_err parse_err;
   bool valid = result == HTTPC_OK && status == 200
                && !codec_parse (&sync_rep_desc, body, len, CODEC_LENIENT,
-                                &reply, &err);
+                                &reply, &parse_err);
 
   node_sync (&p->d->node, now_ms (), p->worker, p->seq, valid ? &reply : NULL);
   if (valid)
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -53,9 +53,9 @@
   uv_signal_t signals[3];
   struct fleet fleet;
   /* HTTP client for the table service. */
-  struct httpc *store_http;
+  struct httpc *store_http_client;
   /* HTTP client for executors. */
-  struct httpc *exec_http;
+  struct httpc *exec_http_client;
   struct pf_store store;
   struct pf_orders orders;
   /* Links to the other instances. */
@@ -325,7 +325,7 @@
   const struct fsched_stats *s = &f->stats.fsched;
   char line[256];
   int64_t now = boottime_ms ();
-  int64_t cpu = cpu_ms ();
+  int64_t used_cpu_ms = cpu_ms ();
 
   if (now - d->load_logged_ms < LOAD_INTERVAL_MS)
     return;
@@ -333,14 +333,15 @@
       line, sizeof line,
       "event=load over_ms=%lld cpu_ms=%lld callers=%d leading=%d "
       "jobs=%d starts=%llu questions=%llu passes=%llu dropped_lines=%llu",
-      (long long)(now - d->load_logged_ms), (long long)(cpu - d->load_cpu_ms),
-      f->n_requests, f->leader.state == LEADER_LEADING,
-      f->fsched ? f->fsched->n_jobs : 0, (unsigned long long)s->starts,
-      (unsigned long long)s->queries, (unsigned long long)s->passes,
+      (long long)(now - d->load_logged_ms),
+      (long long)(used_cpu_ms - d->load_cpu_ms), f->n_requests,
+      f->leader.state == LEADER_LEADING, f->fsched ? f->fsched->n_jobs : 0,
+      (unsigned long long)s->starts, (unsigned long long)s->queries,
+      (unsigned long long)s->passes,
       (unsigned long long)logline_stats ()->dropped);
   log_line (line);
   d->load_logged_ms = now;
-  d->load_cpu_ms = cpu;
+  d->load_cpu_ms = used_cpu_ms;
 }
 
 static void
@@ -434,15 +435,16 @@
                               .on_message = on_message,
                               .on_received = on_received };
 
-  d->store_http = httpc_new (d->loop);
-  httpc_limit (d->store_http, STORE_CONNECTIONS_MAX,
+  d->store_http_client = httpc_new (d->loop);
+  httpc_limit (d->store_http_client, STORE_CONNECTIONS_MAX,
                STORE_IDLE_CONNECTIONS_MAX);
-  d->exec_http = httpc_new (d->loop);
-  httpc_limit (d->exec_http, EXEC_CONNECTIONS_MAX, EXEC_IDLE_CONNECTIONS_MAX);
-  d->store = (struct pf_store){ d->store_http, d->settings.store_addr, d,
-                                on_store_reply };
-  d->orders = (struct pf_orders){ d->exec_http, d->settings.advice_addr, d,
-                                  on_order_result };
+  d->exec_http_client = httpc_new (d->loop);
+  httpc_limit (d->exec_http_client, EXEC_CONNECTIONS_MAX,
+               EXEC_IDLE_CONNECTIONS_MAX);
+  d->store = (struct pf_store){ d->store_http_client, d->settings.store_addr,
+                                d, on_store_reply };
+  d->orders = (struct pf_orders){ d->exec_http_client, d->settings.advice_addr,
+                                  d, on_order_result };
   d->mesh_links = links_new (&links);
   d->caller_server = open_server (d, d->settings.callers_addr,
                                   on_caller_request, on_caller_disconnect);
--- a/citronlbd/peers.c
+++ b/citronlbd/peers.c
@@ -10,9 +10,9 @@
 {
   struct daemon *d = arg;
   struct pmsg m;
-  struct codec_err ce;
+  struct codec_err parse_err;
 
-  if (pmsg_unpack (buf, len, &m, &ce))
+  if (pmsg_unpack (buf, len, &m, &parse_err))
     {
       d->damaged_messages++;
       return;
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -43,7 +43,7 @@
   /* True once the head of the response has been sent to the caller. */
   bool head_sent;
   /* True once the caller has closed its connection. */
-  bool caller_gone;
+  bool caller_disconnected;
 };
 RB_HEAD (service_request_tree, service_request);
 
@@ -208,9 +208,9 @@
 watcher_send (struct caller_server *s, struct watcher *w, const char *line)
 {
   char missed_line[64];
-  size_t unsent = httpd_chunk (s->httpd, w->http_call, "", 0);
+  size_t unsent_bytes = httpd_chunk (s->httpd, w->http_call, "", 0);
 
-  if (unsent > WATCH_BUFFER_MAX)
+  if (unsent_bytes > WATCH_BUFFER_MAX)
     {
       w->n_missed++;
       return;
@@ -299,7 +299,7 @@
     return;
   if (sr && sr->exec_request_id)
     {
-      sr->caller_gone = true;
+      sr->caller_disconnected = true;
       httpc_abort (s->d->http_client, sr->exec_request_id);
       return;
     }
@@ -346,7 +346,7 @@
 {
   if (result == HTTPC_OK)
     return status >= 500 ? FORWARD_ERROR : FORWARD_OK;
-  if (sr->head_sent || sr->caller_gone)
+  if (sr->head_sent || sr->caller_disconnected)
     return FORWARD_ABORTED;
   return result == HTTPC_UNREACHED ? FORWARD_UNREACHED : FORWARD_FAILED;
 }
@@ -364,7 +364,7 @@
   if (sr->head_sent)
     httpd_end (s->httpd, sr->http_call, result == HTTPC_OK);
   node_forwarded (&s->d->node, now_ms (), sr->http_call, outcome);
-  if (sr->head_sent || sr->caller_gone)
+  if (sr->head_sent || sr->caller_disconnected)
     service_request_free (sr);
   process_outputs (s->d);
 }
--- a/net/httpc.c
+++ b/net/httpc.c
@@ -115,13 +115,13 @@
 {
   struct httpc *c = x->c;
   long status = 0;
-  long sent = 0;
+  long sent_bytes = 0;
   int result = HTTPC_OK;
 
   curl_easy_getinfo (x->easy, CURLINFO_RESPONSE_CODE, &status);
-  curl_easy_getinfo (x->easy, CURLINFO_REQUEST_SIZE, &sent);
+  curl_easy_getinfo (x->easy, CURLINFO_REQUEST_SIZE, &sent_bytes);
   if (code != CURLE_OK)
-    result = sent == 0 ? HTTPC_UNREACHED : HTTPC_FAILED;
+    result = sent_bytes == 0 ? HTTPC_UNREACHED : HTTPC_FAILED;
   else
     deliver_head (x);
   RB_REMOVE (xfer_tree, &c->xfers, x);
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -64,9 +64,9 @@
   uv_tcp_t listener;
   /* True while the server accepts connections. */
   bool listening;
-  h2o_globalconf_t global;
+  h2o_globalconf_t global_conf;
   h2o_context_t ctx;
-  h2o_accept_ctx_t accept;
+  h2o_accept_ctx_t accept_ctx;
   struct exchange_tree exchanges;
   size_t n_exchanges;
   /* Id of the last request; 0 before the first one. */
@@ -282,14 +282,14 @@
 httpd_chunk (struct httpd *d, uint64_t id, const char *data, size_t len)
 {
   struct exchange *x = exchange_find (d, id);
-  char *grown;
+  char *new_queued;
 
   if (!x || !x->streaming || x->ending)
     return 0;
-  grown = realloc (x->queued, x->queued_len + len + 1);
-  if (!grown)
+  new_queued = realloc (x->queued, x->queued_len + len + 1);
+  if (!new_queued)
     abort ();
-  x->queued = grown;
+  x->queued = new_queued;
   memcpy (x->queued + x->queued_len, data, len);
   x->queued_len += len;
   flush_stream (x);
@@ -369,7 +369,7 @@
       return;
     }
   uv_tcp_nodelay (conn, 1);
-  h2o_accept (&d->accept,
+  h2o_accept (&d->accept_ctx,
               h2o_uv_socket_create ((uv_stream_t *)conn, free_handle));
 }
 
@@ -445,9 +445,9 @@
     return -1;
   /* The TLS context is reference-counted, so open connections keep the old
      one. */
-  if (d->accept.ssl_ctx)
-    SSL_CTX_free (d->accept.ssl_ctx);
-  d->accept.ssl_ctx = ssl;
+  if (d->accept_ctx.ssl_ctx)
+    SSL_CTX_free (d->accept_ctx.ssl_ctx);
+  d->accept_ctx.ssl_ctx = ssl;
   return 0;
 }
 
@@ -463,19 +463,19 @@
     abort ();
   d->conf = *conf;
   RB_INIT (&d->exchanges);
-  h2o_config_init (&d->global);
-  d->global.max_request_entity_size = conf->max_body_bytes;
-  d->global.http1.req_timeout = REQUEST_TIMEOUT_MS;
-  d->global.http2.idle_timeout = IDLE_TIMEOUT_MS;
+  h2o_config_init (&d->global_conf);
+  d->global_conf.max_request_entity_size = conf->max_body_bytes;
+  d->global_conf.http1.req_timeout = REQUEST_TIMEOUT_MS;
+  d->global_conf.http2.idle_timeout = IDLE_TIMEOUT_MS;
   host = h2o_config_register_host (
-      &d->global, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
+      &d->global_conf, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
   path = h2o_config_register_path (host, "/", 0);
   handler = (struct handler *)h2o_create_handler (path, sizeof *handler);
   handler->super.on_req = on_h2o_request;
   handler->d = d;
-  h2o_context_init (&d->ctx, loop, &d->global);
-  d->accept.ctx = &d->ctx;
-  d->accept.hosts = d->global.hosts;
+  h2o_context_init (&d->ctx, loop, &d->global_conf);
+  d->accept_ctx.ctx = &d->ctx;
+  d->accept_ctx.hosts = d->global_conf.hosts;
   *err = conf->cert_file && httpd_reload (d) ? UV_EINVAL : listen_on (d, loop);
   return *err ? NULL : d;
 }
--- a/net/links.c
+++ b/net/links.c
@@ -163,7 +163,7 @@
 {
   zmq_msg_t msg;
   int more = 1;
-  int frame = 0;
+  int frame_index = 0;
 
   while (more)
     {
@@ -174,10 +174,10 @@
           return false;
         }
       more = zmq_msg_more (&msg);
-      if (frame == 1)
+      if (frame_index == 1)
         links->conf.on_message (links->conf.arg, zmq_msg_data (&msg),
                                 zmq_msg_size (&msg));
-      frame++;
+      frame_index++;
       zmq_msg_close (&msg);
     }
   return true;
