--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -182,8 +182,8 @@
   return len;
 }
 
-/* Creates a libcurl easy handle that receives GET @path of one server as the
-   @stream.  @server has @len bytes and is not terminated. */
+/* Creates a libcurl easy handle that sends GET @path to one server and passes
+   the response to @stream.  @server has @len bytes and is not terminated. */
 static CURL *
 stream_open (const struct options *opt, const char *server, size_t len,
              const char *path, struct curl_slist *headers,
