--- a/citronctl/citronctl.h
+++ b/citronctl/citronctl.h
@@ -1,6 +1,7 @@
 /**
- * DOC: The command-line tool.  Most commands send one HTTP request to an entry
- * instance and print the answer.
+ * DOC: This header declares the parts of citronctl, the command-line tool.
+ * Most commands send one HTTP request to an entry instance and print the
+ * answer.
  */
 #ifndef CITRONCTL_H
 #define CITRONCTL_H
@@ -66,7 +67,7 @@
   size_t body_len;
 };
 
-/* rpc.c: HTTP requests */
+/* rpc.c sends HTTP requests to entry instances. */
 
 /**
  * rpc() - Send a request to the first server that can be reached.
@@ -94,8 +95,8 @@
 /** rpc_exit_code() - Return: the enum exit_code for a response. */
 int rpc_exit_code (const struct answer *a);
 
-/* manifest.c: commands about the manifest and its keys.  Each cmd_ function
-   returns an enum exit_code; its @path is the file of a manifest. */
+/* manifest.c contains the commands about the manifest and its keys.  Each cmd_
+   function returns an enum exit_code; its @path is the file of a manifest. */
 
 /**
  * read_file() - Read a whole file.
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -1,4 +1,6 @@
-/* Commands about the manifest, its keys and the keys of peer links. */
+/* This file contains the commands that check, apply, compare and show the
+   manifest, and those that make keys for the manifest and for the links
+   between instances. */
 #include "citronctl.h"
 
 #include <openssl/rand.h>
--- a/citronlbd/citronlbd.h
+++ b/citronlbd/citronlbd.h
@@ -1,8 +1,8 @@
 /**
- * DOC: The daemon's modules.  Each module owns its sockets and its state and
- * passes input to struct node, which does no input or output of its own.  The
- * node queues outputs, and process_outputs() passes each output to the module
- * that sends it.
+ * DOC: This header declares the modules of the daemon.  Each module owns its
+ * sockets and its state and passes input to struct node, which does no input
+ * or output of its own.  The node queues outputs, and process_outputs() passes
+ * each output to the module that sends it.
  */
 #ifndef CITRONLBD_H
 #define CITRONLBD_H
@@ -18,7 +18,8 @@
 {
   /* Size of a key in Z85 encoding, with the terminating NUL. */
   KEY_Z85_SIZE = LINKS_KEY_SIZE,
-  /* Maximum number of public keys that may connect to an instance. */
+  /* Maximum number of public keys that peers may use to connect to an
+     instance. */
   PERMITTED_KEYS_MAX = 8,
 };
 
@@ -27,9 +28,10 @@
 {
   /* Settings of the node. */
   struct settings node;
-  /* Address to listen on for callers, as "ip:port". */
+  /* Address on which the daemon listens for callers, as "ip:port". */
   char listen_addr[CLB_ADDR_MAX];
-  /* Address to listen on for the links between instances, as "ip:port". */
+  /* Address on which the daemon listens for links from other instances, as
+     "ip:port". */
   char peer_listen_addr[CLB_ADDR_MAX];
   /* Address of the platform's service, as "ip:port". */
   char platform_addr[CLB_ADDR_MAX];
@@ -40,9 +42,9 @@
   /* True if the links between instances are in clear text; the keys for the
      links are then empty. */
   bool insecure_peers;
-  /* Public key for the links between instances. */
+  /* Public key that this instance uses on the links between instances. */
   char peer_public_key[KEY_Z85_SIZE];
-  /* Secret key for the links between instances. */
+  /* Secret key that this instance uses on the links between instances. */
   char peer_secret_key[KEY_Z85_SIZE];
   /* Public keys of the instances that may connect to this one. */
   char permitted_peer_keys[PERMITTED_KEYS_MAX][KEY_Z85_SIZE];
@@ -77,13 +79,14 @@
   uv_signal_t sigint;
   uv_signal_t sighup;
   struct node node;
-  /* Client for the platform, workers and executors. */
+  /* HTTP client that sends requests to the platform's service, workers and
+     executors. */
   struct httpc *http_client;
   /* Links to the other entry instances. */
   struct links *peer_links;
   /* Number of messages of peers that could not be decoded and were ignored. */
   uint64_t damaged_messages;
-  /* HTTP server for callers. */
+  /* HTTP server that receives the requests of callers. */
   struct caller_server *caller_server;
   /* True while process_outputs() is running. */
   bool processing_outputs;
@@ -102,7 +105,7 @@
  */
 void process_outputs (struct daemon *d);
 
-/* peers.c: messages between entry instances */
+/* peers.c sends and receives the messages between entry instances. */
 
 /**
  * peers_new() - Open the links and listen for peers.
@@ -120,8 +123,8 @@
 void peers_send (struct daemon *d, const char *to, const char *addr,
                  const struct pmsg *m);
 
-/* platform.c: operations of the platform's table service, object store and
-   instance list */
+/* platform.c sends operations to the platform's table service, object store
+   and instance list. */
 
 /**
  * platform_send() - Send a store operation to the platform's service.
@@ -132,7 +135,7 @@
 void platform_send (struct daemon *d, uint64_t token,
                     const struct store_op *op);
 
-/* backend.c: syncs with workers and executors */
+/* backend.c sends syncs to workers and executors. */
 
 /**
  * backend_sync() - Send a sync to a worker or executor.
@@ -144,8 +147,8 @@
 void backend_sync (struct daemon *d, const char *worker, const char *addr,
                    const struct sync_req *req);
 
-/* serve.c: HTTP server for requests of callers; it forwards service requests
-   to executors */
+/* serve.c receives the requests of callers over HTTP and forwards service
+   requests to executors. */
 
 /**
  * caller_server_new() - Create the HTTP server for callers.
@@ -183,7 +186,7 @@
  */
 bool caller_server_stop (struct caller_server *s);
 
-/* log.c: log lines on standard error */
+/* log.c writes log lines to standard error. */
 
 /** log_open() - Open the log; without it, log_info() writes nothing. */
 void log_open (void);
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -14,17 +14,17 @@
 
 enum
 {
-  /* Interval of fleet_tick() on the leader. */
+  /* Interval at which the leader calls fleet_tick(). */
   TICK_LEADER_MS = 10,
-  /* Interval of fleet_tick() on the other instances. */
+  /* Interval at which the other instances call fleet_tick(). */
   TICK_FOLLOWER_MS = 25,
-  /* Maximum number of connections to one executor, for a poll for ended tasks
-     and for starts of tasks. */
+  /* Maximum number of connections to one executor.  The daemon uses them to
+     poll for ended tasks and to start tasks. */
   EXEC_CONNECTIONS_MAX = 4,
   /* Maximum number of idle connections kept open, over all executors. */
   EXEC_IDLE_CONNECTIONS_MAX = 1500,
-  /* Maximum number of connections to the table service, for three feeds, the
-     journal and the writes of callers. */
+  /* Maximum number of connections to the table service.  Three feeds, the
+     journal and the writes of callers share them. */
   STORE_CONNECTIONS_MAX = 24,
   /* Maximum number of idle connections to the table service kept open. */
   STORE_IDLE_CONNECTIONS_MAX = 32,
@@ -37,7 +37,7 @@
   /* Time between the exit of the process and the time at which the platform
      would kill it.  The process then exits even if requests are pending. */
   KILL_MARGIN_MS = 500,
-  /* Interval of the log lines about the load. */
+  /* Interval at which the load of the instance is logged. */
   LOAD_INTERVAL_MS = 1000,
 };
 
@@ -52,19 +52,20 @@
   uv_timer_t timer;
   uv_signal_t signals[3];
   struct fleet fleet;
-  /* HTTP client for the table service. */
+  /* HTTP client that sends requests to the table service. */
   struct httpc *store_http_client;
-  /* HTTP client for executors. */
+  /* HTTP client that sends requests to executors. */
   struct httpc *exec_http_client;
   struct pf_store store;
   struct pf_orders orders;
   /* Links to the other instances. */
-  struct links *mesh_links;
-  /* HTTP server for the requests of callers. */
+  struct links *peer_links;
+  /* HTTP server that receives the requests of callers. */
   struct httpd *caller_server;
-  /* HTTP server for the platform's readiness checks. */
+  /* HTTP server that answers the platform's readiness checks. */
   struct httpd *readiness_server;
-  /* HTTP server for metrics; NULL if the settings have no address for it. */
+  /* HTTP server that serves the metrics; NULL if the settings have no
+     metrics address. */
   struct httpd *metrics_server;
   /* True while process_outputs() is running. */
   bool processing_outputs;
@@ -114,7 +115,7 @@
 
   if (mesh_pack (m, &buf, &len))
     return;
-  links_send (d->mesh_links, addr, addr, buf, len);
+  links_send (d->peer_links, addr, addr, buf, len);
   free (buf);
 }
 
@@ -156,8 +157,9 @@
 {
   struct out *o;
 
-  /* Carrying out an output may call this function again; the outer call then
-     carries out the new outputs. */
+  /* execute_output() may call process_outputs() again.  The nested call
+     returns here, and the loop of the outer call carries out the new outputs.
+   */
   if (d->processing_outputs)
     return;
   d->processing_outputs = true;
@@ -445,7 +447,7 @@
                                 d, on_store_reply };
   d->orders = (struct pf_orders){ d->exec_http_client, d->settings.advice_addr,
                                   d, on_order_result };
-  d->mesh_links = links_new (&links);
+  d->peer_links = links_new (&links);
   d->caller_server = open_server (d, d->settings.callers_addr,
                                   on_caller_request, on_caller_disconnect);
   d->readiness_server = open_server (d, d->settings.ready_addr,
@@ -453,7 +455,7 @@
   if (*d->settings.metrics_addr)
     d->metrics_server = open_server (d, d->settings.metrics_addr,
                                      on_metrics_request, ignore_disconnect);
-  return d->mesh_links && d->caller_server && d->readiness_server
+  return d->peer_links && d->caller_server && d->readiness_server
          && (d->metrics_server || !*d->settings.metrics_addr);
 }
 
@@ -487,6 +489,6 @@
   log_line ("event=stopped");
   logline_flush ();
   fleet_fini (&d.fleet);
-  links_free (d.mesh_links);
+  links_free (d.peer_links);
   return EX_OK;
 }
--- a/citronlbd/fleetd.h
+++ b/citronlbd/fleetd.h
@@ -1,6 +1,8 @@
 /**
- * DOC: The daemon on the fleet's platform: sockets, timers and signals around
- * struct fleet, which does no input or output of its own.
+ * DOC: Runs the daemon on the fleet's platform.  This module owns the sockets,
+ * timers and signal handlers.  It passes input to struct fleet, which does no
+ * input or output of its own, and carries out the outputs that struct fleet
+ * queues.
  */
 #ifndef FLEETD_H
 #define FLEETD_H
--- a/citronlbd/logline.h
+++ b/citronlbd/logline.h
@@ -1,7 +1,7 @@
 /**
- * DOC: Structured log lines on standard output.  Writing never blocks: a line
- * that does not fit in the buffer or exceeds the maximum rate is dropped and
- * counted.
+ * DOC: Writes structured log lines to standard output.  Writing never blocks:
+ * a line that does not fit in the buffer or exceeds the maximum rate is
+ * dropped and counted.
  */
 #ifndef LOGLINE_H
 #define LOGLINE_H
@@ -17,7 +17,7 @@
   LOGLINE_BUFFER_SIZE = 256 << 10,
 };
 
-/** struct logline_stats - numbers of lines since the start of the process */
+/** struct logline_stats - counts of log lines since the process started */
 struct logline_stats
 {
   /* Number of lines that were added to the buffer. */
@@ -47,8 +47,8 @@
 void logline_flush (void);
 
 /**
- * logline_stats() - Return: the numbers of lines; the pointer is valid until
- * the process exits.
+ * logline_stats() - Return: the counts of log lines since the process started;
+ * the pointer is valid until the process exits.
  */
 const struct logline_stats *logline_stats (void);
 
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -13,10 +13,11 @@
 
 enum
 {
-  /* Interval of node_tick() while journal records are being written or wait to
-     be written. */
+  /* Interval at which node_tick() is called while journal records are being
+     written or wait to be written. */
   TICK_BUSY_MS = 2,
-  /* Interval of node_tick() while there are no such journal records. */
+  /* Interval at which node_tick() is called while there are no such journal
+     records. */
   TICK_IDLE_MS = 20,
   /* Time after the stop of the node for which the daemon still accepts
      connections, for callers that use an old list of instances. */
@@ -69,8 +70,9 @@
 {
   struct out *o;
 
-  /* Carrying out an output may call this function again; the outer call then
-     carries out the new outputs. */
+  /* execute_output() may call process_outputs() again.  The nested call
+     returns here, and the loop of the outer call carries out the new outputs.
+   */
   if (d->processing_outputs)
     return;
   d->processing_outputs = true;
@@ -169,8 +171,8 @@
   rename (temp_path, d->opt.addr_file);
 }
 
-/* Returns the number of this start of the process: the wall clock in
-   milliseconds. */
+/* Returns the boot number of this process: its start time by the wall clock,
+   in milliseconds since the Unix epoch. */
 static int64_t
 boot_number (void)
 {
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -1,7 +1,7 @@
 /*
- * HTTP server for callers.  It passes the requests of callers to the node,
- * forwards service requests to executors, and streams the decisions of the
- * scheduler to watchers.
+ * Runs the HTTP server that receives the requests of callers.  It passes the
+ * requests to the node, forwards service requests to executors, and streams
+ * the decisions of the scheduler to watchers.
  */
 #include "citronlbd.h"
 
@@ -140,7 +140,7 @@
   return strcmp (name, "DELETE") == 0 ? METHOD_DELETE : METHOD_OTHER;
 }
 
-/* Watchers of decisions. */
+/* The following functions send decisions of the scheduler to watchers. */
 
 /* Sets task_id of @w to the id in the query of @path, if there is one. */
 static void
@@ -262,7 +262,7 @@
   return false;
 }
 
-/* Requests of callers. */
+/* The following functions receive the requests of callers. */
 
 static void
 on_request (void *arg, const struct httpd_req *rq)
@@ -319,7 +319,7 @@
     httpc_resume (s->d->http_client, sr->exec_request_id);
 }
 
-/* Requests to executors. */
+/* The following functions forward service requests to executors. */
 
 static void
 on_head (void *arg, int status, const char *content_type)
--- a/net/httpc.h
+++ b/net/httpc.h
@@ -1,6 +1,7 @@
 /**
- * DOC: HTTP client of the daemon: libcurl's multi interface driven by a libuv
- * loop.  Requests run concurrently; their results arrive through callbacks.
+ * DOC: This module is the daemon's HTTP client.  A libuv loop drives libcurl's
+ * multi interface.  Requests run concurrently; their results arrive through
+ * callbacks.
  */
 #ifndef HTTPC_H
 #define HTTPC_H
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -12,7 +12,8 @@
 {
   /* Maximum number of connections that wait to be accepted. */
   LISTEN_BACKLOG = 512,
-  /* Time that a client has to send the head and body of a request. */
+  /* Maximum time that a client may take to send the head and body of a
+     request. */
   REQUEST_TIMEOUT_MS = 10000,
   /* Time after which an HTTP/2 connection without a request is closed. */
   IDLE_TIMEOUT_MS = 60000,
@@ -30,7 +31,7 @@
   h2o_req_t *req;
   h2o_generator_t gen;
   uint64_t id;
-  /* Memory of the strings in struct httpd_req. */
+  /* Block of memory that contains the strings of struct httpd_req. */
   char *strings;
   /* Bytes of the response that wait for the current h2o_send() to end. */
   char *queued;
@@ -342,7 +343,7 @@
   httpd_end (d, id, true);
 }
 
-/* Listening for connections, and TLS. */
+/* The following functions accept connections and configure TLS. */
 
 static void
 free_handle (uv_handle_t *h)
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -1,6 +1,6 @@
 /**
- * DOC: HTTP server of the daemon and of the test programs, on libh2o and a
- * libuv loop.  It speaks HTTP/1.1 and, under TLS, HTTP/2.
+ * DOC: This module is the HTTP server of the daemon and of the test programs.
+ * It uses libh2o and a libuv loop.  It speaks HTTP/1.1 and, under TLS, HTTP/2.
  *
  * Each request has an id.  A response is sent whole with httpd_answer(), or
  * piece by piece with httpd_begin(), httpd_chunk() and httpd_end().  These
@@ -41,7 +41,7 @@
   /* Body of the request, not terminated; may be NULL if @body_len is 0. */
   const char *body;
   size_t body_len;
-  /* Data of the server's implementation. */
+  /* Pointer that only the implementation of the server uses. */
   void *impl;
 };
 
--- a/net/links.c
+++ b/net/links.c
@@ -128,7 +128,7 @@
 /* Receives one ZAP request and replies to it.  Returns false if none is
    queued. */
 static bool
-zap_handle_one (struct links *links)
+zap_handle_request (struct links *links)
 {
   zmq_msg_t frames[ZAP_N_FRAMES];
   int n = 0;
@@ -159,7 +159,7 @@
    of two frames: the sender's routing id and the body.  Returns false if no
    message is queued. */
 static bool
-receive_one (struct links *links)
+receive_message (struct links *links)
 {
   zmq_msg_t msg;
   int more = 1;
@@ -194,9 +194,9 @@
 {
   int n = 0;
 
-  while (links->zap && zap_handle_one (links))
+  while (links->zap && zap_handle_request (links))
     continue;
-  while (n < RECEIVE_BATCH_MAX && receive_one (links))
+  while (n < RECEIVE_BATCH_MAX && receive_message (links))
     n++;
   if (n == RECEIVE_BATCH_MAX)
     uv_idle_start (&links->idle, on_idle);
--- a/net/links.h
+++ b/net/links.h
@@ -1,7 +1,8 @@
 /**
- * DOC: Links between instances, over ZeroMQ, with CURVE encryption if keys are
- * given.  One ROUTER socket receives from all peers; one DEALER socket per
- * peer sends.  ZeroMQ's heartbeats detect a dead link and reconnect it.
+ * DOC: This module sends and receives messages between instances over ZeroMQ.
+ * The links are encrypted with CURVE if keys are given.  One ROUTER socket
+ * receives from all peers; one DEALER socket per peer sends.  ZeroMQ's
+ * heartbeats detect a dead link and reconnect it.
  */
 #ifndef LINKS_H
 #define LINKS_H
