--- a/citronctl/main.c
+++ b/citronctl/main.c
@@ -1,4 +1,8 @@
-/* citronctl - drive and watch citronlb from the command line. */
+/*
+ * citronctl - control and observe citronlb from the command line.  This file
+ * parses the options and contains the commands other than those about the
+ * manifest.
+ */
 #include "citronctl.h"
 
 #include <argp.h>
@@ -9,11 +13,17 @@
 
 enum
 {
-  WAIT_MS = 60000, /* of one long wait; repeated until the task ends */
+  /* Maximum time that one request of the wait command waits for the task to
+     end.  The command repeats the request until the task has ended. */
+  WAIT_REQUEST_MS = 60000,
+  /* Size of a buffer for a request's path with its query. */
   PATH_SIZE = 256,
+  /* Maximum number of words that are not options: the command and its
+     arguments. */
   ARGS_MAX = 3,
 };
 
+/* enum opt_key - argp keys of the options without a short form */
 enum opt_key
 {
   OPT_JSON = 0x100,
@@ -23,18 +33,21 @@
   OPT_ID,
 };
 
+/* struct command_line - the parsed command line */
 struct command_line
 {
   struct options opt;
+  /* The command, followed by its arguments. */
   const char *args[ARGS_MAX];
   int n_args;
 };
 
 static const struct argp_option argp_options[] = {
-  { "server", 's', "URL,...", 0, "Entry instances, tried in turn", 0 },
+  { "server", 's', "URL,...", 0, "URLs of entry instances, tried in turn", 0 },
   { "key", 'k', "KEY", 0, "Key to present", 0 },
-  { "json", OPT_JSON, NULL, 0, "Answers as JSON", 0 },
-  { "cacert", OPT_CACERT, "FILE", 0, "Certificates to trust, PEM", 0 },
+  { "json", OPT_JSON, NULL, 0, "Print answers as JSON", 0 },
+  { "cacert", OPT_CACERT, "FILE", 0, "Certificates to trust, in PEM format",
+    0 },
   { "base", OPT_BASE, "VERSION", 0, "apply: version it was made from", 0 },
   { "change", OPT_CHANGE, "ID", 0, "apply: id of the change", 0 },
   { "id", OPT_ID, "ID", 0, "watch: only this task", 0 },
@@ -62,7 +75,7 @@
       cl->opt.key = arg;
       break;
     case OPT_JSON:
-      cl->opt.json = true;
+      cl->opt.print_json = true;
       break;
     case OPT_CACERT:
       cl->opt.cacert = arg;
@@ -76,7 +89,7 @@
     case OPT_BASE:
       cl->opt.base_version = strtol (arg, &end, 10);
       if (*end || cl->opt.base_version < 0)
-        argp_error (state, "--base: '%s' is no version", arg);
+        argp_error (state, "--base: '%s' is not a version", arg);
       break;
     case ARGP_KEY_ARG:
       if (cl->n_args == ARGS_MAX)
@@ -93,42 +106,47 @@
   return 0;
 }
 
+/* Returns the string in member @field of a JSON object; "" if there is none.
+ */
 static const char *
-text_of (json_t *obj, const char *field)
+string_field (json_t *obj, const char *field)
 {
   const char *text = json_string_value (json_object_get (obj, field));
 
   return text ? text : "";
 }
 
-/* Prints an answer in a sentence, or as it came.  An exit code. */
+/* Prints an answer in words.  If --json is given or the answer's body is not
+   JSON, prints the body unchanged.  Returns the exit code for the answer. */
 static int
 print_answer (const struct options *opt, const struct answer *a)
 {
   int code = rpc_exit_code (a);
-  json_auto_t *json = a->body ? json_loadb (a->body, a->len, 0, NULL) : NULL;
+  json_auto_t *json
+      = a->body ? json_loadb (a->body, a->body_len, 0, NULL) : NULL;
 
   if (a->status == 0)
     fprintf (stderr, "citronctl: no server reached (%s)\n",
-             a->sent ? "outcome unknown" : "not run");
-  else if (opt->json || !json)
+             a->request_sent ? "outcome unknown" : "not run");
+  else if (opt->print_json || !json)
     printf ("%s\n", a->body ? a->body : "");
   else if (json_object_get (json, "error"))
     {
-      long long retry
+      long long retry_ms
           = json_integer_value (json_object_get (json, "retry_after_ms"));
-      fprintf (stderr, "citronctl: %s (%s) %s", text_of (json, "error"),
-               text_of (json, "outcome"), text_of (json, "field"));
-      if (retry)
-        fprintf (stderr, "; come back in %lld ms", retry);
+      fprintf (stderr, "citronctl: %s (%s) %s", string_field (json, "error"),
+               string_field (json, "outcome"), string_field (json, "field"));
+      if (retry_ms)
+        fprintf (stderr, "; retry after %lld ms", retry_ms);
       fprintf (stderr, "\n");
     }
   else
-    printf ("%s %s: %s\n", text_of (json, "id"), text_of (json, "state"),
-            text_of (json, "text"));
+    printf ("%s %s: %s\n", string_field (json, "id"),
+            string_field (json, "state"), string_field (json, "text"));
   return code;
 }
 
+/* Submits the task or gang that is described in file @path. */
 static int
 cmd_submit (const struct options *opt, const char *path)
 {
@@ -140,7 +158,7 @@
   if (!text)
     {
       fprintf (stderr, "citronctl: %s: cannot be read\n", path);
-      return EXIT_NO_READ;
+      return EXIT_UNREADABLE;
     }
   rpc (opt, "POST", "/v1/tasks", text, len, &a);
   code = print_answer (opt, &a);
@@ -149,8 +167,10 @@
   return code;
 }
 
+/* Sends a request with HTTP method @method about task @id and prints the
+   answer. */
 static int
-cmd_about (const struct options *opt, const char *method, const char *id)
+cmd_task (const struct options *opt, const char *method, const char *id)
 {
   struct answer a;
   char path[PATH_SIZE];
@@ -163,6 +183,8 @@
   return code;
 }
 
+/* Waits until task @id has ended and prints its state.  Returns EXIT_DONE if
+   the task has succeeded. */
 static int
 cmd_wait (const struct options *opt, const char *id)
 {
@@ -171,16 +193,17 @@
   json_t *json;
   int code;
   bool ended;
-  bool good;
+  bool succeeded;
 
-  snprintf (path, sizeof path, "/v1/tasks/%.100s?wait_ms=%d", id, WAIT_MS);
+  snprintf (path, sizeof path, "/v1/tasks/%.100s?wait_ms=%d", id,
+            WAIT_REQUEST_MS);
   do
     {
       rpc (opt, "GET", path, NULL, 0, &a);
-      json = a.body ? json_loadb (a.body, a.len, 0, NULL) : NULL;
-      const char *state = text_of (json, "state");
-      good = strcmp (state, "done") == 0;
-      ended = good || strcmp (state, "failed") == 0
+      json = a.body ? json_loadb (a.body, a.body_len, 0, NULL) : NULL;
+      const char *state = string_field (json, "state");
+      succeeded = strcmp (state, "done") == 0;
+      ended = succeeded || strcmp (state, "failed") == 0
               || strcmp (state, "cancelled") == 0
               || strcmp (state, "unknown") == 0;
       code = rpc_exit_code (&a);
@@ -190,24 +213,27 @@
       rpc_free (&a);
     }
   while (!ended && code == EXIT_DONE);
-  return code ? code : good ? EXIT_DONE : EXIT_TASK_FAILED;
+  return code ? code : succeeded ? EXIT_DONE : EXIT_TASK_FAILED;
 }
 
+/* Prints one decision of the scheduler. */
 static void
 print_event (json_t *e)
 {
-  const char *where = text_of (e, "where");
-  long long seen = json_integer_value (json_object_get (e, "looked_at"));
+  const char *where = string_field (e, "where");
+  long long n_considered
+      = json_integer_value (json_object_get (e, "looked_at"));
 
   printf ("%9.3f  %-14s %s%s%s: %s",
           (double)json_integer_value (json_object_get (e, "ms")) / 1000.0,
-          text_of (e, "reason"), text_of (e, "id"), *where ? " on " : "",
-          where, text_of (e, "text"));
-  if (seen)
-    printf (" (of %lld)", seen);
+          string_field (e, "reason"), string_field (e, "id"),
+          *where ? " on " : "", where, string_field (e, "text"));
+  if (n_considered)
+    printf (" (of %lld)", n_considered);
   printf ("\n");
 }
 
+/* Prints the decisions that the scheduler has made about task @id. */
 static int
 cmd_why (const struct options *opt, const char *id)
 {
@@ -221,9 +247,9 @@
   snprintf (path, sizeof path, "/v1/why/%.100s", id);
   rpc (opt, "GET", path, NULL, 0, &a);
   code = print_answer (opt, &a);
-  if (code == EXIT_DONE && !opt->json)
+  if (code == EXIT_DONE && !opt->print_json)
     {
-      json = json_loadb (a.body, a.len, 0, NULL);
+      json = json_loadb (a.body, a.body_len, 0, NULL);
       json_array_foreach (json_object_get (json, "history"), i, e)
         print_event (e);
       json_decref (json);
@@ -232,8 +258,11 @@
   return code;
 }
 
+/* Prints one line of the response to a watch request: a decision, or the
+   number of decisions that were not sent.  An empty line marks the start of
+   the response. */
 static void
-print_line (const char *text, size_t len)
+print_watch_line (const char *text, size_t len)
 {
   json_t *json = len ? json_loadb (text, len, 0, NULL) : NULL;
 
@@ -252,8 +281,9 @@
   json_decref (json);
 }
 
+/* Prints one line of the response to a watch request unchanged. */
 static void
-print_raw (const char *text, size_t len)
+print_raw_line (const char *text, size_t len)
 {
   if (!len)
     return;
@@ -261,6 +291,7 @@
   fflush (stdout);
 }
 
+/* Prints decisions of all servers as they are made. */
 static int
 cmd_watch (const struct options *opt)
 {
@@ -268,11 +299,13 @@
 
   if (opt->watch_id)
     snprintf (path, sizeof path, "/v1/watch?id=%.100s", opt->watch_id);
-  return rpc_stream (opt, path, opt->json ? print_raw : print_line);
+  return rpc_stream (opt, path,
+                     opt->print_json ? print_raw_line : print_watch_line);
 }
 
+/* Sends GET @path and prints the body of the answer unchanged. */
 static int
-cmd_raw (const struct options *opt, const char *path)
+get_and_print (const struct options *opt, const char *path)
 {
   struct answer a;
   int code;
@@ -287,8 +320,9 @@
   return code;
 }
 
+/* Prints the resources in object @r as cores/memory/accelerators/slots. */
 static void
-print_res (const char *name, json_t *r)
+print_resources (const char *name, json_t *r)
 {
   printf (" %s %lld/%lldMB/%lld/%lld", name,
           (long long)json_integer_value (json_object_get (r, "cores")),
@@ -297,6 +331,7 @@
           (long long)json_integer_value (json_object_get (r, "slots")));
 }
 
+/* Prints the state of the failure domain's scheduler. */
 static void
 print_sched (json_t *s)
 {
@@ -308,26 +343,27 @@
           (long long)json_integer_value (json_object_get (s, "epoch")),
           (long long)json_integer_value (json_object_get (s, "journal_row")),
           json_is_true (json_object_get (s, "may_start")) ? ""
-                                                          : ", lease lapsed");
+                                                          : ", lease expired");
   printf ("tasks:");
   json_object_foreach (json_object_get (s, "tasks"), key, item)
     printf (" %s %lld", key, (long long)json_integer_value (item));
   printf ("\nteams (cores/memory/accelerators/slots):\n");
   json_array_foreach (json_object_get (s, "teams"), i, item)
     {
-      printf ("  %-16s", text_of (item, "name"));
-      print_res ("used", json_object_get (item, "used"));
-      print_res ("granted", json_object_get (item, "granted"));
-      print_res ("limit", json_object_get (item, "limit"));
+      printf ("  %-16s", string_field (item, "name"));
+      print_resources ("used", json_object_get (item, "used"));
+      print_resources ("granted", json_object_get (item, "granted"));
+      print_resources ("limit", json_object_get (item, "limit"));
       printf (" waiting %lld\n", (long long)json_integer_value (
                                      json_object_get (item, "waiting")));
     }
   printf ("backend servers:\n");
   json_array_foreach (json_object_get (s, "workers"), i, item)
     {
-      printf ("  %-16s %-9s", text_of (item, "id"), text_of (item, "state"));
-      print_res ("used", json_object_get (item, "used"));
-      print_res ("of", json_object_get (item, "room"));
+      printf ("  %-16s %-9s", string_field (item, "id"),
+              string_field (item, "state"));
+      print_resources ("used", json_object_get (item, "used"));
+      print_resources ("of", json_object_get (item, "room"));
       printf (
           "%s%s\n",
           json_is_true (json_object_get (item, "leaving")) ? " leaving" : "",
@@ -336,6 +372,7 @@
     }
 }
 
+/* Prints the state of the fleet as known to the instance. */
 static int
 cmd_status (const struct options *opt)
 {
@@ -345,11 +382,11 @@
   size_t i;
   int code;
 
-  if (opt->json)
-    return cmd_raw (opt, "/v1/status");
+  if (opt->print_json)
+    return get_and_print (opt, "/v1/status");
   rpc (opt, "GET", "/v1/status", NULL, 0, &a);
   code = rpc_exit_code (&a);
-  json = code ? NULL : json_loadb (a.body, a.len, 0, NULL);
+  json = code ? NULL : json_loadb (a.body, a.body_len, 0, NULL);
   if (!json)
     {
       print_answer (opt, &a);
@@ -357,18 +394,18 @@
       return code;
     }
   printf (
-      "%s in %s: config %lld (proved %lld ms ago), holder %s\n",
-      text_of (json, "id"), text_of (json, "domain"),
+      "%s in %s: config %lld (confirmed current %lld ms ago), holder %s\n",
+      string_field (json, "id"), string_field (json, "domain"),
       (long long)json_integer_value (json_object_get (json, "config_version")),
       (long long)json_integer_value (json_object_get (json, "config_age_ms")),
-      text_of (json, "holder"));
+      string_field (json, "holder"));
   json_array_foreach (json_object_get (json, "peers"), i, p)
     printf (
-        "  peer %s in %s: config %lld%s%s\n", text_of (p, "id"),
-        text_of (p, "domain"),
+        "  peer %s in %s: config %lld%s%s\n", string_field (p, "id"),
+        string_field (p, "domain"),
         (long long)json_integer_value (json_object_get (p, "config_version")),
         json_is_true (json_object_get (p, "holder")) ? ", holder" : "",
-        json_is_true (json_object_get (p, "alive")) ? "" : ", silent");
+        json_is_true (json_object_get (p, "alive")) ? "" : ", unreachable");
   if (json_object_get (json, "scheduler"))
     print_sched (json_object_get (json, "scheduler"));
   json_decref (json);
@@ -376,14 +413,15 @@
   return code;
 }
 
-/* struct command - a verb and how many arguments it takes */
+/* struct command - a command and the number of arguments that it takes */
 struct command
 {
   const char *name;
-  int min;
-  int max;
+  int min_args;
+  int max_args;
 };
 
+/* enum verb - the commands, as indexes of commands[] */
 enum verb
 {
   VERB_CHECK,
@@ -410,6 +448,8 @@
   { "counters", 0, 0 },
 };
 
+/* Returns the enum verb of the command line, or VERB_N if the command is
+   unknown or the number of its arguments is wrong. */
 static int
 verb_of (const struct command_line *cl)
 {
@@ -417,12 +457,15 @@
 
   for (int v = 0; v < VERB_N; v++)
     if (strcmp (commands[v].name, cl->args[0]) == 0)
-      return args >= commands[v].min && args <= commands[v].max ? v : VERB_N;
+      return args >= commands[v].min_args && args <= commands[v].max_args
+                 ? v
+                 : VERB_N;
   return VERB_N;
 }
 
+/* Runs the command @verb and returns its exit code. */
 static int
-run (const struct command_line *cl, int verb)
+run_command (const struct command_line *cl, int verb)
 {
   const struct options *opt = &cl->opt;
 
@@ -443,18 +486,18 @@
     case VERB_SUBMIT:
       return cmd_submit (opt, cl->args[1]);
     case VERB_STATUS:
-      return cl->args[1] ? cmd_about (opt, "GET", cl->args[1])
+      return cl->args[1] ? cmd_task (opt, "GET", cl->args[1])
                          : cmd_status (opt);
     case VERB_WAIT:
       return cmd_wait (opt, cl->args[1]);
     case VERB_CANCEL:
-      return cmd_about (opt, "DELETE", cl->args[1]);
+      return cmd_task (opt, "DELETE", cl->args[1]);
     case VERB_WHY:
       return cmd_why (opt, cl->args[1]);
     case VERB_WATCH:
       return cmd_watch (opt);
     default:
-      return cmd_raw (opt, "/metrics");
+      return get_and_print (opt, "/metrics");
     }
 }
 
@@ -477,7 +520,7 @@
   if (verb == VERB_N)
     {
       fprintf (stderr,
-               "citronctl: %s: no such command, or not so many "
+               "citronctl: %s: no such command, or wrong number of "
                "arguments; see citronctl --help\n",
                cl.args[0]);
       return EXIT_BAD_USAGE;
@@ -485,7 +528,7 @@
   if (!cl.opt.servers)
     cl.opt.servers = "http://127.0.0.1:8080";
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  code = run (&cl, verb);
+  code = run_command (&cl, verb);
   curl_global_cleanup ();
   return code;
 }
--- a/citronctl/manifest.c
+++ b/citronctl/manifest.c
@@ -1,4 +1,6 @@
-/* Commands about the manifest and its keys. */
+/* This file contains the commands that check, apply, compare and show the
+   manifest, and those that make keys for the manifest and for the links
+   between instances. */
 #include "citronctl.h"
 
 #include <openssl/rand.h>
@@ -10,8 +12,11 @@
 
 enum
 {
+  /* Number of random bytes in the secret of a key. */
   SECRET_BYTES = 24,
+  /* Number of random bytes in the salt of a key's hash. */
   SALT_BYTES = 12,
+  /* Size of a buffer for a request's path with its query. */
   PATH_SIZE = 256,
 };
 
@@ -40,23 +45,25 @@
   return text ? text : strdup ("");
 }
 
-/* Reads and checks; prints what is wrong.  An exit code. */
+/* Reads the manifest in file @path and checks it; prints the error if the file
+   or the manifest is unusable.  Returns an exit code.  If that is EXIT_DONE,
+   the caller frees *@text, and *@c with conf_free(). */
 static int
-load (const char *path, char **text, size_t *len, struct conf *c)
+load_manifest (const char *path, char **text, size_t *len, struct conf *c)
 {
-  struct codec_err ce;
+  struct codec_err parse_err;
   int err;
 
   *text = read_file (path, len);
   if (!*text)
     {
       fprintf (stderr, "citronctl: %s: cannot be read\n", path);
-      return EXIT_NO_READ;
+      return EXIT_UNREADABLE;
     }
-  err = conf_parse (*text, *len, c, &ce);
+  err = conf_parse (*text, *len, c, &parse_err);
   if (!err)
     return EXIT_DONE;
-  fprintf (stderr, "citronctl: %s: %s: %s\n", path, ce.path,
+  fprintf (stderr, "citronctl: %s: %s: %s\n", path, parse_err.path,
            clb_err_name (err));
   free (*text);
   *text = NULL;
@@ -69,11 +76,11 @@
   struct conf c;
   char *text;
   size_t len;
-  int code = load (path, &text, &len, &c);
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
-  if (opt->json)
+  if (opt->print_json)
     printf ("{\"teams\":%zu,\"keys\":%zu,\"queues\":%zu}\n", c.n_teams,
             c.n_keys, c.n_queues);
   else
@@ -84,9 +91,11 @@
   return EXIT_DONE;
 }
 
-/* The manifest in force; an exit code. */
+/* Requests the current manifest with its version and sets *@out to them as
+   JSON, which the caller frees.  Returns an exit code.  *@out stays unchanged
+   if the request failed. */
 static int
-fetch (const struct options *opt, json_t **out)
+fetch_manifest (const struct options *opt, json_t **out)
 {
   struct answer a;
   int code;
@@ -96,7 +105,7 @@
   if (code)
     fprintf (stderr, "citronctl: config: %s\n", a.body ? a.body : "no server");
   else
-    *out = json_loadb (a.body, a.len, 0, NULL);
+    *out = json_loadb (a.body, a.body_len, 0, NULL);
   rpc_free (&a);
   return code ? code : *out ? EXIT_DONE : EXIT_UNKNOWN;
 }
@@ -106,31 +115,32 @@
 {
   struct conf c;
   struct answer a;
-  json_t *now = NULL;
+  json_t *current = NULL;
   char *text;
   size_t len;
-  char url[PATH_SIZE];
+  char request_path[PATH_SIZE];
   char uuid[UUID_STR_LEN];
-  uuid_t u;
-  long base = opt->base_version;
-  int code = load (path, &text, &len, &c);
+  uuid_t binary_uuid;
+  long base_version = opt->base_version;
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
   conf_free (&c);
-  if (base < 0 && (code = fetch (opt, &now)) == EXIT_DONE)
-    base = (long)json_integer_value (json_object_get (now, "version"));
-  json_decref (now);
+  if (base_version < 0 && (code = fetch_manifest (opt, &current)) == EXIT_DONE)
+    base_version
+        = (long)json_integer_value (json_object_get (current, "version"));
+  json_decref (current);
   if (code)
     {
       free (text);
       return code;
     }
-  uuid_generate (u);
-  uuid_unparse (u, uuid);
-  snprintf (url, sizeof url, "/v1/config?base=%ld&change=%s", base,
-            opt->change_id ? opt->change_id : uuid);
-  rpc (opt, "PUT", url, text, len, &a);
+  uuid_generate (binary_uuid);
+  uuid_unparse (binary_uuid, uuid);
+  snprintf (request_path, sizeof request_path, "/v1/config?base=%ld&change=%s",
+            base_version, opt->change_id ? opt->change_id : uuid);
+  rpc (opt, "PUT", request_path, text, len, &a);
   code = rpc_exit_code (&a);
   if (code)
     fprintf (stderr, "citronctl: apply: %s\n", a.body ? a.body : "no server");
@@ -146,18 +156,21 @@
 int
 cmd_show (const struct options *opt)
 {
-  json_auto_t *now = NULL;
-  int code = fetch (opt, &now);
+  json_auto_t *current = NULL;
+  int code = fetch_manifest (opt, &current);
 
   if (code)
     return code;
-  json_dumpf (now, stdout, opt->json ? JSON_COMPACT : JSON_INDENT (2));
+  json_dumpf (current, stdout,
+              opt->print_json ? JSON_COMPACT : JSON_INDENT (2));
   printf ("\n");
   return EXIT_DONE;
 }
 
+/* Returns the object in the JSON array @list whose member @field is the string
+   @name, or NULL if there is none. */
 static json_t *
-named (json_t *list, const char *field, const char *name)
+find_entry (json_t *list, const char *field, const char *name)
 {
   json_t *item;
   size_t i;
@@ -168,31 +181,34 @@
   return NULL;
 }
 
-/* Prints one line for each entry that differs; how many did. */
+/* Compares the lists @list_name of two manifests and prints one line for each
+   entry that differs.  Member @id_field identifies an entry.  Returns the
+   number of entries that differ. */
 static int
-diff_list (json_t *old, json_t *new, const char *list, const char *field)
+diff_list (json_t *old, json_t *new, const char *list_name,
+           const char *id_field)
 {
-  json_t *a = json_object_get (old, list);
-  json_t *b = json_object_get (new, list);
+  json_t *a = json_object_get (old, list_name);
+  json_t *b = json_object_get (new, list_name);
   json_t *item;
   size_t i;
   int n = 0;
 
   json_array_foreach (a, i, item)
     {
-      const char *name = json_string_value (json_object_get (item, field));
-      json_t *other = named (b, field, name);
+      const char *name = json_string_value (json_object_get (item, id_field));
+      json_t *other = find_entry (b, id_field, name);
       if (other && json_equal (item, other))
         continue;
-      printf ("%c %s %s\n", other ? '~' : '-', list, name);
+      printf ("%c %s %s\n", other ? '~' : '-', list_name, name);
       n++;
     }
   json_array_foreach (b, i, item)
     {
-      const char *name = json_string_value (json_object_get (item, field));
-      if (named (a, field, name))
+      const char *name = json_string_value (json_object_get (item, id_field));
+      if (find_entry (a, id_field, name))
         continue;
-      printf ("+ %s %s\n", list, name);
+      printf ("+ %s %s\n", list_name, name);
       n++;
     }
   return n;
@@ -202,35 +218,37 @@
 cmd_diff (const struct options *opt, const char *path)
 {
   struct conf c;
-  json_t *now = NULL;
+  json_t *current = NULL;
   json_t *old;
   json_t *new;
   char *text;
   size_t len;
   int n;
-  int code = load (path, &text, &len, &c);
+  int code = load_manifest (path, &text, &len, &c);
 
   if (code)
     return code;
-  code = fetch (opt, &now);
+  code = fetch_manifest (opt, &current);
   if (code == EXIT_DONE)
     {
-      old = json_object_get (now, "manifest");
+      old = json_object_get (current, "manifest");
       new = codec_write (&conf_desc, &c);
       n = diff_list (old, new, "teams", "name")
           + diff_list (old, new, "keys", "id")
           + diff_list (old, new, "queues", "name");
-      printf (
-          "%d differences from version %lld\n", n,
-          (long long)json_integer_value (json_object_get (now, "version")));
+      printf ("%d differences from version %lld\n", n,
+              (long long)json_integer_value (
+                  json_object_get (current, "version")));
       json_decref (new);
     }
-  json_decref (now);
+  json_decref (current);
   conf_free (&c);
   free (text);
   return code;
 }
 
+/* Writes @bytes random bytes to @out as hexadecimal digits, terminated with a
+   NUL. */
 static void
 random_hex (char *out, size_t bytes)
 {
@@ -242,7 +260,8 @@
     snprintf (out + 2 * i, 3, "%02x", raw[i]);
 }
 
-/* The secret is shown once, here; the manifest keeps only its salted hash. */
+/* The secret is printed here only and cannot be printed again, as the manifest
+   contains only a salted hash of it. */
 int
 cmd_key (const struct options *opt, const char *id, const char *team)
 {
@@ -269,11 +288,11 @@
 int
 cmd_peerkeys (void)
 {
-  char public[41];
-  char secret[41];
+  char public_key[41];
+  char secret_key[41];
 
-  if (zmq_curve_keypair (public, secret))
+  if (zmq_curve_keypair (public_key, secret_key))
     return EXIT_NOT_RUN;
-  printf ("%s %s\n", public, secret);
+  printf ("%s %s\n", public_key, secret_key);
   return EXIT_DONE;
 }
--- a/citronctl/rpc.c
+++ b/citronctl/rpc.c
@@ -1,3 +1,4 @@
+/* Sends HTTP requests to the entry instances through libcurl. */
 #include "citronctl.h"
 
 #include <curl/curl.h>
@@ -6,45 +7,56 @@
 
 enum
 {
-  CONNECT_MS = 3000,
+  /* Timeout for connecting to a server. */
+  CONNECT_TIMEOUT_MS = 3000,
+  /* Size of a buffer for a URL. */
   URL_SIZE = 512,
-  STREAMS_MAX = 16, /* instances watched at once */
+  /* Maximum number of servers that rpc_stream() reads from; it ignores further
+     ones. */
+  STREAMS_MAX = 16,
 };
 
+/* CURLOPT_WRITEFUNCTION: appends a piece of the response's body to the struct
+   answer @arg.  Returns the number of bytes appended; 0 if there is no memory,
+   which fails the transfer. */
 static size_t
 on_body (char *data, size_t size, size_t n, void *arg)
 {
   struct answer *a = arg;
-  char *grown = realloc (a->body, a->len + size * n + 1);
+  char *new_body = realloc (a->body, a->body_len + size * n + 1);
 
-  if (!grown)
+  if (!new_body)
     return 0;
-  a->body = grown;
-  memcpy (a->body + a->len, data, size * n);
-  a->len += size * n;
-  a->body[a->len] = '\0';
+  a->body = new_body;
+  memcpy (a->body + a->body_len, data, size * n);
+  a->body_len += size * n;
+  a->body[a->body_len] = '\0';
   return size * n;
 }
 
+/* Returns the headers that every request has; the caller frees them. */
 static struct curl_slist *
-headers (const struct options *opt)
+request_headers (const struct options *opt)
 {
-  struct curl_slist *list = NULL;
+  struct curl_slist *headers = NULL;
   char line[256];
 
-  list = curl_slist_append (list, "Content-Type: application/json");
-  list = curl_slist_append (list, "Expect:");
+  headers = curl_slist_append (headers, "Content-Type: application/json");
+  headers = curl_slist_append (headers, "Expect:");
   if (opt->key)
     {
       snprintf (line, sizeof line, "Authorization: Bearer %s", opt->key);
-      list = curl_slist_append (list, line);
+      headers = curl_slist_append (headers, line);
     }
-  return list;
+  return headers;
 }
 
+/* Creates a libcurl easy handle for a request.  The URL consists of the first
+   @server_len bytes of @server, followed by @path.  @headers must outlive the
+   handle. */
 static CURL *
-request (const struct options *opt, const char *method, const char *server,
-         size_t server_len, const char *path, struct curl_slist *list)
+request_new (const struct options *opt, const char *method, const char *server,
+             size_t server_len, const char *path, struct curl_slist *headers)
 {
   CURL *e = curl_easy_init ();
   char url[URL_SIZE];
@@ -52,22 +64,24 @@
   snprintf (url, sizeof url, "%.*s%s", (int)server_len, server, path);
   curl_easy_setopt (e, CURLOPT_URL, url);
   curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, method);
-  curl_easy_setopt (e, CURLOPT_HTTPHEADER, list);
-  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+  curl_easy_setopt (e, CURLOPT_HTTPHEADER, headers);
+  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
   curl_easy_setopt (e, CURLOPT_PROXY, "");
   if (opt->cacert)
     curl_easy_setopt (e, CURLOPT_CAINFO, opt->cacert);
   return e;
 }
 
+/* Sends a request to one server and stores the response in *@a, which must be
+   all zero before the call.  @server is not terminated. */
 static void
-rpc_one (const struct options *opt, const char *method, const char *server,
+send_to (const struct options *opt, const char *method, const char *server,
          size_t server_len, const char *path, const char *body, size_t len,
          struct answer *a)
 {
-  struct curl_slist *list = headers (opt);
-  CURL *e = request (opt, method, server, server_len, path, list);
-  long sent = 0;
+  struct curl_slist *headers = request_headers (opt);
+  CURL *e = request_new (opt, method, server, server_len, path, headers);
+  long sent_bytes = 0;
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, a);
@@ -78,10 +92,10 @@
     }
   if (curl_easy_perform (e) == CURLE_OK)
     curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &a->status);
-  curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent);
-  a->sent = sent > 0;
+  curl_easy_getinfo (e, CURLINFO_REQUEST_SIZE, &sent_bytes);
+  a->request_sent = sent_bytes > 0;
   curl_easy_cleanup (e);
-  curl_slist_free_all (list);
+  curl_slist_free_all (headers);
 }
 
 void
@@ -91,10 +105,10 @@
   const char *server = opt->servers;
 
   memset (a, 0, sizeof *a);
-  while (*server && a->status == 0 && !a->sent)
+  while (*server && a->status == 0 && !a->request_sent)
     {
       size_t n = strcspn (server, ",");
-      rpc_one (opt, method, server, n, path, body, len, a);
+      send_to (opt, method, server, n, path, body, len, a);
       server += n;
       server += *server == ',';
     }
@@ -111,7 +125,7 @@
 rpc_exit_code (const struct answer *a)
 {
   if (a->status == 0)
-    return a->sent ? EXIT_UNKNOWN : EXIT_NOT_RUN;
+    return a->request_sent ? EXIT_UNKNOWN : EXIT_NOT_RUN;
   if (a->status < 300)
     return EXIT_DONE;
   switch (a->status)
@@ -134,81 +148,89 @@
     }
 }
 
-/* struct stream - a line being put together */
+/* struct stream - response of one server to the request of rpc_stream() */
 struct stream
 {
-  char *buf;
-  size_t len;
-  void (*line) (const char *text, size_t len);
+  /* Bytes received of the current line; NULL before the first byte. */
+  char *line;
+  size_t line_len;
+  void (*on_line) (const char *text, size_t len);
 };
 
+/* CURLOPT_WRITEFUNCTION: splits a piece of a response's body into lines and
+   passes each complete line to on_line of the struct stream @arg. */
 static size_t
 on_stream (char *data, size_t size, size_t n, void *arg)
 {
-  struct stream *st = arg;
+  struct stream *stream = arg;
   size_t len = size * n;
 
   for (size_t i = 0; i < len; i++)
     {
       if (data[i] == '\n')
         {
-          st->line (st->buf, st->len);
-          st->len = 0;
+          stream->on_line (stream->line, stream->line_len);
+          stream->line_len = 0;
           continue;
         }
-      char *grown = realloc (st->buf, st->len + 2);
-      if (!grown)
+      char *new_line = realloc (stream->line, stream->line_len + 2);
+      if (!new_line)
         return 0;
-      st->buf = grown;
-      st->buf[st->len++] = data[i];
+      stream->line = new_line;
+      stream->line[stream->line_len++] = data[i];
     }
   return len;
 }
 
+/* Creates a libcurl easy handle that sends GET @path to one server and passes
+   the response to @stream.  @server has @len bytes and is not terminated. */
 static CURL *
 stream_open (const struct options *opt, const char *server, size_t len,
-             const char *path, struct curl_slist *list, struct stream *st)
+             const char *path, struct curl_slist *headers,
+             struct stream *stream)
 {
-  CURL *e = request (opt, "GET", server, len, path, list);
+  CURL *e = request_new (opt, "GET", server, len, path, headers);
 
   curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, on_stream);
-  curl_easy_setopt (e, CURLOPT_WRITEDATA, st);
+  curl_easy_setopt (e, CURLOPT_WRITEDATA, stream);
   return e;
 }
 
-/* Runs all streams until the last has ended; the best exit code. */
+/* Runs all streams of @multi until the last one has ended.  Returns EXIT_DONE
+   if any response was successful, else the exit code of the last response, or
+   EXIT_NOT_RUN if no server has responded. */
 static int
 stream_run (CURLM *multi)
 {
-  struct answer a = { .sent = true };
+  struct answer a = { .request_sent = true };
   CURLMsg *msg;
-  int running = 1;
-  int left;
+  int n_running = 1;
+  int msgs_in_queue;
   int code = EXIT_NOT_RUN;
 
-  while (running)
+  while (n_running)
     {
-      curl_multi_perform (multi, &running);
-      while ((msg = curl_multi_info_read (multi, &left)))
+      curl_multi_perform (multi, &n_running);
+      while ((msg = curl_multi_info_read (multi, &msgs_in_queue)))
         {
           curl_easy_getinfo (msg->easy_handle, CURLINFO_RESPONSE_CODE,
                              &a.status);
           if (a.status && code != EXIT_DONE)
             code = rpc_exit_code (&a);
         }
-      if (running)
-        curl_multi_poll (multi, NULL, 0, CONNECT_MS, NULL);
+      if (n_running)
+        curl_multi_poll (multi, NULL, 0, CONNECT_TIMEOUT_MS, NULL);
     }
   return code;
 }
 
 int
 rpc_stream (const struct options *opt, const char *path,
-            void (*line) (const char *text, size_t len))
+            void (*on_line) (const char *text, size_t len))
 {
   struct stream streams[STREAMS_MAX] = { 0 };
   CURL *easy[STREAMS_MAX];
-  struct curl_slist *list = headers (opt);
+  struct curl_slist *headers = request_headers (opt);
   CURLM *multi = curl_multi_init ();
   const char *server = opt->servers;
   int n = 0;
@@ -217,8 +239,8 @@
   while (*server && n < STREAMS_MAX)
     {
       size_t len = strcspn (server, ",");
-      streams[n].line = line;
-      easy[n] = stream_open (opt, server, len, path, list, &streams[n]);
+      streams[n].on_line = on_line;
+      easy[n] = stream_open (opt, server, len, path, headers, &streams[n]);
       curl_multi_add_handle (multi, easy[n]);
       n++;
       server += len;
@@ -229,9 +251,9 @@
     {
       curl_multi_remove_handle (multi, easy[i]);
       curl_easy_cleanup (easy[i]);
-      free (streams[i].buf);
+      free (streams[i].line);
     }
   curl_multi_cleanup (multi);
-  curl_slist_free_all (list);
+  curl_slist_free_all (headers);
   return code;
 }
--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -14,46 +14,76 @@
 
 enum
 {
+  /* Interval at which the leader calls fleet_tick(). */
   TICK_LEADER_MS = 10,
+  /* Interval at which the other instances call fleet_tick(). */
   TICK_FOLLOWER_MS = 25,
-  EXEC_CONNECTIONS = 4, /* to one executor: a question for ends, and starts */
-  EXEC_CONNECTIONS_KEPT = 1500,
-  STORE_CONNECTIONS = 24, /* three feeds, the journal, and callers' writes */
-  STORE_CONNECTIONS_KEPT = 32,
-  BODY_MAX = 256 << 10, /* bytes of a caller's request */
-  /* The platform sends new connections here until it has missed two looks at
-     the readiness, one a second. */
-  LINGER_MS = 3000,
+  /* Maximum number of connections to one executor.  The daemon uses them to
+     poll for ended tasks and to start tasks. */
+  EXEC_CONNECTIONS_MAX = 4,
+  /* Maximum number of idle connections kept open, over all executors. */
+  EXEC_IDLE_CONNECTIONS_MAX = 1500,
+  /* Maximum number of connections to the table service.  Three feeds, the
+     journal and the writes of callers share them. */
+  STORE_CONNECTIONS_MAX = 24,
+  /* Maximum number of idle connections to the table service kept open. */
+  STORE_IDLE_CONNECTIONS_MAX = 32,
+  /* Maximum number of bytes in the body of a caller's request. */
+  REQUEST_BODY_MAX = 256 << 10,
+  /* Time from the signal to stop until the instance stops listening.  The
+     platform routes new connections to the instance until two readiness
+     checks, one per second, have failed. */
+  STOP_DELAY_MS = 3000,
+  /* Time between the exit of the process and the time at which the platform
+     would kill it.  The process then exits even if requests are pending. */
   KILL_MARGIN_MS = 500,
-  LOAD_EVERY_MS = 1000,
+  /* Interval at which the load of the instance is logged. */
+  LOAD_INTERVAL_MS = 1000,
 };
 
+/* struct fleetd - the event loop, the fleet, and its clients, links and
+   servers */
 struct fleetd
 {
-  struct pf_settings set;
-  const char *path;
+  struct pf_settings settings;
+  /* Path of the settings file. */
+  const char *settings_path;
   uv_loop_t *loop;
   uv_timer_t timer;
   uv_signal_t signals[3];
   struct fleet fleet;
-  struct httpc *store_http;
-  struct httpc *exec_http;
+  /* HTTP client that sends requests to the table service. */
+  struct httpc *store_http_client;
+  /* HTTP client that sends requests to executors. */
+  struct httpc *exec_http_client;
   struct pf_store store;
   struct pf_orders orders;
-  struct links *links;
-  struct httpd *callers;
-  struct httpd *ready;
-  struct httpd *metrics;
-  bool pumping;
-  int64_t stop_ms; /* told to stop then; 0: not */
-  bool closed;
-  int64_t load_ms; /* the last line about the load */
+  /* Links to the other instances. */
+  struct links *peer_links;
+  /* HTTP server that receives the requests of callers. */
+  struct httpd *caller_server;
+  /* HTTP server that answers the platform's readiness checks. */
+  struct httpd *readiness_server;
+  /* HTTP server that serves the metrics; NULL if the settings have no
+     metrics address. */
+  struct httpd *metrics_server;
+  /* True while process_outputs() is running. */
+  bool processing_outputs;
+  /* Value of boottime_ms() when the signal to stop arrived; 0 if none has
+     arrived. */
+  int64_t stop_signal_ms;
+  /* True once caller_server has stopped listening. */
+  bool listener_closed;
+  /* Value of boottime_ms() at the last log line about the load. */
+  int64_t load_logged_ms;
+  /* CPU time of the process at the last log line about the load. */
   int64_t load_cpu_ms;
 };
 
-/* Goes on while the machine is suspended: a lease must not seem to last. */
+/* Returns the time of a clock that also advances while the machine is
+   suspended, so that a lease expires during the suspension. */
 static int64_t
-boot_ms (void)
+boottime_ms (void)
 {
   struct timespec ts;
 
@@ -76,6 +106,7 @@
   logline_write (wall_ms (), line);
 }
 
+/* Sends a message to the instance at address @addr; it may be lost. */
 static void
 send_mesh (struct fleetd *d, const char *addr, const struct mesh_msg *m)
 {
@@ -84,12 +115,13 @@
 
   if (mesh_pack (m, &buf, &len))
     return;
-  links_send (d->links, addr, addr, buf, len);
+  links_send (d->peer_links, addr, addr, buf, len);
   free (buf);
 }
 
+/* Carries out one output of the fleet. */
 static void
-carry_out (struct fleetd *d, struct out *o)
+execute_output (struct fleetd *d, struct out *o)
 {
   const char *body;
 
@@ -97,7 +129,7 @@
     {
     case OUT_ANSWER:
       body = o->u.answer.body ? o->u.answer.body : "{}";
-      httpd_answer (d->callers, o->u.answer.call, o->u.answer.status,
+      httpd_answer (d->caller_server, o->u.answer.call, o->u.answer.status,
                     "application/json", body, strlen (body),
                     o->u.answer.retry_ms);
       break;
@@ -119,39 +151,43 @@
     }
 }
 
+/* Carries out all queued outputs of the fleet. */
 static void
-pump (struct fleetd *d)
+process_outputs (struct fleetd *d)
 {
   struct out *o;
 
-  /* What is carried out may call back in here: the outer loop goes on. */
-  if (d->pumping)
+  /* execute_output() may call process_outputs() again.  The nested call
+     returns here, and the loop of the outer call carries out the new outputs.
+   */
+  if (d->processing_outputs)
     return;
-  d->pumping = true;
+  d->processing_outputs = true;
   while ((o = fleet_next_out (&d->fleet)))
     {
-      carry_out (d, o);
+      execute_output (d, o);
       out_free (o);
     }
-  d->pumping = false;
+  d->processing_outputs = false;
 }
 
 static void
-on_store (void *arg, uint64_t token, const struct store_rep *rep)
+on_store_reply (void *arg, uint64_t token, const struct store_rep *reply)
 {
   struct fleetd *d = arg;
 
-  fleet_store_reply (&d->fleet, boot_ms (), token, rep);
-  pump (d);
+  fleet_store_reply (&d->fleet, boottime_ms (), token, reply);
+  process_outputs (d);
 }
 
 static void
-on_order (void *arg, const struct order *o, const struct order_result *res)
+on_order_result (void *arg, const struct order *o,
+                 const struct order_result *result)
 {
   struct fleetd *d = arg;
 
-  fleet_order_result (&d->fleet, boot_ms (), o, res);
-  pump (d);
+  fleet_order_result (&d->fleet, boottime_ms (), o, result);
+  process_outputs (d);
 }
 
 static void
@@ -159,55 +195,55 @@
 {
   struct fleetd *d = arg;
   struct mesh_msg m;
-  struct codec_err ce;
+  struct codec_err parse_err;
 
-  if (mesh_unpack (buf, len, &m, &ce))
+  if (mesh_unpack (buf, len, &m, &parse_err))
     {
       log_line ("event=bad-message");
       return;
     }
-  fleet_mesh_msg (&d->fleet, boot_ms (), &m);
+  fleet_mesh_msg (&d->fleet, boottime_ms (), &m);
   mesh_clear (&m);
 }
 
 static void
 on_received (void *arg)
 {
-  pump (arg);
+  process_outputs (arg);
 }
 
 static void
-on_caller (void *arg, const struct httpd_req *rq)
+on_caller_request (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   struct fleet_request req;
 
   pf_request_decode (rq, &req);
-  fleet_request (&d->fleet, boot_ms (), wall_ms (), &req);
-  pump (d);
+  fleet_request (&d->fleet, boottime_ms (), wall_ms (), &req);
+  process_outputs (d);
 }
 
 static void
-on_caller_gone (void *arg, uint64_t no)
+on_caller_disconnect (void *arg, uint64_t id)
 {
   struct fleetd *d = arg;
 
-  fleet_request_aborted (&d->fleet, no);
+  fleet_request_aborted (&d->fleet, id);
 }
 
 static void
-on_ready (void *arg, const struct httpd_req *rq)
+on_readiness_check (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   int status = 404;
 
   if (pf_is_ready_path (rq->path))
-    status = fleet_ready (&d->fleet, boot_ms ()) ? 200 : 503;
-  httpd_answer (d->ready, rq->id, status, "text/plain", "", 0, 0);
+    status = fleet_ready (&d->fleet, boottime_ms ()) ? 200 : 503;
+  httpd_answer (d->readiness_server, rq->id, status, "text/plain", "", 0, 0);
 }
 
 static void
-on_metrics (void *arg, const struct httpd_req *rq)
+on_metrics_request (void *arg, const struct httpd_req *rq)
 {
   struct fleetd *d = arg;
   clb_auto char *fleet = fleet_metrics (&d->fleet);
@@ -220,28 +256,30 @@
                 (unsigned long long)logline_stats ()->dropped)
       < 0)
     abort ();
-  httpd_answer (d->metrics, rq->id, 200, "text/plain; version=0.0.4", text,
-                strlen (text), 0);
+  httpd_answer (d->metrics_server, rq->id, 200, "text/plain; version=0.0.4",
+                text, strlen (text), 0);
 }
 
 static void
-ignore_gone (void *arg, uint64_t no)
+ignore_disconnect (void *arg, uint64_t id)
 {
   (void)arg;
-  (void)no;
+  (void)id;
 }
 
+/* Opens an HTTP server on @addr.  Returns NULL after a message on standard
+   error. */
 static struct httpd *
-serve (struct fleetd *d, const char *addr,
-       void (*on_request) (void *arg, const struct httpd_req *rq),
-       void (*on_gone) (void *arg, uint64_t no))
+open_server (struct fleetd *d, const char *addr,
+             void (*on_request) (void *arg, const struct httpd_req *rq),
+             void (*on_disconnect) (void *arg, uint64_t id))
 {
   struct httpd_conf conf = {
     .addr = addr,
-    .body_max = BODY_MAX,
+    .max_body_bytes = REQUEST_BODY_MAX,
     .arg = d,
     .on_request = on_request,
-    .on_disconnect = on_gone,
+    .on_disconnect = on_disconnect,
   };
   int err;
   struct httpd *h = httpd_new (d->loop, &conf, &err);
@@ -251,24 +289,26 @@
   return h;
 }
 
-/* Once callers no longer come here, or shortly before the kill. */
+/* Ends the event loop after a signal to stop, once no request of a caller is
+   pending or shortly before the platform kills the process. */
 static void
 stop_when_done (struct fleetd *d)
 {
-  int64_t since = boot_ms () - d->stop_ms;
+  int64_t elapsed_ms = boottime_ms () - d->stop_signal_ms;
 
-  if (!d->stop_ms || since < LINGER_MS)
+  if (!d->stop_signal_ms || elapsed_ms < STOP_DELAY_MS)
     return;
-  if (!d->closed)
+  if (!d->listener_closed)
     {
-      d->closed = true;
-      httpd_stop (d->callers);
+      d->listener_closed = true;
+      httpd_stop (d->caller_server);
     }
-  if (httpd_n_pending (d->callers) == 0
-      || since > d->set.grace_ms - KILL_MARGIN_MS)
+  if (httpd_n_pending (d->caller_server) == 0
+      || elapsed_ms > d->settings.grace_ms - KILL_MARGIN_MS)
     uv_stop (d->loop);
 }
 
+/* Returns the CPU time that the process has used. */
 static int64_t
 cpu_ms (void)
 {
@@ -278,61 +318,64 @@
   return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* What the instance was busy with in the last second. */
+/* Logs the load of the instance, unless the last such line is less than
+   LOAD_INTERVAL_MS old. */
 static void
 log_load (struct fleetd *d)
 {
   const struct fleet *f = &d->fleet;
   const struct fsched_stats *s = &f->stats.fsched;
   char line[256];
-  int64_t now = boot_ms ();
-  int64_t cpu = cpu_ms ();
+  int64_t now = boottime_ms ();
+  int64_t used_cpu_ms = cpu_ms ();
 
-  if (now - d->load_ms < LOAD_EVERY_MS)
+  if (now - d->load_logged_ms < LOAD_INTERVAL_MS)
     return;
   snprintf (
       line, sizeof line,
       "event=load over_ms=%lld cpu_ms=%lld callers=%d leading=%d "
       "jobs=%d starts=%llu questions=%llu passes=%llu dropped_lines=%llu",
-      (long long)(now - d->load_ms), (long long)(cpu - d->load_cpu_ms),
-      f->n_requests, f->leader.state == LEADER_LEADING,
-      f->fsched ? f->fsched->n_jobs : 0, (unsigned long long)s->starts,
-      (unsigned long long)s->queries, (unsigned long long)s->passes,
+      (long long)(now - d->load_logged_ms),
+      (long long)(used_cpu_ms - d->load_cpu_ms), f->n_requests,
+      f->leader.state == LEADER_LEADING, f->fsched ? f->fsched->n_jobs : 0,
+      (unsigned long long)s->starts, (unsigned long long)s->queries,
+      (unsigned long long)s->passes,
       (unsigned long long)logline_stats ()->dropped);
   log_line (line);
-  d->load_ms = now;
-  d->load_cpu_ms = cpu;
+  d->load_logged_ms = now;
+  d->load_cpu_ms = used_cpu_ms;
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
   struct fleetd *d = t->data;
-  int64_t pause;
+  int64_t tick_ms;
 
-  fleet_tick (&d->fleet, boot_ms (), wall_ms ());
-  pump (d);
+  fleet_tick (&d->fleet, boottime_ms (), wall_ms ());
+  process_outputs (d);
   log_load (d);
   logline_flush ();
-  pause = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
-  uv_timer_start (t, on_timer, (uint64_t)pause, 0);
+  tick_ms = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
+  uv_timer_start (t, on_timer, (uint64_t)tick_ms, 0);
   stop_when_done (d);
 }
 
+/* Reads the settings file again.  Called on SIGHUP. */
 static void
 reload (struct fleetd *d)
 {
-  struct pf_settings set;
-  struct codec_err ce;
+  struct pf_settings new_settings;
+  struct codec_err parse_err;
 
-  if (pf_settings_read (d->path, &set, &ce))
+  if (pf_settings_read (d->settings_path, &new_settings, &parse_err))
     {
       log_line ("event=settings-refused");
       return;
     }
-  /* Addresses are those of the boot; the bounds may change. */
-  d->set.grace_ms = set.grace_ms;
-  d->fleet.settings.revoke_ms = set.revoke_ms;
+  /* Only grace_ms and revoke_ms can change while the process runs. */
+  d->settings.grace_ms = new_settings.grace_ms;
+  d->fleet.settings.revoke_ms = new_settings.revoke_ms;
   log_line ("event=settings-reloaded");
 }
 
@@ -346,86 +389,96 @@
       reload (d);
       return;
     }
-  if (d->stop_ms)
+  if (d->stop_signal_ms)
     return;
-  d->stop_ms = boot_ms ();
+  d->stop_signal_ms = boottime_ms ();
   log_line ("event=stopping");
-  fleet_stop (&d->fleet, d->stop_ms);
-  pump (d);
+  fleet_stop (&d->fleet, d->stop_signal_ms);
+  process_outputs (d);
 }
 
 static void
 catch_signals (struct fleetd *d)
 {
-  static const int numbers[] = { SIGTERM, SIGINT, SIGHUP };
+  static const int signal_numbers[] = { SIGTERM, SIGINT, SIGHUP };
 
-  for (size_t i = 0; i < CLB_COUNT (numbers); i++)
+  for (size_t i = 0; i < CLB_COUNT (signal_numbers); i++)
     {
       uv_signal_init (d->loop, &d->signals[i]);
       d->signals[i].data = d;
-      uv_signal_start (&d->signals[i], on_signal, numbers[i]);
+      uv_signal_start (&d->signals[i], on_signal, signal_numbers[i]);
     }
 }
 
+/* Initializes the fleet with the settings that it needs. */
 static void
-start_core (struct fleetd *d)
+init_fleet (struct fleetd *d)
 {
-  struct fleet_settings set = { .boot = wall_ms (),
-                                .revoke_ms = d->set.revoke_ms,
-                                .millicores = d->set.millicores,
-                                .codec = pf_codec };
-
-  clb_copy (set.id, d->set.id, sizeof set.id);
-  clb_copy (set.zone, d->set.zone, sizeof set.zone);
-  clb_copy (set.mesh_addr, d->set.mesh_addr, sizeof set.mesh_addr);
-  fleet_init (&d->fleet, &set, boot_ms ());
+  struct fleet_settings settings = { .boot = wall_ms (),
+                                     .revoke_ms = d->settings.revoke_ms,
+                                     .millicores = d->settings.millicores,
+                                     .codec = pf_codec };
+
+  clb_copy (settings.id, d->settings.id, sizeof settings.id);
+  clb_copy (settings.zone, d->settings.zone, sizeof settings.zone);
+  clb_copy (settings.mesh_addr, d->settings.mesh_addr,
+            sizeof settings.mesh_addr);
+  fleet_init (&d->fleet, &settings, boottime_ms ());
 }
 
+/* Opens all clients, links and servers.  Returns false after a message on
+   standard error. */
 static bool
 open_all (struct fleetd *d)
 {
   struct links_conf links = { .loop = d->loop,
-                              .listen = d->set.mesh_addr,
+                              .listen_addr = d->settings.mesh_addr,
                               .arg = d,
                               .on_message = on_message,
                               .on_received = on_received };
 
-  d->store_http = httpc_new (d->loop);
-  httpc_limit (d->store_http, STORE_CONNECTIONS, STORE_CONNECTIONS_KEPT);
-  d->exec_http = httpc_new (d->loop);
-  httpc_limit (d->exec_http, EXEC_CONNECTIONS, EXEC_CONNECTIONS_KEPT);
-  d->store
-      = (struct pf_store){ d->store_http, d->set.store_addr, d, on_store };
-  d->orders = (struct pf_orders){ d->exec_http, d->set.advice_service_addr, d,
-                                  on_order };
-  d->links = links_new (&links);
-  d->callers = serve (d, d->set.callers_addr, on_caller, on_caller_gone);
-  d->ready = serve (d, d->set.ready_addr, on_ready, ignore_gone);
-  if (*d->set.metrics_addr)
-    d->metrics = serve (d, d->set.metrics_addr, on_metrics, ignore_gone);
-  return d->links && d->callers && d->ready
-         && (d->metrics || !*d->set.metrics_addr);
+  d->store_http_client = httpc_new (d->loop);
+  httpc_limit (d->store_http_client, STORE_CONNECTIONS_MAX,
+               STORE_IDLE_CONNECTIONS_MAX);
+  d->exec_http_client = httpc_new (d->loop);
+  httpc_limit (d->exec_http_client, EXEC_CONNECTIONS_MAX,
+               EXEC_IDLE_CONNECTIONS_MAX);
+  d->store = (struct pf_store){ d->store_http_client, d->settings.store_addr,
+                                d, on_store_reply };
+  d->orders = (struct pf_orders){ d->exec_http_client,
+                                  d->settings.advice_service_addr, d,
+                                  on_order_result };
+  d->peer_links = links_new (&links);
+  d->caller_server = open_server (d, d->settings.callers_addr,
+                                  on_caller_request, on_caller_disconnect);
+  d->readiness_server = open_server (d, d->settings.ready_addr,
+                                     on_readiness_check, ignore_disconnect);
+  if (*d->settings.metrics_addr)
+    d->metrics_server = open_server (d, d->settings.metrics_addr,
+                                     on_metrics_request, ignore_disconnect);
+  return d->peer_links && d->caller_server && d->readiness_server
+         && (d->metrics_server || !*d->settings.metrics_addr);
 }
 
 int
-fleetd_run (const char *settings)
+fleetd_run (const char *settings_path)
 {
   static struct fleetd d;
-  struct codec_err ce;
-  int err = pf_settings_read (settings, &d.set, &ce);
+  struct codec_err parse_err;
+  int err = pf_settings_read (settings_path, &d.settings, &parse_err);
 
   if (err)
     {
-      fprintf (stderr, "citronlbd: %s: %s: %s\n", settings, clb_err_name (err),
-               ce.path);
+      fprintf (stderr, "citronlbd: %s: %s: %s\n", settings_path,
+               clb_err_name (err), parse_err.path);
       return EX_CONFIG;
     }
-  d.path = settings;
+  d.settings_path = settings_path;
   signal (SIGPIPE, SIG_IGN);
-  logline_open (d.set.id);
+  logline_open (d.settings.id);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   d.loop = uv_default_loop ();
-  start_core (&d);
+  init_fleet (&d);
   if (!open_all (&d))
     return EX_UNAVAILABLE;
   catch_signals (&d);
@@ -437,6 +490,6 @@
   log_line ("event=stopped");
   logline_flush ();
   fleet_fini (&d.fleet);
-  links_free (d.links);
+  links_free (d.peer_links);
   return EX_OK;
 }
--- a/citronlbd/log.c
+++ b/citronlbd/log.c
@@ -1,4 +1,7 @@
-/* Lines only for changes of state; everything else is a counter. */
+/*
+ * Writes log lines to standard error.  Only changes of state are logged; all
+ * other decisions are counted.
+ */
 #include "citronlbd.h"
 
 #include <log4c.h>
--- a/citronlbd/logline.c
+++ b/citronlbd/logline.c
@@ -7,43 +7,52 @@
 #include <string.h>
 #include <unistd.h>
 
-static char buffer[LOGLINE_BUFFER];
-static size_t buffered;
+/* Lines not yet written to standard output. */
+static char buffer[LOGLINE_BUFFER_SIZE];
+/* Number of bytes in the buffer. */
+static size_t n_buffered;
 static struct logline_stats stats;
-static int64_t second;
-static int in_second;
-static uint64_t told_dropped;
+/* Second of the wall clock in which logline_write() was last called. */
+static int64_t current_second;
+/* Number of calls of logline_write() in the current second. */
+static int lines_in_second;
+/* Value of stats.dropped when an event=log-dropped line was last logged. */
+static uint64_t reported_dropped;
+/* Id of the instance, part of each line. */
 static char node_name[96];
 static log4c_category_t *category;
 
-/* log4c's appender: into the buffer that logline_flush() empties. */
+/* Append function of the log4c appender: adds a line to the buffer, which
+   logline_flush() writes to standard output. */
 static int
 append (log4c_appender_t *app, const log4c_logging_event_t *event)
 {
   size_t len = strlen (event->evt_msg);
 
   (void)app;
-  if (buffered + len + 1 > sizeof buffer)
+  if (n_buffered + len + 1 > sizeof buffer)
     {
       stats.dropped++;
       return 0;
     }
-  memcpy (buffer + buffered, event->evt_msg, len);
-  buffer[buffered + len] = '\n';
-  buffered += len + 1;
+  memcpy (buffer + n_buffered, event->evt_msg, len);
+  buffer[n_buffered + len] = '\n';
+  n_buffered += len + 1;
   stats.written++;
   return 0;
 }
 
+/* Open and close function of the log4c appender, which has nothing to open or
+   close. */
 static int
-open_nothing (log4c_appender_t *app)
+no_op (log4c_appender_t *app)
 {
   (void)app;
   return 0;
 }
 
 static const log4c_appender_type_t line_type
-    = { "citronlb-line", open_nothing, append, open_nothing };
+    = { "citronlb-line", no_op, append, no_op };
 
 void
 logline_open (const char *node)
@@ -65,55 +74,57 @@
   log4c_category_set_priority (category, LOG4C_PRIORITY_INFO);
 }
 
+/* Passes one line to log4c, which calls append(). */
 static void
-put (int64_t now_ms, const char *line)
+pass_to_log4c (int64_t wall_ms, const char *line)
 {
   if (category)
     log4c_category_log (category, LOG4C_PRIORITY_INFO, "t=%lld node=%s %s",
-                        (long long)now_ms, node_name, line);
+                        (long long)wall_ms, node_name, line);
 }
 
 void
-logline_write (int64_t now_ms, const char *line)
+logline_write (int64_t wall_ms, const char *line)
 {
-  if (now_ms / 1000 != second)
+  if (wall_ms / 1000 != current_second)
     {
-      char note[64];
-      second = now_ms / 1000;
-      in_second = 0;
-      if (stats.dropped != told_dropped)
+      char dropped_line[64];
+      current_second = wall_ms / 1000;
+      lines_in_second = 0;
+      if (stats.dropped != reported_dropped)
         {
-          snprintf (note, sizeof note, "event=log-dropped lines=%llu",
-                    (unsigned long long)(stats.dropped - told_dropped));
-          told_dropped = stats.dropped;
-          put (now_ms, note);
+          snprintf (dropped_line, sizeof dropped_line,
+                    "event=log-dropped lines=%llu",
+                    (unsigned long long)(stats.dropped - reported_dropped));
+          reported_dropped = stats.dropped;
+          pass_to_log4c (wall_ms, dropped_line);
         }
     }
-  if (++in_second > LOGLINE_RATE)
+  if (++lines_in_second > LOGLINE_PER_SECOND_MAX)
     stats.dropped++;
   else
-    put (now_ms, line);
+    pass_to_log4c (wall_ms, line);
 }
 
 void
 logline_flush (void)
 {
-  while (buffered > 0)
+  while (n_buffered > 0)
     {
-      ssize_t n = write (STDOUT_FILENO, buffer, buffered);
+      ssize_t n = write (STDOUT_FILENO, buffer, n_buffered);
       if (n < 0 && errno == EINTR)
         continue;
       if (n < 0 && errno == EAGAIN)
         return;
       if (n <= 0)
         {
-          /* Nobody reads any more. */
+          /* The reader has closed the pipe. */
           stats.dropped++;
-          buffered = 0;
+          n_buffered = 0;
           return;
         }
-      memmove (buffer, buffer + n, buffered - (size_t)n);
-      buffered -= (size_t)n;
+      memmove (buffer, buffer + n, n_buffered - (size_t)n);
+      n_buffered -= (size_t)n;
     }
 }
 
--- a/citronlbd/logline.h
+++ b/citronlbd/logline.h
@@ -1,7 +1,7 @@
 /**
- * DOC: Structured lines on standard output.  Writing never blocks: what the
- * reader does not take in time, and what goes beyond the rate, is dropped and
- * counted.
+ * DOC: Writes structured log lines to standard output.  Writing never blocks:
+ * a line that does not fit in the buffer or exceeds the maximum rate is
+ * dropped and counted.
  */
 #ifndef LOGLINE_H
 #define LOGLINE_H
@@ -10,21 +10,46 @@
 
 enum
 {
-  LOGLINE_RATE = 1500,        /* lines a second that are kept */
-  LOGLINE_BUFFER = 256 << 10, /* bytes that wait for the reader */
+  /* Maximum number of lines per second; further lines are dropped. */
+  LOGLINE_PER_SECOND_MAX = 1500,
+  /* Size of the buffer for lines not yet written to standard output; lines
+     that do not fit are dropped. */
+  LOGLINE_BUFFER_SIZE = 256 << 10,
 };
 
+/** struct logline_stats - counts of log lines since the process started */
 struct logline_stats
 {
+  /* Number of lines that were added to the buffer. */
   uint64_t written;
+  /* Number of lines that were dropped. */
   uint64_t dropped;
 };
 
+/**
+ * logline_open() - Set standard output to non-blocking mode and start to log.
+ * @node: id of the instance, which is part of each line; the function copies
+ * it
+ */
 void logline_open (const char *node);
-/** logline_write() - One line of "name=value" words. */
-void logline_write (int64_t now_ms, const char *line);
-/** logline_flush() - Hand on what waits, as far as the reader takes it. */
+
+/**
+ * logline_write() - Add one line to the buffer.
+ * @wall_ms: time of the wall clock, written at the start of the line
+ * @line: "name=value" words, without a newline
+ */
+void logline_write (int64_t wall_ms, const char *line);
+
+/**
+ * logline_flush() - Write as much of the buffer as possible to standard output
+ * without blocking.
+ */
 void logline_flush (void);
+
+/**
+ * logline_stats() - Return: the counts of log lines since the process started;
+ * the pointer is valid until the process exits.
+ */
 const struct logline_stats *logline_stats (void);
 
 #endif
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -1,3 +1,4 @@
+/* Reads the settings from command-line flags and environment variables. */
 #include "citronlbd.h"
 
 #include <argp.h>
@@ -6,7 +7,7 @@
 #include <string.h>
 #include <sysexits.h>
 
-/* enum opt_key - flags without a short form */
+/* enum opt_key - argp keys of the flags, none of which has a short form */
 enum opt_key
 {
   OPT_ID = 0x100,
@@ -16,30 +17,35 @@
   OPT_PLATFORM,
   OPT_TLS_CERT,
   OPT_TLS_KEY,
-  OPT_PEER_PUBLIC,
-  OPT_PEER_SECRET_FILE,
-  OPT_PEER_PERMITTED,
+  OPT_PEER_PUBLIC_KEY,
+  OPT_PEER_SECRET_KEY_FILE,
+  OPT_PERMITTED_PEER_KEYS,
   OPT_INSECURE_PEERS,
   OPT_FIRST_KEY,
   OPT_ADDR_FILE,
   OPT_FLEET,
 };
 
-/* struct setting - one flag and the variable that stands in for it */
+/* struct setting - a setting, given by a flag or an environment variable */
 struct setting
 {
-  int key;
+  /* Key of the setting, an enum opt_key. */
+  int opt_key;
+  /* Name of the flag, without the leading "--". */
   const char *flag;
+  /* Name of the environment variable. */
   const char *env;
-  const char *value; /* from the command line, else the environment */
+  /* Argument of the flag, or else the value of the environment variable; NULL
+     if neither is given.  A flag without an argument sets the value to "1". */
+  const char *value;
 };
 
 enum
 {
-  SETTINGS_N = 14,
+  N_SETTINGS = 14,
 };
 
-static struct setting settings[SETTINGS_N] = {
+static struct setting settings[N_SETTINGS] = {
   { OPT_ID, "id", "CITRONLB_ID", NULL },
   { OPT_DOMAIN, "domain", "CITRONLB_DOMAIN", NULL },
   { OPT_LISTEN, "listen", "CITRONLB_LISTEN", NULL },
@@ -47,10 +53,11 @@
   { OPT_PLATFORM, "platform", "CITRONLB_PLATFORM", NULL },
   { OPT_TLS_CERT, "tls-cert", "CITRONLB_TLS_CERT", NULL },
   { OPT_TLS_KEY, "tls-key", "CITRONLB_TLS_KEY", NULL },
-  { OPT_PEER_PUBLIC, "peer-public", "CITRONLB_PEER_PUBLIC", NULL },
-  { OPT_PEER_SECRET_FILE, "peer-secret-file", "CITRONLB_PEER_SECRET_FILE",
+  { OPT_PEER_PUBLIC_KEY, "peer-public", "CITRONLB_PEER_PUBLIC", NULL },
+  { OPT_PEER_SECRET_KEY_FILE, "peer-secret-file", "CITRONLB_PEER_SECRET_FILE",
+    NULL },
+  { OPT_PERMITTED_PEER_KEYS, "peer-permitted", "CITRONLB_PEER_PERMITTED",
     NULL },
-  { OPT_PEER_PERMITTED, "peer-permitted", "CITRONLB_PEER_PERMITTED", NULL },
   { OPT_INSECURE_PEERS, "insecure-peers", "CITRONLB_INSECURE_PEERS", NULL },
   { OPT_FIRST_KEY, "first-key", "CITRONLB_FIRST_KEY", NULL },
   { OPT_ADDR_FILE, "addr-file", "CITRONLB_ADDR_FILE", NULL },
@@ -58,34 +65,42 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "id", OPT_ID, "NAME", 0, "This entry instance's name", 0 },
-  { "domain", OPT_DOMAIN, "NAME", 0, "Its failure domain", 0 },
-  { "listen", OPT_LISTEN, "IP:PORT", 0, "For callers; port 0 takes any", 0 },
-  { "peer-listen", OPT_PEER_LISTEN, "IP:PORT", 0, "For other instances", 0 },
-  { "platform", OPT_PLATFORM, "IP:PORT", 0, "The platform's service", 0 },
-  { "tls-cert", OPT_TLS_CERT, "FILE", 0, "Certificate chain, PEM", 0 },
-  { "tls-key", OPT_TLS_KEY, "FILE", 0, "Its key, PEM", 0 },
-  { "peer-public", OPT_PEER_PUBLIC, "Z85", 0, "Public key of peer links", 0 },
-  { "peer-secret-file", OPT_PEER_SECRET_FILE, "FILE", 0,
-    "File with the secret key of peer links", 0 },
-  { "peer-permitted", OPT_PEER_PERMITTED, "Z85,...", 0,
-    "Public keys that peers may show; the own one if not given", 0 },
+  { "id", OPT_ID, "NAME", 0, "Name of this entry instance", 0 },
+  { "domain", OPT_DOMAIN, "NAME", 0, "Failure domain of this instance", 0 },
+  { "listen", OPT_LISTEN, "IP:PORT", 0,
+    "Address for callers; port 0 selects a free one", 0 },
+  { "peer-listen", OPT_PEER_LISTEN, "IP:PORT", 0,
+    "Address for other instances", 0 },
+  { "platform", OPT_PLATFORM, "IP:PORT", 0,
+    "Address of the platform's service", 0 },
+  { "tls-cert", OPT_TLS_CERT, "FILE", 0, "Certificate chain in PEM format",
+    0 },
+  { "tls-key", OPT_TLS_KEY, "FILE", 0,
+    "Private key of the certificate in PEM format", 0 },
+  { "peer-public", OPT_PEER_PUBLIC_KEY, "Z85", 0, "Public key for peer links",
+    0 },
+  { "peer-secret-file", OPT_PEER_SECRET_KEY_FILE, "FILE", 0,
+    "File with the secret key for peer links", 0 },
+  { "peer-permitted", OPT_PERMITTED_PEER_KEYS, "Z85,...", 0,
+    "Public keys that peers may use; default: the one of --peer-public", 0 },
   { "insecure-peers", OPT_INSECURE_PEERS, NULL, 0,
-    "Peer links in clear text, for a demonstration", 0 },
+    "Peer links in clear text, open to everyone; for demonstrations only", 0 },
   { "first-key", OPT_FIRST_KEY, "SALT:HASH", 0,
-    "Operator's key until a manifest is accepted", 0 },
+    "Operator's key that works until a manifest is accepted", 0 },
   { "addr-file", OPT_ADDR_FILE, "FILE", 0,
-    "Write the addresses listened on to this file", 0 },
+    "Write the bound addresses to this file", 0 },
   { "fleet", OPT_FLEET, "FILE", 0,
-    "Run on the fleet's platform, with its settings in FILE", 0 },
+    "Run on the fleet's platform, with the settings in FILE", 0 },
   { 0 },
 };
 
+/* Returns the setting that has the enum opt_key @key, or NULL if none has it.
+ */
 static struct setting *
-setting_of (int key)
+find_setting (int key)
 {
-  for (int i = 0; i < SETTINGS_N; i++)
-    if (settings[i].key == key)
+  for (int i = 0; i < N_SETTINGS; i++)
+    if (settings[i].opt_key == key)
       return &settings[i];
   return NULL;
 }
@@ -93,7 +108,7 @@
 static error_t
 parse_opt (int key, char *arg, struct argp_state *state)
 {
-  struct setting *s = setting_of (key);
+  struct setting *s = find_setting (key);
 
   if (s)
     s->value = arg ? arg : "1";
@@ -104,127 +119,148 @@
   return 0;
 }
 
-static void __attribute__ ((noreturn)) bad (int key, const char *what)
+/* Prints what is wrong with setting @key and exits. */
+static void __attribute__ ((noreturn))
+reject_setting (int key, const char *problem)
 {
-  const struct setting *s = setting_of (key);
+  const struct setting *s = find_setting (key);
 
-  fprintf (stderr, "citronlbd: --%s (%s): %s\n", s->flag, s->env, what);
+  fprintf (stderr, "citronlbd: --%s (%s): %s\n", s->flag, s->env, problem);
   exit (EX_CONFIG);
 }
 
+/* Returns the value of setting @key, or NULL if it is not given. */
 static const char *
-value_of (int key)
+setting_value (int key)
 {
-  return setting_of (key)->value;
+  return find_setting (key)->value;
 }
 
+/* Copies setting @key to @out.  Exits if it is not given or not a valid name.
+ */
 static void
-take_name (int key, char *out, size_t size)
+read_name (int key, char *out, size_t size)
 {
-  const char *v = value_of (key);
+  const char *value = setting_value (key);
 
-  if (!v || !*v)
-    bad (key, "must be set");
-  if (strlen (v) >= size || strlen (v) > 30
-      || strspn (v, "abcdefghijklmnopqrstuvwxyz"
-                    "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-")
-             != strlen (v))
-    bad (key, "1 to 30 letters, digits, '_' and '-'");
-  clb_copy (out, v, size);
+  if (!value || !*value)
+    reject_setting (key, "must be set");
+  if (strlen (value) >= size || strlen (value) > 30
+      || strspn (value, "abcdefghijklmnopqrstuvwxyz"
+                        "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-")
+             != strlen (value))
+    reject_setting (key, "must be 1 to 30 letters, digits, '_' or '-'");
+  clb_copy (out, value, size);
 }
 
+/* Copies setting @key to @out.  Exits if it is not given or does not have the
+   form "ip:port". */
 static void
-take_addr (int key, char *out)
+read_addr (int key, char *out)
 {
-  const char *v = value_of (key);
+  const char *value = setting_value (key);
   struct sockaddr_in sa;
   char ip[CLB_ADDR_MAX];
   char *end;
 
-  if (!v)
-    bad (key, "must be set");
-  clb_copy (ip, v, sizeof ip);
+  if (!value)
+    reject_setting (key, "must be set");
+  clb_copy (ip, value, sizeof ip);
   char *colon = strrchr (ip, ':');
-  if (!colon || strlen (v) >= CLB_ADDR_MAX)
-    bad (key, "must be IP:PORT");
+  if (!colon || strlen (value) >= CLB_ADDR_MAX)
+    reject_setting (key, "must be IP:PORT");
   *colon = '\0';
   long port = strtol (colon + 1, &end, 10);
   if (end == colon + 1 || *end || port < 0 || port > 65535)
-    bad (key, "the port must be 0 to 65535");
+    reject_setting (key, "the port must be 0 to 65535");
   if (uv_ip4_addr (ip, (int)port, &sa))
-    bad (key, "not an IP number");
-  clb_copy (out, v, CLB_ADDR_MAX);
+    reject_setting (key, "must be an IPv4 address");
+  clb_copy (out, value, CLB_ADDR_MAX);
 }
 
+/* Copies @value, a key in Z85 encoding from setting @key, to @out.  Exits if
+   its length is wrong. */
 static void
-take_z85 (int key, const char *v, char out[KEY_Z85_SIZE])
+read_key (int key, const char *value, char out[KEY_Z85_SIZE])
 {
-  if (strlen (v) != KEY_Z85_SIZE - 1)
-    bad (key, "a key has 40 characters");
-  clb_copy (out, v, KEY_Z85_SIZE);
+  if (strlen (value) != KEY_Z85_SIZE - 1)
+    reject_setting (key, "a key must have 40 characters");
+  clb_copy (out, value, KEY_Z85_SIZE);
 }
 
+/* Reads the secret key of the links between instances from the first line of
+   its file. */
 static void
-take_secret (struct options *opt)
+read_secret_key (struct options *opt)
 {
-  const char *path = value_of (OPT_PEER_SECRET_FILE);
+  const char *path = setting_value (OPT_PEER_SECRET_KEY_FILE);
   char line[128] = "";
   FILE *f = fopen (path, "r");
 
   if (!f)
-    bad (OPT_PEER_SECRET_FILE, "cannot be read");
+    reject_setting (OPT_PEER_SECRET_KEY_FILE, "cannot be read");
   if (!fgets (line, sizeof line, f))
     line[0] = '\0';
   fclose (f);
   line[strcspn (line, "\r\n")] = '\0';
-  take_z85 (OPT_PEER_SECRET_FILE, line, opt->peer_secret);
+  read_key (OPT_PEER_SECRET_KEY_FILE, line, opt->peer_secret_key);
 }
 
+/* Reads the public keys that peers may use.  If the setting is not given,
+   peers may use only the instance's own public key. */
 static void
-take_permitted (struct options *opt)
+read_permitted_keys (struct options *opt)
 {
-  const char *v = value_of (OPT_PEER_PERMITTED);
-  char copy[PERMITTED_MAX * KEY_Z85_SIZE + 1];
-  char *save = NULL;
+  const char *value = setting_value (OPT_PERMITTED_PEER_KEYS);
+  char copy[PERMITTED_KEYS_MAX * KEY_Z85_SIZE + 1];
+  char *strtok_state = NULL;
 
-  if (!v)
-    v = opt->peer_public;
-  if (strlen (v) >= sizeof copy)
-    bad (OPT_PEER_PERMITTED, "at most 8 keys");
-  clb_copy (copy, v, sizeof copy);
-  for (char *k = strtok_r (copy, ",", &save); k;
-       k = strtok_r (NULL, ",", &save))
-    if (opt->n_permitted < PERMITTED_MAX)
-      take_z85 (OPT_PEER_PERMITTED, k, opt->permitted[opt->n_permitted++]);
+  if (!value)
+    value = opt->peer_public_key;
+  if (strlen (value) >= sizeof copy)
+    reject_setting (OPT_PERMITTED_PEER_KEYS, "must be at most 8 keys");
+  clb_copy (copy, value, sizeof copy);
+  for (char *k = strtok_r (copy, ",", &strtok_state); k;
+       k = strtok_r (NULL, ",", &strtok_state))
+    if (opt->n_permitted_peer_keys < PERMITTED_KEYS_MAX)
+      read_key (OPT_PERMITTED_PEER_KEYS, k,
+                opt->permitted_peer_keys[opt->n_permitted_peer_keys++]);
 }
 
+/* Reads the keys of the links between instances. */
 static void
-take_peer_keys (struct options *opt)
+read_peer_keys (struct options *opt)
 {
-  opt->insecure_peers = value_of (OPT_INSECURE_PEERS) != NULL;
+  opt->insecure_peers = setting_value (OPT_INSECURE_PEERS) != NULL;
   if (opt->insecure_peers)
     return;
-  if (!value_of (OPT_PEER_PUBLIC))
-    bad (OPT_PEER_PUBLIC, "must be set, or --insecure-peers");
-  if (!value_of (OPT_PEER_SECRET_FILE))
-    bad (OPT_PEER_SECRET_FILE, "must be set, or --insecure-peers");
-  take_z85 (OPT_PEER_PUBLIC, value_of (OPT_PEER_PUBLIC), opt->peer_public);
-  take_secret (opt);
-  take_permitted (opt);
+  if (!setting_value (OPT_PEER_PUBLIC_KEY))
+    reject_setting (OPT_PEER_PUBLIC_KEY,
+                    "must be set, unless --insecure-peers is");
+  if (!setting_value (OPT_PEER_SECRET_KEY_FILE))
+    reject_setting (OPT_PEER_SECRET_KEY_FILE,
+                    "must be set, unless --insecure-peers is");
+  read_key (OPT_PEER_PUBLIC_KEY, setting_value (OPT_PEER_PUBLIC_KEY),
+            opt->peer_public_key);
+  read_secret_key (opt);
+  read_permitted_keys (opt);
 }
 
+/* Reads the optional key of an operator that is valid until a manifest is
+   accepted. */
 static void
-take_first_key (struct options *opt)
+read_first_key (struct options *opt)
 {
-  const char *v = value_of (OPT_FIRST_KEY);
-  const char *colon = v ? strchr (v, ':') : NULL;
+  const char *value = setting_value (OPT_FIRST_KEY);
+  const char *colon = value ? strchr (value, ':') : NULL;
 
-  if (!v)
+  if (!value)
     return;
-  if (!colon || (size_t)(colon - v) >= sizeof opt->node.first_key_salt
+  if (!colon || (size_t)(colon - value) >= sizeof opt->node.first_key_salt
       || strlen (colon + 1) != CONF_HASH_HEX - 1)
-    bad (OPT_FIRST_KEY, "must be SALT:HASH as 'citronctl key' prints it");
-  memcpy (opt->node.first_key_salt, v, (size_t)(colon - v));
+    reject_setting (OPT_FIRST_KEY,
+                    "must be SALT:HASH as printed by 'citronctl key'");
+  memcpy (opt->node.first_key_salt, value, (size_t)(colon - value));
   clb_copy (opt->node.first_key_hash, colon + 1, CONF_HASH_HEX);
 }
 
@@ -237,25 +273,25 @@
           .doc = "One entry instance of the citronlb cluster scheduler." };
 
   memset (opt, 0, sizeof *opt);
-  for (int i = 0; i < SETTINGS_N; i++)
+  for (int i = 0; i < N_SETTINGS; i++)
     settings[i].value = getenv (settings[i].env);
   argp_err_exit_status = EX_USAGE;
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
-  opt->fleet_file = value_of (OPT_FLEET);
+  opt->fleet_file = setting_value (OPT_FLEET);
   if (opt->fleet_file)
     return;
-  take_name (OPT_ID, opt->node.id, sizeof opt->node.id);
-  take_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
-  take_addr (OPT_LISTEN, opt->listen);
-  take_addr (OPT_PEER_LISTEN, opt->peer_listen);
-  take_addr (OPT_PLATFORM, opt->platform);
-  opt->cert = value_of (OPT_TLS_CERT);
-  opt->key = value_of (OPT_TLS_KEY);
-  if (opt->cert && !opt->key)
-    bad (OPT_TLS_KEY, "must be set with --tls-cert");
-  if (opt->key && !opt->cert)
-    bad (OPT_TLS_CERT, "must be set with --tls-key");
-  take_peer_keys (opt);
-  take_first_key (opt);
-  opt->addr_file = value_of (OPT_ADDR_FILE);
+  read_name (OPT_ID, opt->node.id, sizeof opt->node.id);
+  read_name (OPT_DOMAIN, opt->node.domain, sizeof opt->node.domain);
+  read_addr (OPT_LISTEN, opt->listen_addr);
+  read_addr (OPT_PEER_LISTEN, opt->peer_listen_addr);
+  read_addr (OPT_PLATFORM, opt->platform_addr);
+  opt->cert_file = setting_value (OPT_TLS_CERT);
+  opt->key_file = setting_value (OPT_TLS_KEY);
+  if (opt->cert_file && !opt->key_file)
+    reject_setting (OPT_TLS_KEY, "must be set with --tls-cert");
+  if (opt->key_file && !opt->cert_file)
+    reject_setting (OPT_TLS_CERT, "must be set with --tls-key");
+  read_peer_keys (opt);
+  read_first_key (opt);
+  opt->addr_file = setting_value (OPT_ADDR_FILE);
 }
--- a/net/httpc.h
+++ b/net/httpc.h
@@ -1,5 +1,7 @@
 /**
- * DOC: HTTP client of the daemon: libcurl's multi interface on a libuv loop.
+ * DOC: This module is the daemon's HTTP client.  A libuv loop drives libcurl's
+ * multi interface.  Requests run concurrently; their results arrive through
+ * callbacks.
  */
 #ifndef HTTPC_H
 #define HTTPC_H
@@ -11,49 +13,103 @@
 
 struct httpc;
 
-/** enum httpc_result - what is known of a request that has ended */
+/** enum httpc_result - result of a request */
 enum httpc_result
 {
-  HTTPC_OK,        /* a whole answer came, whatever its status */
-  HTTPC_UNREACHED, /* no byte of the request left */
-  HTTPC_FAILED,    /* bytes left and no whole answer came */
+  /* A complete response arrived, with any status. */
+  HTTPC_OK,
+  /* No byte of the request was sent, so the server has not seen it. */
+  HTTPC_UNREACHED,
+  /* Bytes of the request were sent, but no complete response arrived, so the
+     outcome is unknown. */
+  HTTPC_FAILED,
 };
 
-/** struct httpc_req - copied where it must outlive the call */
+/**
+ * struct httpc_req - a request
+ *
+ * httpc_send() copies the strings and the body, so that they need not outlive
+ * the call.
+ */
 struct httpc_req
 {
   const char *method;
   const char *url;
-  const char *type;       /* Content-Type, or NULL */
-  const char *request_id; /* X-Request-Id, or NULL */
-  const char *header;     /* another one, "Name: value", or NULL */
+  /* Value of the Content-Type header, or NULL for none. */
+  const char *content_type;
+  /* Value of the X-Request-Id header, or NULL for none. */
+  const char *request_id;
+  /* One more header as "Name: value", or NULL. */
+  const char *extra_header;
+  /* Body of the request, with @body_len bytes; NULL if it has none. */
   const char *body;
   size_t body_len;
+  /* Maximum time of the whole request, from httpc_send() to the end of the
+     response; 0 for no limit. */
   int64_t timeout_ms;
-  int64_t connect_ms;
-  bool new_connection; /* on a new connection, never sent twice by the library
-                        */
+  /* Maximum time to connect; 0 selects libcurl's default. */
+  int64_t connect_timeout_ms;
+  /* True if the request gets a connection of its own.  On a reused connection
+     that turns out to be dead, libcurl sends the request a second time. */
+  bool new_connection;
+  /* First argument of the callbacks. */
   void *arg;
-  /** on_head - may be NULL; then the whole body comes with on_end */
-  void (*on_head) (void *arg, int status, const char *type);
-  /** on_data - false stops the flow until httpc_resume() */
+  /**
+   * on_head - Called at most once, with the status and the Content-Type (NULL
+   * if there is none): before the first call of on_data, or before on_end if
+   * the body is empty.  May be NULL.
+   */
+  void (*on_head) (void *arg, int status, const char *content_type);
+  /**
+   * on_data - Called with each piece of the response's body.  Returns false to
+   * pause the response until httpc_resume().  NULL if the whole body is to be
+   * passed to on_end.
+   */
   bool (*on_data) (void *arg, const char *data, size_t len);
-  /** on_end - once, last; @body is NULL when on_data is set */
-  void (*on_end) (void *arg, int end, int status, const char *body,
+  /**
+   * on_end - Called exactly once, as the last callback.
+   * @result: enum httpc_result
+   * @status: HTTP status; 0 if no response arrived
+   * @body: the response's body, terminated with a NUL and valid during the
+   *        call; NULL if it is empty or on_data is set
+   * @len: number of bytes of the body
+   */
+  void (*on_end) (void *arg, int result, int status, const char *body,
                   size_t len);
 };
 
+/** httpc_new() - Create a client, which lives as long as the process. */
 struct httpc *httpc_new (uv_loop_t *loop);
+
+/**
+ * httpc_limit() - Limit the number of connections.
+ * @max_per_host: maximum number of connections to one server; further requests
+ *                wait for one of them, and their timeout covers the wait
+ * @max_idle: maximum number of idle connections kept open, over all servers
+ */
+void httpc_limit (struct httpc *c, long max_per_host, long max_idle);
+
 /**
- * httpc_limit() - Bound the connections.
- * @each: to one server; more requests wait in line, within their time-out
- * @kept: idle ones, for all servers together
+ * httpc_send() - Start a request.
+ *
+ * Return: the id of the request for httpc_resume() and httpc_abort(); never 0.
  */
-void httpc_limit (struct httpc *c, long each, long kept);
-/** httpc_send() - Return: a number for httpc_resume() and httpc_abort(). */
 uint64_t httpc_send (struct httpc *c, const struct httpc_req *rq);
-void httpc_resume (struct httpc *c, uint64_t no);
-/** httpc_abort() - on_end follows at once with HTTPC_FAILED. */
-void httpc_abort (struct httpc *c, uint64_t no);
+
+/**
+ * httpc_resume() - Resume a response that on_data has paused.
+ *
+ * Does nothing if request @id has ended or its response is not paused.
+ */
+void httpc_resume (struct httpc *c, uint64_t id);
+
+/**
+ * httpc_abort() - Abort a request.
+ *
+ * Before the function returns, it calls on_end with HTTPC_FAILED, or with
+ * HTTPC_UNREACHED if no byte was sent.  It does nothing if request @id has
+ * ended.
+ */
+void httpc_abort (struct httpc *c, uint64_t id);
 
 #endif
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -10,34 +10,49 @@
 
 enum
 {
-  BACKLOG = 512,              /* connections not yet accepted */
-  REQUEST_TIMEOUT_MS = 10000, /* to send head and body of a request */
-  IDLE_TIMEOUT_MS = 60000,    /* HTTP/2 connection without a request */
+  /* Maximum number of connections that wait to be accepted. */
+  LISTEN_BACKLOG = 512,
+  /* Maximum time that a client may take to send the head and body of a
+     request. */
+  REQUEST_TIMEOUT_MS = 10000,
+  /* Time after which an HTTP/2 connection without a request is closed. */
+  IDLE_TIMEOUT_MS = 60000,
+  /* Size of a buffer for an address "ip:port". */
   ADDR_SIZE = 64,
-  RETRY_SIZE = 24,
+  /* Size of a buffer for the value of a Retry-After header. */
+  RETRY_AFTER_SIZE = 24,
 };
 
-/* struct live - a request whose answer is not done */
-struct live
+/* struct exchange - a request that has no complete response yet */
+struct exchange
 {
-  RB_ENTRY (live) by_no;
+  RB_ENTRY (exchange) by_id;
   struct httpd *d;
   h2o_req_t *req;
   h2o_generator_t gen;
-  uint64_t no;
-  char *text; /* strings of struct httpd_req */
-  char *buf;  /* streamed bytes waiting */
-  size_t len;
-  char *sending; /* streamed bytes handed to the server */
+  uint64_t id;
+  /* Block of memory that contains the strings of struct httpd_req. */
+  char *strings;
+  /* Bytes of the response that wait for the current h2o_send() to end. */
+  char *queued;
+  size_t queued_len;
+  /* Bytes of the response that the current h2o_send() sends. */
+  char *sending;
   size_t sending_len;
+  /* True once httpd_begin() has been called. */
   bool streaming;
-  bool in_flight;
+  /* True from h2o_send() until libh2o calls on_proceed(). */
+  bool send_in_progress;
+  /* True once httpd_end() has been called. */
   bool ending;
-  bool whole;
+  /* True if httpd_end() ended the response as complete, false if it aborts
+     the response. */
+  bool complete;
 };
-RB_HEAD (live_tree, live);
+RB_HEAD (exchange_tree, exchange);
 
-/* The handler that libh2o calls, and the way back from it. */
+/* struct handler - request handler of libh2o, extended by the server that it
+   belongs to */
 struct handler
 {
   h2o_handler_t super;
@@ -48,96 +63,107 @@
 {
   struct httpd_conf conf;
   uv_tcp_t listener;
+  /* True while the server accepts connections. */
   bool listening;
-  h2o_globalconf_t global;
+  h2o_globalconf_t global_conf;
   h2o_context_t ctx;
-  h2o_accept_ctx_t accept;
-  struct live_tree live;
-  size_t n_live;
-  uint64_t next_no;
+  h2o_accept_ctx_t accept_ctx;
+  struct exchange_tree exchanges;
+  size_t n_exchanges;
+  /* Id of the last request; 0 before the first one. */
+  uint64_t last_id;
+  /* Address that the server listens on, as "ip:port". */
   char addr[ADDR_SIZE];
 };
 
 static int
-live_cmp (const struct live *a, const struct live *b)
+exchange_cmp (const struct exchange *a, const struct exchange *b)
 {
-  return a->no < b->no ? -1 : a->no > b->no;
+  return a->id < b->id ? -1 : a->id > b->id;
 }
 
-RB_PROTOTYPE (live_tree, live, by_no, live_cmp)
-RB_GENERATE (live_tree, live, by_no, live_cmp)
+RB_PROTOTYPE (exchange_tree, exchange, by_id, exchange_cmp)
+RB_GENERATE (exchange_tree, exchange, by_id, exchange_cmp)
 
-static struct live *
-live_find (struct httpd *d, uint64_t no)
+static struct exchange *
+exchange_find (struct httpd *d, uint64_t id)
 {
-  struct live key = { .no = no };
+  struct exchange key = { .id = id };
 
-  return RB_FIND (live_tree, &d->live, &key);
+  return RB_FIND (exchange_tree, &d->exchanges, &key);
 }
 
-/* Called by libh2o when the request's memory goes. */
+/* Frees the exchange that *@slot points to.  libh2o calls the function when it
+   frees the memory of the request, as the response has been sent or the
+   connection was closed. */
 static void
-live_dispose (void *p)
+exchange_dispose (void *slot)
 {
-  struct live *l = *(struct live **)p;
-  struct httpd *d = l->d;
-  uint64_t no = l->no;
-  bool gone = !l->ending;
-
-  RB_REMOVE (live_tree, &d->live, l);
-  d->n_live--;
-  free (l->text);
-  free (l->buf);
-  free (l->sending);
-  free (l);
-  if (gone)
-    d->conf.on_disconnect (d->conf.arg, no);
+  struct exchange *x = *(struct exchange **)slot;
+  struct httpd *d = x->d;
+  uint64_t id = x->id;
+  bool disconnected = !x->ending;
+
+  RB_REMOVE (exchange_tree, &d->exchanges, x);
+  d->n_exchanges--;
+  free (x->strings);
+  free (x->queued);
+  free (x->sending);
+  free (x);
+  if (disconnected)
+    d->conf.on_disconnect (d->conf.arg, id);
 }
 
+/* Copies the @len bytes of @src and a NUL to *@pos and moves *@pos behind
+   them.  Returns the copy. */
 static const char *
-copy_text (char **at, const char *src, size_t len)
+copy_text (char **pos, const char *src, size_t len)
 {
-  char *start = *at;
+  char *start = *pos;
 
   memcpy (start, src, len);
   start[len] = '\0';
-  *at += len + 1;
+  *pos += len + 1;
   return start;
 }
 
+/* Copies the value of header @name and a NUL to *@pos and moves *@pos behind
+   them.  Returns the copy, or NULL if the request has no such header. */
 static const char *
-copy_header (char **at, h2o_req_t *req, const char *name)
+copy_header (char **pos, h2o_req_t *req, const char *name)
 {
   ssize_t i = h2o_find_header_by_str (&req->headers, name, strlen (name), -1);
 
   if (i < 0)
     return NULL;
   h2o_iovec_t v = req->headers.entries[i].value;
-  return copy_text (at, v.base, v.len);
+  return copy_text (pos, v.base, v.len);
 }
 
+/* Sets *@rq to the request of @x.  The strings of @rq are in one block of
+   memory, which @x owns. */
 static void
-fill_request (struct live *l, struct httpd_req *rq)
+fill_request (struct exchange *x, struct httpd_req *rq)
 {
-  h2o_req_t *req = l->req;
+  h2o_req_t *req = x->req;
   size_t size = req->method.len + req->path.len + req->authority.len + 8;
   const char prefix[] = "Bearer ";
 
   for (size_t i = 0; i < req->headers.size; i++)
     size += req->headers.entries[i].value.len + 1;
-  l->text = malloc (size);
-  if (!l->text)
+  x->strings = malloc (size);
+  if (!x->strings)
     abort ();
-  char *at = l->text;
-  rq->id = l->no;
-  rq->method = copy_text (&at, req->method.base, req->method.len);
-  rq->path = copy_text (&at, req->path.base, req->path.len);
-  rq->bearer = copy_header (&at, req, "authorization");
+  char *pos = x->strings;
+  rq->id = x->id;
+  rq->method = copy_text (&pos, req->method.base, req->method.len);
+  rq->path = copy_text (&pos, req->path.base, req->path.len);
+  rq->bearer = copy_header (&pos, req, "authorization");
   if (rq->bearer && strncmp (rq->bearer, prefix, sizeof prefix - 1) == 0)
     rq->bearer += sizeof prefix - 1;
-  rq->request_id = copy_header (&at, req, "x-request-id");
-  rq->type = copy_header (&at, req, "content-type");
-  rq->host = copy_text (&at, req->authority.base, req->authority.len);
+  rq->request_id = copy_header (&pos, req, "x-request-id");
+  rq->content_type = copy_header (&pos, req, "content-type");
+  rq->host = copy_text (&pos, req->authority.base, req->authority.len);
   ((char *)rq->host)[strcspn (rq->host, ":")] = '\0';
   rq->impl = req;
   rq->body = req->entity.base;
@@ -157,155 +183,167 @@
   return h2o_strdup (&req->pool, v.base, v.len).base;
 }
 
-static void flush_stream (struct live *l);
+static void flush_stream (struct exchange *x);
 
+/* Called by libh2o when the last h2o_send() has ended, so that more may be
+   sent. */
 static void
 on_proceed (h2o_generator_t *gen, h2o_req_t *req)
 {
-  struct live *l = H2O_STRUCT_FROM_MEMBER (struct live, gen, gen);
-  struct httpd *d = l->d;
-  uint64_t no = l->no;
+  struct exchange *x = H2O_STRUCT_FROM_MEMBER (struct exchange, gen, gen);
+  struct httpd *d = x->d;
+  uint64_t id = x->id;
 
   (void)req;
-  l->in_flight = false;
-  free (l->sending);
-  l->sending = NULL;
-  l->sending_len = 0;
-  flush_stream (l);
-  l = live_find (d, no);
-  if (l && !l->ending && d->conf.on_drained)
-    d->conf.on_drained (d->conf.arg, no);
+  x->send_in_progress = false;
+  free (x->sending);
+  x->sending = NULL;
+  x->sending_len = 0;
+  flush_stream (x);
+  x = exchange_find (d, id);
+  if (x && !x->ending && d->conf.on_drained)
+    d->conf.on_drained (d->conf.arg, id);
 }
 
+/* Called by libh2o when the connection was closed during a response.  Does
+   nothing. */
 static void
 on_stop (h2o_generator_t *gen, h2o_req_t *req)
 {
   (void)gen;
-  (void)req; /* live_dispose follows */
+  (void)req; /* libh2o calls exchange_dispose() next. */
 }
 
-/* Hands what is buffered to the server; one piece may be on its way. */
+/* Passes the queued bytes of the response to h2o_send(), unless a send is in
+   progress. */
 static void
-flush_stream (struct live *l)
+flush_stream (struct exchange *x)
 {
   h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 
-  if (l->in_flight || (l->len == 0 && !l->ending))
+  if (x->send_in_progress || (x->queued_len == 0 && !x->ending))
     return;
-  if (l->ending)
-    state = l->whole ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
-  l->sending = l->buf;
-  l->sending_len = l->len;
-  l->buf = NULL;
-  l->len = 0;
-  l->in_flight = true;
-  h2o_iovec_t v = h2o_iovec_init (l->sending, l->sending_len);
-  h2o_send (l->req, &v, v.len ? 1 : 0, state);
+  if (x->ending)
+    state = x->complete ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_ERROR;
+  x->sending = x->queued;
+  x->sending_len = x->queued_len;
+  x->queued = NULL;
+  x->queued_len = 0;
+  x->send_in_progress = true;
+  h2o_iovec_t v = h2o_iovec_init (x->sending, x->sending_len);
+  h2o_send (x->req, &v, v.len ? 1 : 0, state);
 }
 
+/* Called by libh2o for each request that has arrived with its whole body.
+   Passes the request to on_request. */
 static int
-on_req (h2o_handler_t *self, h2o_req_t *req)
+on_h2o_request (h2o_handler_t *self, h2o_req_t *req)
 {
   struct httpd *d = ((struct handler *)self)->d;
-  struct live *l = calloc (1, sizeof *l);
-  struct live **slot;
+  struct exchange *x = calloc (1, sizeof *x);
+  struct exchange **slot;
   struct httpd_req rq;
 
-  if (!l)
+  if (!x)
     return -1;
-  l->d = d;
-  l->req = req;
-  l->no = ++d->next_no;
-  l->gen.proceed = on_proceed;
-  l->gen.stop = on_stop;
-  RB_INSERT (live_tree, &d->live, l);
-  d->n_live++;
-  slot = h2o_mem_alloc_shared (&req->pool, sizeof *slot, live_dispose);
-  *slot = l;
-  fill_request (l, &rq);
+  x->d = d;
+  x->req = req;
+  x->id = ++d->last_id;
+  x->gen.proceed = on_proceed;
+  x->gen.stop = on_stop;
+  RB_INSERT (exchange_tree, &d->exchanges, x);
+  d->n_exchanges++;
+  slot = h2o_mem_alloc_shared (&req->pool, sizeof *slot, exchange_dispose);
+  *slot = x;
+  fill_request (x, &rq);
   d->conf.on_request (d->conf.arg, &rq);
   return 0;
 }
 
 void
-httpd_begin (struct httpd *d, uint64_t no, int status, const char *type)
+httpd_begin (struct httpd *d, uint64_t id, int status,
+             const char *content_type)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
 
-  if (!l || l->streaming)
+  if (!x || x->streaming)
     return;
-  l->streaming = true;
-  l->req->res.status = status;
-  l->req->res.reason = status < 300 ? "OK" : "Error";
-  if (type)
-    h2o_add_header (
-        &l->req->pool, &l->req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
-        h2o_strdup (&l->req->pool, type, SIZE_MAX).base, strlen (type));
-  h2o_start_response (l->req, &l->gen);
+  x->streaming = true;
+  x->req->res.status = status;
+  x->req->res.reason = status < 300 ? "OK" : "Error";
+  if (content_type)
+    h2o_add_header (&x->req->pool, &x->req->res.headers,
+                    H2O_TOKEN_CONTENT_TYPE, NULL,
+                    h2o_strdup (&x->req->pool, content_type, SIZE_MAX).base,
+                    strlen (content_type));
+  h2o_start_response (x->req, &x->gen);
 }
 
 size_t
-httpd_chunk (struct httpd *d, uint64_t no, const char *data, size_t len)
+httpd_chunk (struct httpd *d, uint64_t id, const char *data, size_t len)
 {
-  struct live *l = live_find (d, no);
-  char *grown;
+  struct exchange *x = exchange_find (d, id);
+  char *new_queued;
 
-  if (!l || !l->streaming || l->ending)
+  if (!x || !x->streaming || x->ending)
     return 0;
-  grown = realloc (l->buf, l->len + len + 1);
-  if (!grown)
+  new_queued = realloc (x->queued, x->queued_len + len + 1);
+  if (!new_queued)
     abort ();
-  l->buf = grown;
-  memcpy (l->buf + l->len, data, len);
-  l->len += len;
-  flush_stream (l);
-  l = live_find (d, no);
-  return l ? l->len + l->sending_len : 0;
+  x->queued = new_queued;
+  memcpy (x->queued + x->queued_len, data, len);
+  x->queued_len += len;
+  flush_stream (x);
+  x = exchange_find (d, id);
+  return x ? x->queued_len + x->sending_len : 0;
 }
 
 void
-httpd_end (struct httpd *d, uint64_t no, bool whole)
+httpd_end (struct httpd *d, uint64_t id, bool complete)
 {
-  struct live *l = live_find (d, no);
+  struct exchange *x = exchange_find (d, id);
 
-  if (!l || !l->streaming || l->ending)
+  if (!x || !x->streaming || x->ending)
     return;
-  l->ending = true;
-  l->whole = whole;
-  flush_stream (l);
+  x->ending = true;
+  x->complete = complete;
+  flush_stream (x);
 }
 
 void
-httpd_answer (struct httpd *d, uint64_t no, int status, const char *type,
-              const char *body, size_t len, int64_t retry_ms)
+httpd_answer (struct httpd *d, uint64_t id, int status,
+              const char *content_type, const char *body, size_t len,
+              int64_t retry_ms)
 {
-  struct live *l = live_find (d, no);
-  char retry[RETRY_SIZE];
+  struct exchange *x = exchange_find (d, id);
+  char retry_after[RETRY_AFTER_SIZE];
   int64_t seconds = (retry_ms + 999) / 1000;
 
-  if (!l || l->streaming || l->ending)
+  if (!x || x->streaming || x->ending)
     return;
   if (retry_ms > 0)
     {
-      int n = snprintf (retry, sizeof retry, "%lld", (long long)seconds);
+      int n = snprintf (retry_after, sizeof retry_after, "%lld",
+                        (long long)seconds);
       h2o_add_header_by_str (
-          &l->req->pool, &l->req->res.headers, H2O_STRLIT ("retry-after"), 1,
-          NULL, h2o_strdup (&l->req->pool, retry, SIZE_MAX).base, (size_t)n);
+          &x->req->pool, &x->req->res.headers, H2O_STRLIT ("retry-after"), 1,
+          NULL, h2o_strdup (&x->req->pool, retry_after, SIZE_MAX).base,
+          (size_t)n);
     }
-  l->req->res.content_length = len;
-  httpd_begin (d, no, status, type);
+  x->req->res.content_length = len;
+  httpd_begin (d, id, status, content_type);
   if (len)
     {
-      l->buf = malloc (len);
-      if (!l->buf)
+      x->queued = malloc (len);
+      if (!x->queued)
         abort ();
-      memcpy (l->buf, body, len);
-      l->len = len;
+      memcpy (x->queued, body, len);
+      x->queued_len = len;
     }
-  httpd_end (d, no, true);
+  httpd_end (d, id, true);
 }
 
-/* Listening. */
+/* The following functions accept connections and configure TLS. */
 
 static void
 free_handle (uv_handle_t *h)
@@ -313,6 +351,7 @@
   free (h);
 }
 
+/* Accepts a connection and passes it to libh2o. */
 static void
 on_connection (uv_stream_t *listener, int status)
 {
@@ -331,10 +370,12 @@
       return;
     }
   uv_tcp_nodelay (conn, 1);
-  h2o_accept (&d->accept,
+  h2o_accept (&d->accept_ctx,
               h2o_uv_socket_create ((uv_stream_t *)conn, free_handle));
 }
 
+/* Parses @addr, which has the form "ip:port".  Returns 0 or a negative libuv
+   error. */
 static int
 parse_addr (const char *addr, struct sockaddr_in *out)
 {
@@ -348,6 +389,8 @@
   return uv_ip4_addr (ip, atoi (colon + 1), out);
 }
 
+/* Binds the listener to conf.addr and starts to listen.  Returns 0 or a
+   negative libuv error. */
 static int
 listen_on (struct httpd *d, uv_loop_t *loop)
 {
@@ -362,7 +405,8 @@
   d->listener.data = d;
   err = uv_tcp_bind (&d->listener, (struct sockaddr *)&sa, 0);
   if (!err)
-    err = uv_listen ((uv_stream_t *)&d->listener, BACKLOG, on_connection);
+    err = uv_listen ((uv_stream_t *)&d->listener, LISTEN_BACKLOG,
+                     on_connection);
   if (err)
     return err;
   uv_tcp_getsockname (&d->listener, (struct sockaddr *)&sa, &len);
@@ -372,6 +416,8 @@
   return 0;
 }
 
+/* Returns a TLS context with the certificate and key of @c, or NULL if they
+   cannot be used. */
 static SSL_CTX *
 load_tls (const struct httpd_conf *c)
 {
@@ -381,8 +427,8 @@
     return NULL;
   SSL_CTX_set_min_proto_version (ssl, TLS1_2_VERSION);
   h2o_ssl_register_alpn_protocols (ssl, h2o_http2_alpn_protocols);
-  if (SSL_CTX_use_certificate_chain_file (ssl, c->cert) == 1
-      && SSL_CTX_use_PrivateKey_file (ssl, c->key, SSL_FILETYPE_PEM) == 1)
+  if (SSL_CTX_use_certificate_chain_file (ssl, c->cert_file) == 1
+      && SSL_CTX_use_PrivateKey_file (ssl, c->key_file, SSL_FILETYPE_PEM) == 1)
     return ssl;
   SSL_CTX_free (ssl);
   return NULL;
@@ -393,15 +439,16 @@
 {
   SSL_CTX *ssl;
 
-  if (!d->conf.cert)
+  if (!d->conf.cert_file)
     return 0;
   ssl = load_tls (&d->conf);
   if (!ssl)
     return -1;
-  /* Connections that use the old one keep it alive. */
-  if (d->accept.ssl_ctx)
-    SSL_CTX_free (d->accept.ssl_ctx);
-  d->accept.ssl_ctx = ssl;
+  /* The TLS context is reference-counted, so open connections keep the old
+     one. */
+  if (d->accept_ctx.ssl_ctx)
+    SSL_CTX_free (d->accept_ctx.ssl_ctx);
+  d->accept_ctx.ssl_ctx = ssl;
   return 0;
 }
 
@@ -416,21 +463,21 @@
   if (!d)
     abort ();
   d->conf = *conf;
-  RB_INIT (&d->live);
-  h2o_config_init (&d->global);
-  d->global.max_request_entity_size = conf->body_max;
-  d->global.http1.req_timeout = REQUEST_TIMEOUT_MS;
-  d->global.http2.idle_timeout = IDLE_TIMEOUT_MS;
+  RB_INIT (&d->exchanges);
+  h2o_config_init (&d->global_conf);
+  d->global_conf.max_request_entity_size = conf->max_body_bytes;
+  d->global_conf.http1.req_timeout = REQUEST_TIMEOUT_MS;
+  d->global_conf.http2.idle_timeout = IDLE_TIMEOUT_MS;
   host = h2o_config_register_host (
-      &d->global, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
+      &d->global_conf, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
   path = h2o_config_register_path (host, "/", 0);
   handler = (struct handler *)h2o_create_handler (path, sizeof *handler);
-  handler->super.on_req = on_req;
+  handler->super.on_req = on_h2o_request;
   handler->d = d;
-  h2o_context_init (&d->ctx, loop, &d->global);
-  d->accept.ctx = &d->ctx;
-  d->accept.hosts = d->global.hosts;
-  *err = conf->cert && httpd_reload (d) ? UV_EINVAL : listen_on (d, loop);
+  h2o_context_init (&d->ctx, loop, &d->global_conf);
+  d->accept_ctx.ctx = &d->ctx;
+  d->accept_ctx.hosts = d->global_conf.hosts;
+  *err = conf->cert_file && httpd_reload (d) ? UV_EINVAL : listen_on (d, loop);
   return *err ? NULL : d;
 }
 
@@ -443,7 +490,7 @@
 size_t
 httpd_n_pending (const struct httpd *d)
 {
-  return d->n_live;
+  return d->n_exchanges;
 }
 
 void
@@ -453,6 +500,6 @@
     return;
   d->listening = false;
   uv_close ((uv_handle_t *)&d->listener, NULL);
-  /* Idle keep-alive connections are told to go. */
+  /* Close idle keep-alive connections. */
   h2o_context_request_shutdown (&d->ctx);
 }
