--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -20,7 +20,7 @@
   TICK_FOLLOWER_MS = 25,
   /* Maximum number of connections to one executor.  The daemon uses them to
      poll for ended tasks and to start tasks. */
-  EXEC_CONNECTIONS_MAX = 4,
+  CONNECTIONS_PER_EXEC_MAX = 4,
   /* Maximum number of idle connections kept open, over all executors. */
   EXEC_IDLE_CONNECTIONS_MAX = 1500,
   /* Maximum number of connections to the table service.  Three feeds, the
@@ -292,7 +292,7 @@
 /* Ends the event loop after a signal to stop, once no request of a caller is
    pending or shortly before the platform kills the process. */
 static void
-stop_when_done (struct fleetd *d)
+end_loop_if_drained (struct fleetd *d)
 {
   int64_t elapsed_ms = boottime_ms () - d->stop_signal_ms;
 
@@ -358,7 +358,7 @@
   logline_flush ();
   tick_ms = d->fleet.fsched ? TICK_LEADER_MS : TICK_FOLLOWER_MS;
   uv_timer_start (t, on_timer, (uint64_t)tick_ms, 0);
-  stop_when_done (d);
+  end_loop_if_drained (d);
 }
 
 /* Reads the settings file again.  Called on SIGHUP. */
@@ -441,7 +441,7 @@
   httpc_limit (d->store_http_client, STORE_CONNECTIONS_MAX,
                STORE_IDLE_CONNECTIONS_MAX);
   d->exec_http_client = httpc_new (d->loop);
-  httpc_limit (d->exec_http_client, EXEC_CONNECTIONS_MAX,
+  httpc_limit (d->exec_http_client, CONNECTIONS_PER_EXEC_MAX,
                EXEC_IDLE_CONNECTIONS_MAX);
   d->store = (struct pf_store){ d->store_http_client, d->settings.store_addr,
                                 d, on_store_reply };
--- a/citronlbd/logline.c
+++ b/citronlbd/logline.c
@@ -12,9 +12,9 @@
 /* Number of bytes in the buffer. */
 static size_t n_buffered;
 static struct logline_stats stats;
-/* Second of the wall clock in which logline_write() was last called. */
+/* Wall-clock time of the last call of logline_write(), in whole seconds. */
 static int64_t current_second;
-/* Number of calls of logline_write() in the current second. */
+/* Number of calls of logline_write() in the second @current_second. */
 static int lines_in_second;
 /* Value of stats.dropped when an event=log-dropped line was last logged. */
 static uint64_t reported_dropped;
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -87,7 +87,7 @@
 /* Ends the event loop after a signal to stop, once the node has stopped and no
    request of a caller is pending. */
 static void
-stop_when_done (struct daemon *d)
+end_loop_if_drained (struct daemon *d)
 {
   /* Time at which the node was first found to be stopped; 0 before that. */
   static int64_t node_stopped_ms;
@@ -113,7 +113,7 @@
   s = d->node.sched;
   busy = s && !sched_idle (s);
   uv_timer_start (t, on_timer, busy ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
-  stop_when_done (d);
+  end_loop_if_drained (d);
 }
 
 static void
--- a/citronlbd/options.c
+++ b/citronlbd/options.c
@@ -136,8 +136,8 @@
   return find_setting (key)->value;
 }
 
-/* Copies setting @key to @out.  Exits if it is not given or not a valid name.
- */
+/* Copies the value of setting @key, a name, to @out.  Exits if the setting is
+   not given or its value is not a valid name. */
 static void
 read_name (int key, char *out, size_t size)
 {
@@ -153,8 +153,8 @@
   clb_copy (out, value, size);
 }
 
-/* Copies setting @key to @out.  Exits if it is not given or does not have the
-   form "ip:port". */
+/* Copies the value of setting @key, an address, to @out.  Exits if the setting
+   is not given or its value does not have the form "ip:port". */
 static void
 read_addr (int key, char *out)
 {
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -2,10 +2,11 @@
  * Sends operations to the platform's table service, object store and instance
  * list.
  *
- * An operation is one POST of struct store_op, which is answered by one struct
- * store_rep.  The assumptions about the platform are: status 503 means that
- * the operation had no effect, and status 504 that it may have had an effect;
- * a transaction is atomic; each write of a row raises the row's version.
+ * An operation is one HTTP POST whose body is an encoded struct store_op; the
+ * body of the response is an encoded struct store_rep.  The assumptions about
+ * the platform are: status 503 means that the operation had no effect, and
+ * status 504 that it may have had an effect; a transaction is atomic; each
+ * write of a row raises the row's version.
  */
 #include "citronlbd.h"
 
--- a/core/api.c
+++ b/core/api.c
@@ -548,7 +548,7 @@
     abort ();
   r->kind = MESH_WAITING_REPLY;
   r->seq = m->seq;
-  r->count = fsched_jobs_waiting (f->fsched, m->id);
+  r->n_waiting = fsched_jobs_waiting (f->fsched, m->id);
   fleet_send (f, m->addr, r);
 }
 
@@ -566,7 +566,7 @@
     return;
   if (m->kind == MESH_WAITING_REPLY)
     finish_request (f, c, ANSWER_WAITING,
-                    f->settings.codec.count_body (m->count));
+                    f->settings.codec.count_body (m->n_waiting));
   else if (m->known)
     finish_request (f, c, ANSWER_STATE,
                     f->settings.codec.state_body ((int)m->state));
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -267,10 +267,11 @@
     fsched_cancel (f->fsched, id);
 }
 
-/* Passes the notice that job @id was recorded, or was cancelled if @record is
-   NULL, to the scheduler.  The feed of jobs reports the same, but later.  Like
-   the rows of the feed, the notice is used only while this instance's lease is
-   valid; see handle_jobs_reply(). */
+/* Handles the notice that job @id was recorded: adds the job to the scheduler.
+   If @record is NULL, the job was cancelled, and is cancelled in the
+   scheduler.  The feed of jobs reports the same, but later.  Like the rows of
+   the feed, the notice is used only while this instance's lease is valid; see
+   handle_jobs_reply(). */
 static void
 apply_job_notice (struct fleet *f, const char *id, const char *record)
 {
@@ -433,7 +434,7 @@
   if (!leader_can_write (&f->leader, f->now_ms))
     return;
   if (!leader_heartbeat_due (&f->leader, f->now_ms)
-      && !(f->fsched && f->fsched->intents_due
+      && !(f->fsched && f->fsched->intents_write_due
            && f->now_ms >= f->next_intents_ms)
       && !(f->fsched && f->fsched->record_due
            && f->now_ms >= f->next_record_ms))
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -75,7 +75,7 @@
   FLEET_REQUESTS_MAX = 2000,
 };
 
-/** enum fleet_verb - kinds of callers' requests, from the HTTP method */
+/** enum fleet_verb - kinds of callers' requests, one for each HTTP method */
 enum fleet_verb
 {
   FLEET_VERB_SUBMIT,
@@ -207,7 +207,7 @@
   ANSWER_NO_CONFIG,
   /* The configuration is too old to check a key against it. */
   ANSWER_CONF_STALE,
-  /* No queue has the host and path of the request. */
+  /* No queue is configured for the host and path of the request. */
   ANSWER_NO_QUEUE,
   /* The queue needs a key, and the request has none or an unknown one. */
   ANSWER_BAD_KEY,
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -100,10 +100,11 @@
 /** enum start_state - state of a start */
 enum start_state
 {
-  START_INTENT,      /* the intent is not durable yet; nothing was sent */
-  START_DROPPED,     /* as START_INTENT, but the start will be ended unsent */
-  START_SENT,        /* the start order is sent, but not answered */
-  START_ACKED,       /* acknowledged, or the executor lists the run */
+  START_INTENT,  /* the intent is not durable yet; nothing was sent */
+  START_DROPPED, /* as START_INTENT, but the start will be ended unsent */
+  START_SENT,    /* the start order is sent, but not answered */
+  /* The executor acknowledged the start order, or lists the run. */
+  START_ACKED,
   START_UNCONFIRMED, /* the answer was lost; the task may be running */
   START_STOPPING,    /* stop orders are sent until the run has ended */
 };
@@ -172,7 +173,7 @@
 struct permit
 {
   int state;              /* enum permit_state */
-  int64_t valid_until_ms; /* when the ticket expires */
+  int64_t valid_until_ms; /* time at which the ticket expires */
   /* Start of the executor's boot that the permit is for. */
   int64_t boot_start_ms;
   char *ticket; /* owned; NULL: none */
@@ -193,8 +194,9 @@
   int data_rack_id;       /* interned id of the rack of the input; 0: none */
   uint64_t query_id;      /* id of the outstanding advice query; 0: none */
   int64_t tickets_until_ms; /* expiry of the ticket that is valid longest */
-  int64_t next_query_ms;    /* earliest time of the next query */
-  /* Number of queries answered since a task of the step was last started. */
+  int64_t next_query_ms;    /* earliest time of the step's next advice query */
+  /* Number of advice queries about the step that were answered since a task
+     of the step was last started. */
   int n_queries;
 };
 
@@ -221,10 +223,11 @@
   bool inherited;
   bool over_share;   /* the job exceeds the share of its client account */
   bool task_started; /* a task has been started, by any leader */
-  bool start_sent;   /* this leader has sent a start of one of the tasks */
-  bool dirty;        /* the progress has changed and must be recorded */
-  bool writing;      /* the progress is in the outstanding write */
-  bool recorded;     /* the final state is recorded */
+  /* This leader has sent a start order for a task of the job. */
+  bool start_sent;
+  bool dirty;    /* the progress has changed and must be recorded */
+  bool writing;  /* the progress is in the outstanding write */
+  bool recorded; /* the final state is recorded */
 };
 RB_HEAD (job_tree, job);
 TAILQ_HEAD (jobq, job);
@@ -306,7 +309,7 @@
 struct pending_order
 {
   RB_ENTRY (pending_order) by_id;
-  uint64_t id; /* as in struct order */
+  uint64_t id; /* id of the order, see order::id */
   int kind;    /* enum order_kind */
   /* Of a start or stop order; NULL once the run has ended. */
   struct start *run;
@@ -327,7 +330,7 @@
 struct adviser
 {
   char id[CLB_ID_MAX];     /* id of the instance; empty: this instance */
-  char addr[CLB_ADDR_MAX]; /* its address; empty: this instance */
+  char addr[CLB_ADDR_MAX]; /* address of the instance; empty: this instance */
   int64_t last_contact_ms; /* when the instance's last message arrived */
   /* When the instance last reached the table service. */
   int64_t table_contact_ms;
@@ -335,7 +338,7 @@
   int64_t avoid_until_ms;
   int64_t busy_until_ms; /* expected end of the outstanding queries */
   int n_queries;         /* number of outstanding queries */
-  int64_t millicores;    /* the instance's share of a core */
+  int64_t millicores;    /* the instance's share of a core, in thousandths */
 };
 
 /** struct fsched_tenant - a client account's use and share */
@@ -373,7 +376,7 @@
 };
 RB_HEAD (ended_job_tree, ended_job);
 
-/** struct early_progress - recorded progress of a job not added yet */
+/** struct early_progress - recorded progress of a job that is not added yet */
 struct early_progress
 {
   RB_ENTRY (early_progress) by_id;
@@ -385,22 +388,29 @@
 /** struct fsched_stats - counters since the process started */
 struct fsched_stats
 {
-  uint64_t passes; /* placing passes */
-  uint64_t starts; /* starts sent; one that is sent again counts once */
-  uint64_t ends[RUN_END_N];     /* ends of starts, by enum run_end */
-  uint64_t refusals[REFUSED_N]; /* refused starts, by enum order_refusal */
-  uint64_t outcomes[ORDER_OUTCOME_N]; /* orders, by enum order_outcome */
-  uint64_t queries;                   /* advice queries sent */
-  uint64_t queries_failed;
+  uint64_t passes; /* number of placing passes */
+  /* Number of starts that were sent.  A start that is sent again counts
+     once. */
+  uint64_t starts;
+  uint64_t ends[RUN_END_N]; /* number of ended starts, by enum run_end */
+  /* Number of refused starts, by enum order_refusal. */
+  uint64_t refusals[REFUSED_N];
+  /* Number of answered or lost orders, by enum order_outcome. */
+  uint64_t outcomes[ORDER_OUTCOME_N];
+  uint64_t queries;        /* number of advice queries sent */
+  uint64_t queries_failed; /* number of advice queries that failed */
   uint64_t jobs_added;
-  uint64_t jobs_ended[JOB_STATE_N]; /* by enum job_state */
-  uint64_t stops;                   /* stop orders sent */
-  uint64_t runs_lapsed; /* runs ended because their lease expired */
-  uint64_t quarantines; /* quarantines of executors */
-  /* From an order to its result, by enum order_kind. */
+  /* Number of ended jobs, by enum job_state. */
+  uint64_t jobs_ended[JOB_STATE_N];
+  uint64_t stops; /* number of stop orders sent */
+  /* Number of runs that were ended because their lease expired. */
+  uint64_t runs_lapsed;
+  uint64_t quarantines; /* number of quarantines of executors */
+  /* Time from the send of an order to its result, by enum order_kind. */
   struct hist order_ms[ORDER_KIND_N];
-  struct hist first_start_ms; /* from a job's arrival to its first start */
-  /* From a job's arrival to its end, by enum job_state. */
+  /* Time from a job's arrival to its first start. */
+  struct hist first_start_ms;
+  /* Time from a job's arrival to its end, by enum job_state. */
   struct hist job_ms[JOB_STATE_N];
 };
 
@@ -447,7 +457,7 @@
   struct fsched_tenantq tenants;
   struct ended_job_tree ended_jobs;
   struct pending_order_tree orders; /* orders without a result yet */
-  struct early_tree early_progress; /* of jobs that are not added yet */
+  struct early_tree early_progress; /* for jobs that are not added yet */
   int64_t next_query_sweep_ms; /* time of the next search for lost queries */
   struct adviser advisers[FSCHED_ADVISERS_MAX];
   int n_advisers;
@@ -460,10 +470,10 @@
   int64_t old_leases_end_ms;
   bool may_order; /* orders may be given: the leadership is recent enough */
   bool pass_due;  /* a placing pass is due */
-  int64_t next_pass_ms;  /* earliest time of the next pass */
-  int64_t retry_pass_ms; /* time of a pass even if nothing changes; 0: none */
-  bool record_due;       /* progress or the roster must be recorded */
-  bool intents_due;      /* intents must be recorded */
+  int64_t next_pass_ms;   /* earliest time of the next pass */
+  int64_t retry_pass_ms;  /* time of a pass even if nothing changes; 0: none */
+  bool record_due;        /* progress or the roster must be recorded */
+  bool intents_write_due; /* starts wait for their intents to be written */
   struct intents intents;
   bool roster_dirty;   /* the roster must be recorded */
   bool roster_writing; /* the roster is in the outstanding write */
@@ -567,10 +577,10 @@
  */
 void fsched_exec_unlisted (struct fsched *fs, const char *id);
 /**
- * fsched_exec_list() - Process the begin or the end of a complete discovery
- * list.
- * @begins: true at the begin of the list, false at its end.  At the end,
- *          executors that were not reported since the begin are unlisted.
+ * fsched_exec_list() - Process the beginning or the end of a complete
+ * discovery list.
+ * @begins: true at the beginning of the list, false at its end.  At the end,
+ *          executors that were not reported since the beginning are unlisted.
  */
 void fsched_exec_list (struct fsched *fs, bool begins);
 /**
--- a/core/fsched_exec.c
+++ b/core/fsched_exec.c
@@ -640,30 +640,30 @@
   const struct job_step *s = &j->spec.steps[step];
   const struct job_need *capacity = &e->rep.capacity;
   int64_t n = max;
-  int64_t k;
+  int64_t fits;
 
   if (!s->best_effort_cpu
-      && (k = fit_count (capacity->millicores,
-                         e->used.millicores + e->reserved.millicores,
-                         s->need.millicores))
+      && (fits = fit_count (capacity->millicores,
+                            e->used.millicores + e->reserved.millicores,
+                            s->need.millicores))
              < n)
-    n = k;
-  if ((k = fit_count (capacity->mem_mb, e->used.mem_mb + e->reserved.mem_mb,
-                      s->need.mem_mb))
+    n = fits;
+  if ((fits = fit_count (capacity->mem_mb, e->used.mem_mb + e->reserved.mem_mb,
+                         s->need.mem_mb))
       < n)
-    n = k;
-  if ((k = fit_count (capacity->accels, e->used.accels + e->reserved.accels,
-                      s->need.accels))
+    n = fits;
+  if ((fits = fit_count (capacity->accels, e->used.accels + e->reserved.accels,
+                         s->need.accels))
       < n)
-    n = k;
+    n = fits;
   if (s->max_per_exec && n > 0)
     {
       const struct start *r;
-      k = s->max_per_exec;
+      fits = s->max_per_exec;
       TAILQ_FOREACH (r, &e->runs, exec_link)
         if (r->job == j && r->step == step)
-          k--;
-      n = k < n ? k : n;
+          fits--;
+      n = fits < n ? fits : n;
     }
   return n < 0 ? 0 : (int)n;
 }
--- a/core/fsched_impl.h
+++ b/core/fsched_impl.h
@@ -4,7 +4,7 @@
 
 #include "fsched.h"
 
-/* fsched.c */
+/* Functions of fsched.c. */
 
 /** fsched_zalloc() - Allocate zeroed memory; abort if none is available. */
 void *fsched_zalloc (size_t n, size_t size);
@@ -63,7 +63,7 @@
 struct job *fsched_task_job (const struct fsched *fs,
                              const struct task_ref *t);
 
-/* fsched_intern.c */
+/* Functions of fsched_intern.c. */
 
 enum
 {
@@ -83,7 +83,7 @@
  */
 void fsched_intern_exec (struct fsched *fs, struct exec *e);
 
-/* fsched_intent.c */
+/* Functions of fsched_intent.c. */
 
 /** intents_init() - Initialise an empty set of intents. */
 void intents_init (struct intents *p);
@@ -118,7 +118,7 @@
  */
 void intents_load_done (struct fsched *fs);
 
-/* fsched_record.c */
+/* Functions of fsched_record.c. */
 
 /**
  * fsched_trim_jobs() - Remove the specifications of ended jobs from the table
@@ -126,7 +126,7 @@
  */
 void fsched_trim_jobs (struct fsched *fs);
 
-/* fsched_start.c */
+/* Functions of fsched_start.c. */
 
 /**
  * start_new() - Create a start of a task and add its need to the use of the
@@ -173,7 +173,7 @@
 /** start_tick() - Send a stop order for the run if one is due. */
 void start_tick (struct fsched *fs, struct start *r);
 
-/* fsched_exec.c */
+/* Functions of fsched_exec.c. */
 
 /** exec_find() - Return executor @id, borrowed; NULL if it is unknown. */
 struct exec *exec_find (const struct fsched *fs, const char *id);
@@ -238,7 +238,7 @@
 int exec_fit_count (const struct exec *e, const struct job *j, int step,
                     int max);
 
-/* fsched_place.c */
+/* Functions of fsched_place.c. */
 
 /**
  * place_pass() - Place the tasks of all waiting jobs, the most urgent job
@@ -246,7 +246,7 @@
  */
 void place_pass (struct fsched *fs);
 
-/* fsched_advice.c */
+/* Functions of fsched_advice.c. */
 
 /**
  * permit_valid() - Return whether the step has a permit for @e with a ticket
@@ -257,8 +257,8 @@
 /** permit_get() - Return the step's permit for @e, borrowed; add it if new. */
 struct permit *permit_get (struct jstep *s, const struct exec *e);
 /**
- * advice_query() - Send a query which executors may run a step, if one is due
- * and an instance is free for it.
+ * advice_query() - Query the advice service which executors may run a step, if
+ * a query is due and an instance is free to send it.
  *
  * In the current pass, capacity that the step is likely to get is reserved for
  * it.
--- a/core/fsched_intent.c
+++ b/core/fsched_intent.c
@@ -88,7 +88,7 @@
   struct intent *e = intent_new (r);
 
   TAILQ_INSERT_TAIL (&fs->intents.waiting, e, link);
-  fs->intents_due = true;
+  fs->intents_write_due = true;
 }
 
 void
@@ -138,7 +138,7 @@
   FILE *f;
 
   p->writing_ends = p->n_ends;
-  fs->intents_due = false;
+  fs->intents_write_due = false;
   if (TAILQ_EMPTY (&p->waiting))
     return 0;
   empty_next_row (p);
@@ -153,7 +153,7 @@
       TAILQ_REMOVE (&p->waiting, e, link);
       TAILQ_INSERT_TAIL (&p->writing, e, link);
     }
-  fs->intents_due = !TAILQ_EMPTY (&p->waiting);
+  fs->intents_write_due = !TAILQ_EMPTY (&p->waiting);
   fclose (f);
   snprintf (key, sizeof key, FSCHED_KEY_INTENTS "%03d", p->next_row);
   store_put (op, key, text);
@@ -173,8 +173,9 @@
              || permit_valid (fs, &r->job->steps[r->step], r->exec));
 }
 
-/* Marks a job as one of which this leader has sent a start.  If it is the
-   first start, measures the time since the job's arrival. */
+/* Records that this leader has sent a start order for a task of @j.  At the
+   first such start, adds the time since the job's arrival to the statistics,
+   unless the job was loaded when the term began. */
 static void
 mark_start_sent (struct fsched *fs, struct job *j)
 {
--- a/core/job.h
+++ b/core/job.h
@@ -48,8 +48,9 @@
      not counted as used. */
   bool best_effort_cpu;
   bool persistent; /* the tasks are restarted until the job is cancelled */
-  int64_t max_per_exec; /* maximum tasks on one executor; 0: no limit */
-  int64_t target_ms;    /* objective for the tail latency of a serving task */
+  /* Maximum number of tasks on one executor; 0: no limit. */
+  int64_t max_per_exec;
+  int64_t target_ms; /* objective for the tail latency of a serving task */
   /* Maximum number of serving tasks that may be stopped at the same time. */
   int64_t max_unavailable;
   char label[JOB_LABEL_SIZE]; /* label required of executors; empty: none */
@@ -93,7 +94,7 @@
   size_t n_steps;
   int64_t repeat;      /* number of timed occurrences; not supported yet */
   int64_t start_ms;    /* start of the timed occurrences; not supported yet */
-  int64_t interval_ms; /* between timed occurrences; not supported yet */
+  int64_t interval_ms; /* time between timed occurrences; not supported yet */
 };
 
 /** enum job_state - state of a job */
--- a/core/leader.h
+++ b/core/leader.h
@@ -103,7 +103,7 @@
 /** enum leader_event - change caused by an answer of the table service */
 enum leader_event
 {
-  /* The answer has changed nothing for the user of this module. */
+  /* None of the following events. */
   LEADER_NO_CHANGE,
   /* This instance is the leader from now on. */
   LEADER_ELECTED,
@@ -160,8 +160,8 @@
   int64_t sent_ms; /* time at which the last call was sent */
   int64_t next_ms; /* earliest time of the next call */
 
-  /* The following fields, up to the field write, describe this instance's
-     claim and its term as the leader. */
+  /* The fields renewed_ms to write describe this instance's own claim and its
+     term as the leader. */
 
   /* Time from which the lease counts: the first send of the last successful
      write or, before the first write, the send of the claim. */
--- a/core/mesh.c
+++ b/core/mesh.c
@@ -29,7 +29,7 @@
   FLD_INT_AS ("no", struct mesh_msg, seq, 0, INT64_MAX),
   FLD_INT (struct mesh_msg, epoch, 0, INT64_MAX),
   FLD_CHARS (struct mesh_msg, id, false),
-  FLD_INT (struct mesh_msg, count, 0, INT64_MAX),
+  FLD_INT_AS ("count", struct mesh_msg, n_waiting, 0, INT64_MAX),
   FLD_STRING_AS ("text", struct mesh_msg, record, RECORD_MAX),
   FLD_FLAG (struct mesh_msg, known),
   FLD_INT (struct mesh_msg, state, 0, JOB_STATE_N - 1),
--- a/core/mesh.h
+++ b/core/mesh.h
@@ -24,13 +24,12 @@
   /* An instance queries the leader for the number of jobs of a queue that have
      not started. */
   MESH_WAITING_QUERY,
-  /* The leader replies to a query for the number of jobs that have not
-   started. */
+  /* The leader replies to a query for the number of jobs of a queue that have
+     not started. */
   MESH_WAITING_REPLY,
   /* The leader asks another instance to query the advice service. */
   MESH_ADVICE_QUERY,
-  /* The instance that was asked sends the advice service's answer to the
-     leader. */
+  /* The queried instance sends the advice service's answer to the leader. */
   MESH_ADVICE_REPLY,
   /* An instance notifies the leader that a job or its cancellation was
      recorded. */
@@ -60,7 +59,9 @@
   int64_t seq;             /* number of a query, repeated in the reply */
   int64_t epoch;           /* term of the last leader that the sender knows */
   char id[CLB_ID_MAX];     /* id of a job, or name of a queue */
-  int64_t count;           /* number of jobs that have not started */
+  /* In a MESH_WAITING_REPLY, the number of jobs of the queue that have not
+     started. */
+  int64_t n_waiting;
   char *record;  /* owned: a job's record; NULL: the job was cancelled */
   bool known;    /* true: the leader has the job; see state */
   int64_t state; /* enum job_state of the job, if known is true */
--- a/core/order.h
+++ b/core/order.h
@@ -20,7 +20,7 @@
 struct task_ref
 {
   char job[JOB_ID_SIZE];
-  int64_t occurrence; /* of a repeated job, numbered from 0 on */
+  int64_t occurrence; /* occurrence of a repeated job, numbered from 0 */
   int64_t step;       /* index of the step in the job */
   int64_t index;      /* index of the task in its step */
 };
@@ -52,11 +52,12 @@
   /* Task of a start or stop.  For an advice query: the step; the index has no
      meaning. */
   struct task_ref task;
-  int64_t run_id; /* of a start or stop */
+  int64_t run_id; /* of a start or stop: id of the run */
   char *payload;  /* of a start: job_spec::payload, owned */
   /* Of a start: name of the checkpoint to resume from; empty: none. */
   char checkpoint[JOB_CHECKPOINT_SIZE];
-  char ticket[ORDER_TICKET_SIZE]; /* of a start; empty: none needed */
+  /* Of a start: ticket that permits it; empty: none is needed. */
+  char ticket[ORDER_TICKET_SIZE];
   /* Of a start or poll: end of the lease, on the executor's clock.  In a poll,
      0 means that the lease is not renewed. */
   int64_t lease_deadline_ms;
@@ -75,11 +76,13 @@
 /** enum order_outcome - outcome of an order */
 enum order_outcome
 {
-  ORDER_DONE,       /* carried out */
-  ORDER_REFUSED,    /* refused, see order_result::reason */
-  ORDER_BUSY,       /* refused, as the executor is busy; nothing was done */
-  ORDER_WRONG_BOOT, /* another boot answered; nothing was done */
-  ORDER_UNREACHED,  /* there was no connection; nothing was sent */
+  ORDER_DONE,    /* carried out */
+  ORDER_REFUSED, /* refused, see order_result::reason */
+  ORDER_BUSY,    /* refused, as the executor is busy; nothing was done */
+  /* Another boot of the executor answered than the one that the order is for;
+     nothing was done. */
+  ORDER_WRONG_BOOT,
+  ORDER_UNREACHED, /* there was no connection; nothing was sent */
   /* The order was sent, but no answer arrived.  The executor may carry it out,
      even later. */
   ORDER_LOST,
@@ -147,13 +150,14 @@
 /** struct order_result - the result of an order; owns its arrays */
 struct order_result
 {
-  int outcome;           /* enum order_outcome */
-  int reason;            /* enum order_refusal; of a refused order */
+  int outcome; /* enum order_outcome */
+  /* If outcome is ORDER_REFUSED, the reason: enum order_refusal. */
+  int reason;
   int64_t clock_ms;      /* the executor's clock; 0: not reported */
   int64_t boot_start_ms; /* start of the executor's boot; 0: not reported */
   struct run_row *runs;  /* of a poll: running tasks */
   size_t n_runs;
-  struct end_row *ends; /* of a poll: ended runs, by rising seq */
+  struct end_row *ends; /* of a poll: ended runs, sorted by seq */
   size_t n_ends;
   /* Of an advice query: permitted executors. */
   struct permitted_exec *permitted;
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -36,7 +36,8 @@
   SERVED_CALLS_MAX = 2000,
 };
 
-/** struct proxy_call - a call that a peer makes, or that is made for a peer */
+/** struct proxy_call - a call to the table service that a peer makes for this
+ * instance, or that this instance makes for a peer */
 struct proxy_call
 {
   TAILQ_ENTRY (proxy_call) link;
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -32,7 +32,7 @@
   h2o_generator_t gen;
   uint64_t id;
   /* Block of memory that contains the strings of struct httpd_req. */
-  char *strings;
+  char *req_strings;
   /* Bytes of the response that wait for the current h2o_send() to end. */
   char *queued;
   size_t queued_len;
@@ -106,7 +106,7 @@
 
   RB_REMOVE (exchange_tree, &d->exchanges, x);
   d->n_exchanges--;
-  free (x->strings);
+  free (x->req_strings);
   free (x->queued);
   free (x->sending);
   free (x);
@@ -151,10 +151,10 @@
 
   for (size_t i = 0; i < req->headers.size; i++)
     size += req->headers.entries[i].value.len + 1;
-  x->strings = malloc (size);
-  if (!x->strings)
+  x->req_strings = malloc (size);
+  if (!x->req_strings)
     abort ();
-  char *pos = x->strings;
+  char *pos = x->req_strings;
   rq->id = x->id;
   rq->method = copy_text (&pos, req->method.base, req->method.len);
   rq->path = copy_text (&pos, req->path.base, req->path.len);
