--- a/core/api.c
+++ b/core/api.c
@@ -273,9 +273,9 @@
     query_leader (f, c, MESH_WAITING_QUERY, c->queue);
 }
 
-/* Returns true if the configuration is recent enough for the check of a key: a
-   key that was withdrawn after the configuration was last known to be current
-   is still allowed to work. */
+/* Returns true if the configuration is recent enough to check a key against.
+   A key that was withdrawn since the configuration was last known to be
+   current may still work for settings.revoke_ms. */
 static bool
 conf_fresh_for_keys (const struct fleet *f)
 {
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -641,7 +641,7 @@
   out_new (&f->out, OUT_ORDER)->u.order = o;
 }
 
-/* Passes the advice that another instance has obtained to the scheduler. */
+/* Passes to the scheduler the advice that another instance has obtained. */
 static void
 handle_advice_reply (struct fleet *f, const struct mesh_msg *m)
 {
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -53,8 +53,9 @@
      is at most FLEET_FEED_WAIT_MS old when it is reported, and is reported
      every FLEET_HELLO_MS. */
   FLEET_PEER_FRESH_MS = 1700,
-  /* Without a current configuration, requests that need a key are refused this
-     long before the time at which a withdrawn key must not work any more. */
+  /* While the configuration is not known to be current, requests that need a
+     key are refused this long before the time at which a withdrawn key must no
+     longer work. */
   FLEET_KEY_MARGIN_MS = 500,
   /* The instance is ready while the last proof that its configuration is
      current is younger than this.  The time covers two waits of the
@@ -351,7 +352,7 @@
 /** fleet_fini() - Free all that @f owns. */
 void fleet_fini (struct fleet *f);
 
-/* Inputs to the instance. */
+/* The following functions pass inputs to the instance. */
 
 /**
  * fleet_request() - Handle a caller's request.
--- a/core/fsched.c
+++ b/core/fsched.c
@@ -488,21 +488,21 @@
 /* Applies the recorded progress of a step. */
 static void
 apply_step_progress (struct fsched *fs, struct job *j,
-                     const struct job_step_progress *m)
+                     const struct job_step_progress *progress)
 {
-  if (m->step < 0 || m->step >= (int64_t)j->spec.n_steps)
+  if (progress->step < 0 || progress->step >= (int64_t)j->spec.n_steps)
     return;
-  struct jstep *s = &j->steps[m->step];
-  for (size_t i = 0; i < m->n_marks; i++)
+  struct jstep *s = &j->steps[progress->step];
+  for (size_t i = 0; i < progress->n_tasks; i++)
     {
-      const struct job_task_progress *k = &m->marks[i];
-      if (k->index >= s->n_tasks)
+      const struct job_task_progress *task = &progress->tasks[i];
+      if (task->index >= s->n_tasks)
         continue;
-      struct jtask *t = &s->tasks[k->index];
-      for (size_t r = 0; r < k->n_failed; r++)
-        add_failed_run (t, k->failed[r].id);
-      if (k->done)
-        mark_task_done (fs, j, (int)m->step, (int)k->index);
+      struct jtask *t = &s->tasks[task->index];
+      for (size_t r = 0; r < task->n_failed; r++)
+        add_failed_run (t, task->failed[r].id);
+      if (task->done)
+        mark_task_done (fs, j, (int)progress->step, (int)task->index);
     }
 }
 
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -311,14 +311,14 @@
   RB_ENTRY (pending_order) by_id;
   uint64_t id; /* id of the order, see order::id */
   int kind;    /* enum order_kind */
-  /* Of a start or stop order; NULL once the run has ended. */
+  /* Start that a start or stop order is for; NULL once the run has ended. */
   struct start *run;
   struct exec *exec;     /* of a poll: the executor that is polled */
   char job[JOB_ID_SIZE]; /* of an advice query: id of the job */
   int step;              /* of an advice query: index of the step */
   int adviser;           /* of an advice query: index into fsched::advisers */
   int64_t sent_ms;
-  int64_t deadline_ms; /* when an advice query counts as lost */
+  int64_t deadline_ms; /* time at which an advice query counts as lost */
   size_t n_execs;      /* number of executors named in an advice query */
 };
 RB_HEAD (pending_order_tree, pending_order);
@@ -345,7 +345,8 @@
 struct fsched_tenant
 {
   char name[CLB_NAME_MAX];
-  struct job_need used; /* capacity taken by its starts, sent or not */
+  /* Capacity taken by the account's starts, sent or not. */
+  struct job_need used;
   /* Number of jobs that may arrive now without exceeding the account's
      share. */
   double share_credit;
@@ -354,7 +355,7 @@
 };
 TAILQ_HEAD (fsched_tenantq, fsched_tenant);
 
-/** struct fsched_queue - statistics of the advice on a queue's jobs */
+/** struct fsched_queue - statistics of advice queries about a queue's jobs */
 struct fsched_queue
 {
   TAILQ_ENTRY (fsched_queue) link;
@@ -443,7 +444,7 @@
   struct fsched_stats *stats; /* borrowed; outlives the scheduler */
   const struct fconf *conf;   /* borrowed; NULL: not known yet */
   struct job_tree jobs;       /* all jobs, by id */
-  struct jobq queue;          /* the same jobs, in order of arrival */
+  struct jobq queue;          /* all jobs, in order of arrival */
   int n_jobs;
   struct execq execs;
   struct exec_tree execs_by_id;
@@ -457,7 +458,8 @@
   struct fsched_tenantq tenants;
   struct ended_job_tree ended_jobs;
   struct pending_order_tree orders; /* orders without a result yet */
-  struct early_tree early_progress; /* for jobs that are not added yet */
+  /* Recorded progress of jobs that are not added yet. */
+  struct early_tree early_progress;
   int64_t next_query_sweep_ms; /* time of the next search for lost queries */
   struct adviser advisers[FSCHED_ADVISERS_MAX];
   int n_advisers;
@@ -560,7 +562,7 @@
 /** fsched_load_done() - End loading and begin to schedule. */
 void fsched_load_done (struct fsched *fs);
 
-/* Events. */
+/* The following functions pass events to the scheduler. */
 
 /**
  * fsched_cancel() - Cancel job @id; no effect if it is unknown or has ended.
@@ -572,7 +574,7 @@
  */
 void fsched_exec_report (struct fsched *fs, const struct exec_report *rep);
 /**
- * fsched_exec_unlisted() - Process that discovery no longer lists executor
+ * fsched_exec_unlisted() - Report that discovery no longer lists executor
  * @id.
  */
 void fsched_exec_unlisted (struct fsched *fs, const char *id);
@@ -584,7 +586,7 @@
  */
 void fsched_exec_list (struct fsched *fs, bool begins);
 /**
- * fsched_adviser_seen() - Process that an instance which can send advice
+ * fsched_adviser_seen() - Report that an instance which can send advice
  * queries is reachable.
  * @id: id of the instance; empty for this instance
  * @addr: address of the instance; empty for this instance
@@ -631,7 +633,7 @@
  * Return: number of rows added.
  */
 int fsched_collect (struct fsched *fs, struct store_op *op, int max_rows);
-/** fsched_recorded() - Process that the rows collected last are durable. */
+/** fsched_recorded() - Report that the rows collected last are durable. */
 void fsched_recorded (struct fsched *fs);
 
 /**
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -45,16 +45,16 @@
     {
       struct job_step_progress *m = &p.steps[p.n_steps];
       m->step = (int64_t)i;
-      m->marks = fsched_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->marks);
-      m->n_marks = fill_task_progress (j, i, m->marks);
-      if (m->n_marks)
+      m->tasks = fsched_zalloc ((size_t)j->steps[i].n_tasks, sizeof *m->tasks);
+      m->n_tasks = fill_task_progress (j, i, m->tasks);
+      if (m->n_tasks)
         p.n_steps++;
       else
-        free (m->marks);
+        free (m->tasks);
     }
   text = codec_text (&job_progress_desc, &p);
   for (size_t i = 0; i < p.n_steps; i++)
-    free (p.steps[i].marks);
+    free (p.steps[i].tasks);
   free (p.steps);
   return text;
 }
--- a/core/job.c
+++ b/core/job.c
@@ -81,8 +81,8 @@
 
 static const struct fld step_progress_fields[] = {
   FLD_INT (struct job_step_progress, step, 0, JOB_STEPS_MAX),
-  FLD_ARRAY (struct job_step_progress, marks, n_marks, &task_progress_desc,
-             JOB_STEP_TASKS_MAX),
+  FLD_ARRAY_AS ("marks", struct job_step_progress, tasks, n_tasks,
+                &task_progress_desc, JOB_STEP_TASKS_MAX),
 };
 static DESC (step_progress_desc, struct job_step_progress,
              step_progress_fields);
--- a/core/job.h
+++ b/core/job.h
@@ -11,16 +11,21 @@
 
 enum
 {
-  JOB_ID_SIZE = 17, /* bytes of a job id, 16 hexadecimal digits with NUL */
-  JOB_PAYLOAD_MAX = 4000, /* bytes of job_spec::payload */
-  JOB_STEPS_MAX = 64, /* steps of one job; a set of steps is a 64-bit word */
-  JOB_STEP_TASKS_MAX = 1024,  /* tasks of one step */
-  JOB_TOTAL_TASKS_MAX = 4096, /* tasks of one job */
-  JOB_LABEL_SIZE = 48,        /* bytes of a label, rack or image with NUL */
+  /* Size in bytes of a job id: 16 hexadecimal digits and a NUL. */
+  JOB_ID_SIZE = 17,
+  /* Maximum size of job_spec::payload in bytes. */
+  JOB_PAYLOAD_MAX = 4000,
+  /* Maximum number of steps of one job; a set of steps is a 64-bit word. */
+  JOB_STEPS_MAX = 64,
+  JOB_STEP_TASKS_MAX = 1024,  /* maximum number of tasks of one step */
+  JOB_TOTAL_TASKS_MAX = 4096, /* maximum number of tasks of one job */
+  /* Size in bytes of the name of a label, rack or image, with the NUL. */
+  JOB_LABEL_SIZE = 48,
   /* Maximum number of failed runs stored of one task; no queue allows more
      attempts. */
   JOB_FAILURES_MAX = 64,
-  JOB_CHECKPOINT_SIZE = 64, /* bytes of a checkpoint's name with NUL */
+  /* Size in bytes of a checkpoint's name, with the NUL. */
+  JOB_CHECKPOINT_SIZE = 64,
 };
 
 /** struct job_need - resources that tasks take, or an executor offers */
@@ -53,18 +58,20 @@
   int64_t target_ms; /* objective for the tail latency of a serving task */
   /* Maximum number of serving tasks that may be stopped at the same time. */
   int64_t max_unavailable;
-  char label[JOB_LABEL_SIZE]; /* label required of executors; empty: none */
+  char label[JOB_LABEL_SIZE]; /* label that executors must have; empty: none */
   char data_rack[JOB_LABEL_SIZE]; /* rack that holds the input; empty: none */
-  char image[JOB_LABEL_SIZE]; /* tasks of the same image behave similarly */
+  /* Name of the tasks' image; tasks of the same image behave similarly. */
+  char image[JOB_LABEL_SIZE];
 };
 
 /**
- * struct job_advice - duration of an advice query, and lifetime of its tickets
+ * struct job_advice - how long an advice query about the job takes, and how
+ * long the tickets from the answer are valid
  */
 struct job_advice
 {
-  double base_ms;     /* duration of a query; 0: the queue needs no advice */
-  double per_exec_ms; /* additional duration for each executor named */
+  double base_ms; /* base duration of a query; 0: the queue needs no advice */
+  double per_exec_ms; /* additional duration for each executor that is named */
   int64_t valid_ms;   /* how long a ticket is valid */
 };
 
@@ -108,10 +115,10 @@
   JOB_STATE_N
 };
 
-/** struct job_run - a failed run of a task, by its id */
+/** struct job_run - a failed run of a task */
 struct job_run
 {
-  int64_t id;
+  int64_t id; /* id of the run */
 };
 
 /**
@@ -132,8 +139,8 @@
 {
   int64_t step; /* index of the step */
   /* Tasks that are done or have failed runs. */
-  struct job_task_progress *marks;
-  size_t n_marks;
+  struct job_task_progress *tasks;
+  size_t n_tasks;
 };
 
 /** struct job_progress - recorded progress of a job */
--- a/core/order.h
+++ b/core/order.h
@@ -12,8 +12,9 @@
 
 enum
 {
-  ORDER_TICKET_SIZE = 96,       /* bytes of a ticket with NUL */
-  ORDER_ADVICE_EXECS_MAX = 100, /* executors named in one advice query */
+  ORDER_TICKET_SIZE = 96, /* size of a ticket in bytes, with the NUL */
+  /* Maximum number of executors named in one advice query. */
+  ORDER_ADVICE_EXECS_MAX = 100,
 };
 
 /** struct task_ref - one task of one job */
@@ -53,7 +54,7 @@
      meaning. */
   struct task_ref task;
   int64_t run_id; /* of a start or stop: id of the run */
-  char *payload;  /* of a start: job_spec::payload, owned */
+  char *payload;  /* of a start: text passed to the task, owned */
   /* Of a start: name of the checkpoint to resume from; empty: none. */
   char checkpoint[JOB_CHECKPOINT_SIZE];
   /* Of a start: ticket that permits it; empty: none is needed. */
@@ -174,9 +175,9 @@
   char zone[CLB_NAME_MAX];
   char labels[2 * JOB_LABEL_SIZE]; /* separated and enclosed by commas */
   char rack[JOB_LABEL_SIZE];       /* empty: not reported */
-  struct job_need capacity;        /* total, used or not */
+  struct job_need capacity;        /* total capacity, used or not */
   bool draining;                   /* the executor takes no new tasks */
-  /* Of a draining executor: it remains at least this long. */
+  /* Of a draining executor: minimum time until the executor leaves. */
   int64_t remaining_ms;
   int64_t boot_start_ms; /* start of the executor's boot */
 };
