--- a/core/fleet.h
+++ b/core/fleet.h
@@ -307,8 +307,9 @@
      configuration's feed failed. */
   int64_t conf_feed_failed_since_ms;
 
-  /* The following fields, up to next_intents_ms, are used only while this
-     instance leads. */
+  /* The fields loading to next_intents_ms are used only while this instance
+     leads. */
+
   bool loading; /* true: the records of enum fleet_load_kind are being read */
   struct fleet_load loads[FLEET_LOAD_N]; /* indexed by enum fleet_load_kind */
   int64_t load_retry_ms; /* earliest time of the next read of recorded state */
--- a/core/follow.c
+++ b/core/follow.c
@@ -26,7 +26,7 @@
   return f->parts ? f->parts : 1;
 }
 
-/* Drops the progress of listing, so that all parts are listed from their
+/* Resets the listings of all parts, so that each part is listed again from its
    beginning. */
 static void
 restart_listing (struct table_follower *f)
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -472,8 +472,9 @@
   int64_t old_leases_end_ms;
   bool may_order; /* orders may be given: the leadership is recent enough */
   bool pass_due;  /* a placing pass is due */
-  int64_t next_pass_ms;   /* earliest time of the next pass */
-  int64_t retry_pass_ms;  /* time of a pass even if nothing changes; 0: none */
+  int64_t next_pass_ms; /* earliest time of the next pass */
+  /* Time of the next pass if nothing changes before; 0: none. */
+  int64_t retry_pass_ms;
   bool record_due;        /* progress or the roster must be recorded */
   bool intents_write_due; /* starts wait for their intents to be written */
   struct intents intents;
