--- a/core/follow.c
+++ b/core/follow.c
@@ -35,7 +35,7 @@
   f->list_ver = 0;
   for (int i = 0; i < n_parts_to_list (f); i++)
     {
-      free (f->listings[i].after);
+      free (f->listings[i].last_key);
       f->listings[i] = (struct part_listing){ 0 };
     }
 }
@@ -85,7 +85,7 @@
     snprintf (prefix, sizeof prefix, "%s/", f->table);
   op->kind = STORE_LIST;
   op->key = strdup (prefix);
-  op->after = l->after ? strdup (l->after) : NULL;
+  op->after = l->last_key ? strdup (l->last_key) : NULL;
 }
 
 /* Sends a call of the feed that reads the changes since version f->ver. */
@@ -139,11 +139,11 @@
 {
   if (!f->list_ver || rep->ver < f->list_ver)
     f->list_ver = rep->ver;
-  free (l->after);
-  l->after = NULL;
+  free (l->last_key);
+  l->last_key = NULL;
   if (rep->more && rep->n_rows)
     {
-      l->after = strdup (rep->rows[rep->n_rows - 1].key);
+      l->last_key = strdup (rep->rows[rep->n_rows - 1].key);
       return FOLLOW_PAGE;
     }
   l->complete = true;
--- a/core/follow.h
+++ b/core/follow.h
@@ -37,7 +37,7 @@
   /* Token of the outstanding call to the table service; 0: none. */
   uint64_t token;
   int64_t sent_ms; /* time at which the last call was sent */
-  char *after;     /* owned: last key read; NULL: none */
+  char *last_key;  /* owned: key of the last row read; NULL: none */
   bool complete;   /* true: all rows of the part have been read */
 };
 
