--- a/core/escrow.c
+++ b/core/escrow.c
@@ -213,7 +213,7 @@
   char key[ROW_KEY_SIZE];
 
   grant_key (team, key);
-  o->u.store.token = team->op_token = ++*s->tokens;
+  o->u.store.token = team->op_token = ++*s->last_token;
   o->u.store.op.kind = team->op_kind = STORE_GET;
   o->u.store.op.key = strdup (key);
   team->next_op_ms = s->now_ms + wait_ms;
@@ -237,7 +237,7 @@
   team->row.conf_version = s->conf->version;
   grant_key (team, key);
   clb_auto char *text = codec_text (&grant_row_desc, &team->row);
-  o->u.store.token = team->op_token = ++*s->tokens;
+  o->u.store.token = team->op_token = ++*s->last_token;
   op->kind = team->op_kind = STORE_TXN;
   store_cond (op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_cond (op, key, team->row_ver);
@@ -376,7 +376,7 @@
     }
   o = out_new (s->out, OUT_STORE);
   snprintf (key, sizeof key, "want/%s", s->domain);
-  o->u.store.token = s->want_write_token = ++*s->tokens;
+  o->u.store.token = s->want_write_token = ++*s->last_token;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_put (&o->u.store.op, key, text);
@@ -390,7 +390,7 @@
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
-  o->u.store.token = s->want_read_token = ++*s->tokens;
+  o->u.store.token = s->want_read_token = ++*s->last_token;
   o->u.store.op.kind = STORE_LIST;
   o->u.store.op.key = strdup ("want/");
   s->want_read_sent_ms = s->now_ms;
--- a/core/fsched.c
+++ b/core/fsched.c
@@ -57,13 +57,13 @@
 }
 
 struct fsched *
-fsched_new (struct outq *out, uint64_t *tokens, int64_t now_ms, int64_t epoch,
+fsched_new (struct outq *out, uint64_t *last_token, int64_t now_ms, int64_t epoch,
             int64_t wait_ms, struct fsched_stats *stats)
 {
   struct fsched *fs = fsched_zalloc (1, sizeof *fs);
 
   fs->out = out;
-  fs->tokens = tokens;
+  fs->last_token = last_token;
   fs->now_ms = now_ms;
   fs->epoch = epoch;
   fs->claimed_ms = now_ms;
@@ -258,7 +258,7 @@
   struct pending_order *p = fsched_zalloc (1, sizeof *p);
 
   o->kind = kind;
-  o->id = ++*fs->tokens;
+  o->id = ++*fs->last_token;
   o->fencing_token = fs->epoch;
   o->timeout_ms = FSCHED_CALL_TIMEOUT_MS;
   if (e)
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -428,7 +428,7 @@
 {
   int64_t now_ms;
   struct outq *out; /* borrowed; for orders, writes and log lines */
-  uint64_t *tokens; /* borrowed; last id given to a call or order */
+  uint64_t *last_token; /* borrowed; last id given to a call or order */
   int64_t epoch;    /* epoch of this term; fencing token of its orders */
   struct fsched_stats *stats; /* borrowed; outlives the scheduler */
   const struct fconf *conf;   /* borrowed; NULL: not known yet */
@@ -491,7 +491,7 @@
 /**
  * fsched_new() - Create the scheduler for a term as leader.
  * @out: queue for orders, writes and log lines; borrowed
- * @tokens: counter that calls and orders take their ids from; borrowed
+ * @last_token: counter that calls and orders take their ids from; borrowed
  * @now_ms: time of the claim
  * @epoch: epoch of the term
  * @wait_ms: how long after the claim an executor that does not answer may
@@ -500,7 +500,7 @@
  *
  * Return: a scheduler that the caller frees with fsched_free().
  */
-struct fsched *fsched_new (struct outq *out, uint64_t *tokens, int64_t now_ms,
+struct fsched *fsched_new (struct outq *out, uint64_t *last_token, int64_t now_ms,
                            int64_t epoch, int64_t wait_ms,
                            struct fsched_stats *stats);
 /** fsched_free() - Free the scheduler; @fs may be NULL. */
--- a/core/fsched_record.c
+++ b/core/fsched_record.c
@@ -193,7 +193,7 @@
       if (!op)
         {
           struct out *o = out_new (fs->out, OUT_STORE);
-          o->u.store.token = ++*fs->tokens;
+          o->u.store.token = ++*fs->last_token;
           op = &o->u.store.op;
           op->kind = STORE_TXN;
         }
--- a/core/journal.c
+++ b/core/journal.c
@@ -224,7 +224,7 @@
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
-  o->u.store.token = *token = ++*s->tokens;
+  o->u.store.token = *token = ++*s->last_token;
   o->u.store.op.kind = kind;
   return &o->u.store.op;
 }
--- a/core/sched.c
+++ b/core/sched.c
@@ -43,7 +43,7 @@
 struct sched *
 sched_new (const char *domain, const char *me, int64_t boot, int64_t epoch,
            int64_t epoch_row_ver, int64_t now_ms, const struct conf *conf,
-           struct outq *out, uint64_t *tokens)
+           struct outq *out, uint64_t *last_token)
 {
   struct sched *s = calloc (1, sizeof *s);
 
@@ -57,7 +57,7 @@
   s->started_ms = now_ms;
   s->conf = conf;
   s->out = out;
-  s->tokens = tokens;
+  s->last_token = last_token;
   s->n_domains = 1;
   s->snap_every = SNAP_EVERY_ROWS;
   s->events = calloc (EVENTS_MAX, sizeof *s->events);
--- a/core/sched.h
+++ b/core/sched.h
@@ -390,7 +390,7 @@
   int n_domains; /* number of failure domains that share the teams' limits */
   const struct conf *conf; /* configuration in force, borrowed */
   struct outq *out;        /* queue for outgoing messages, borrowed */
-  uint64_t *tokens;        /* token of the latest store operation, borrowed */
+  uint64_t *last_token;        /* token of the latest store operation, borrowed */
   struct pool pool;        /* the domain's workers and service executors */
   struct task_tree tasks;
   /* Recorded tasks by team and request id, to find duplicates. */
@@ -441,16 +441,16 @@
  * @now_ms: current time
  * @conf: configuration in force
  * @out: queue for outgoing messages
- * @tokens: token of the latest store operation; incremented for each operation
+ * @last_token: token of the latest store operation; incremented for each operation
  *
- * @conf, @out and @tokens are borrowed and must outlive the scheduler.
+ * @conf, @out and @last_token are borrowed and must outlive the scheduler.
  *
  * Return: the scheduler, which the caller frees with sched_free().
  */
 struct sched *sched_new (const char *domain, const char *me, int64_t boot,
                          int64_t epoch, int64_t epoch_row_ver, int64_t now_ms,
                          const struct conf *conf, struct outq *out,
-                         uint64_t *tokens);
+                         uint64_t *last_token);
 /** sched_free() - Free the scheduler and all it owns; @s may be NULL. */
 void sched_free (struct sched *s);
 
