--- a/core/calls.c
+++ b/core/calls.c
@@ -293,8 +293,8 @@
   e->reply.call_seq = c->seq;
 }
 
-/* Handles a call that cancels task @t.  The reply is sent once the open group
-   is durable. */
+/* Handles a call that cancels task @t.  The reply is sent once the open
+   journal group is durable. */
 static void
 handle_cancel (struct sched *s, const char *entry, const struct call *c,
                struct task *t)
@@ -401,7 +401,7 @@
     }
 }
 
-/* Service slots that an earlier holder of the domain's lease granted. */
+/* Handling of service slots that an earlier lease holder granted. */
 
 void
 sched_used_slots (struct sched *s, const struct held_list *held)
--- a/core/codec.c
+++ b/core/codec.c
@@ -1,4 +1,4 @@
-/* Struct codec: JSON and msgpack by field tables. */
+/* Conversion of structs to and from JSON and msgpack by tables of fields. */
 #include "codec.h"
 
 #include <msgpack.h>
--- a/core/codec.h
+++ b/core/codec.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Struct codec.
+ * DOC: Conversion of structs to and from JSON and msgpack.
  *
  * A table of fields describes a struct.  The codec uses the table to read the
  * struct from JSON (with errors that name the field), to write it as JSON, and
@@ -66,8 +66,8 @@
 #define FLD_OFF64(s, f)                                                       \
   (offsetof (s, f)                                                            \
    + 0 * sizeof (char[sizeof (((s *)0)->f) == sizeof (int64_t) ? 1 : -1]))
-/* Initializers of struct fld for member f of type s.  The macros without _AS
-   use the member's name as the field's name. */
+/* Initializer of struct fld for the int64_t member f of type s, with the
+   member's name as the field's name. */
 #define FLD_INT(s, f, lo, hi)                                                 \
   {                                                                           \
     .name = #f, .kind = FLD_I64, .off = FLD_OFF64 (s, f), .min = (lo),        \
@@ -111,6 +111,8 @@
     .name = (wire), .kind = FLD_VEC, .off = offsetof (s, f),                  \
     .len_off = offsetof (s, n), .sub = (d), .max = (limit)                    \
   }
+/* Initializers of struct fld for member f of type s, with the member's name as
+   the field's name. */
 #define FLD_FLAG(s, f)                                                        \
   {                                                                           \
     .name = #f, .kind = FLD_BOOL, .off = offsetof (s, f)                      \
--- a/core/entry.c
+++ b/core/entry.c
@@ -627,7 +627,7 @@
     route_request (n, rq);
 }
 
-/* Deadlines and retries of pending requests. */
+/* Checking of the deadlines and retries of pending requests. */
 
 /* Ends a pending request whose deadline has passed. */
 static void
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -65,9 +65,8 @@
   return grant;
 }
 
-/* Returns the sum of the other domains' grants.  Sets
-   *@others_want_larger_grant to true if any of these domains wants a larger
-   grant, else to false. */
+/* Returns the sum of the other domains' grants.  *@others_want_larger_grant is
+   set to whether any of these domains wants a larger grant. */
 static struct clb_res
 sum_other_grants (const struct sched *s, const struct team *team,
                   bool *others_want_larger_grant)
@@ -112,7 +111,7 @@
 }
 
 /* Returns the capacity that the team would use in this domain if its waiting
-   tasks started.  At most DEMAND_TASKS_MAX of them are counted. */
+   tasks started.  At most DEMAND_TASKS_MAX waiting tasks are counted. */
 static struct clb_res
 team_demand (const struct team *team)
 {
@@ -154,11 +153,11 @@
   return a < b ? a : b;
 }
 
-/* Returns the amount to which this domain's grant can be raised.  If another
-   domain wants a larger grant, it is the team's demand, at most an even split
-   of the limit; else it is the demand or an even split, whichever is larger.
-   It is also at most what the other domains' grants leave of the limit, but
-   never less than the present grant. */
+/* Returns the amount to which this domain's grant can be raised.  The target
+   is the smaller of the team's demand and an even split of the limit if
+   another domain wants a larger grant; otherwise it is the larger of the two.
+   The returned amount is the target or what the other domains' grants leave of
+   the limit, whichever is smaller, but at least the present grant. */
 static struct clb_res
 raised_grant (const struct sched *s, const struct team *team)
 {
@@ -308,7 +307,8 @@
     }
 }
 
-/* Finds the team whose outstanding store operation has the token, or NULL. */
+/* Returns the team whose outstanding store operation has the token, or NULL if
+   there is none. */
 static struct team *
 team_by_token (struct sched *s, uint64_t token)
 {
@@ -335,7 +335,7 @@
       team->row_ver = rep->rows[i].ver;
   if (raised)
     sched_event (s, WHY_GRANT_RAISED, "", team->name, "", 0);
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 /* Want rows.  Each domain has one want row, which names the teams that want a
@@ -504,7 +504,7 @@
   struct clb_res new_grant;
 
   team->frozen = true;
-  sched_withdraw (s, team);
+  sched_requeue_unsent (s, team);
   new_grant = lowered_grant (s, team, false);
   if (res_equal (&new_grant, &team->granted))
     new_grant = lowered_grant (s, team, true);
@@ -607,7 +607,7 @@
   if (!team->op_token)
     team->next_op_ms = s->now_ms + GRANT_ADJUST_PERIOD_MS;
   team->wants_larger_grant = false;
-  s->dirty |= team->waiting > 0;
+  s->placement_due |= team->waiting > 0;
 }
 
 void
--- a/core/fsched.c
+++ b/core/fsched.c
@@ -57,8 +57,8 @@
 }
 
 struct fsched *
-fsched_new (struct outq *out, uint64_t *last_token, int64_t now_ms, int64_t epoch,
-            int64_t wait_ms, struct fsched_stats *stats)
+fsched_new (struct outq *out, uint64_t *last_token, int64_t now_ms,
+            int64_t epoch, int64_t wait_ms, struct fsched_stats *stats)
 {
   struct fsched *fs = fsched_zalloc (1, sizeof *fs);
 
--- a/core/fsched.h
+++ b/core/fsched.h
@@ -427,9 +427,9 @@
 struct fsched
 {
   int64_t now_ms;
-  struct outq *out; /* borrowed; for orders, writes and log lines */
+  struct outq *out;     /* borrowed; for orders, writes and log lines */
   uint64_t *last_token; /* borrowed; last id given to a call or order */
-  int64_t epoch;    /* epoch of this term; fencing token of its orders */
+  int64_t epoch;        /* epoch of this term; fencing token of its orders */
   struct fsched_stats *stats; /* borrowed; outlives the scheduler */
   const struct fconf *conf;   /* borrowed; NULL: not known yet */
   struct job_tree jobs;       /* all jobs, by id */
@@ -500,8 +500,8 @@
  *
  * Return: a scheduler that the caller frees with fsched_free().
  */
-struct fsched *fsched_new (struct outq *out, uint64_t *last_token, int64_t now_ms,
-                           int64_t epoch, int64_t wait_ms,
+struct fsched *fsched_new (struct outq *out, uint64_t *last_token,
+                           int64_t now_ms, int64_t epoch, int64_t wait_ms,
                            struct fsched_stats *stats);
 /** fsched_free() - Free the scheduler; @fs may be NULL. */
 void fsched_free (struct fsched *fs);
--- a/core/journal.c
+++ b/core/journal.c
@@ -217,7 +217,7 @@
     }
 }
 
-/* Commits of groups. */
+/* Committing of groups. */
 
 struct store_op *
 journal_store_op (struct sched *s, int kind, uint64_t *token)
@@ -297,7 +297,7 @@
       return;
     }
   snprintf (j->commit.row.nonce, sizeof j->commit.row.nonce, "%.40s-%lld-%lld",
-            s->me, (long long)s->boot, (long long)++j->nonce);
+            s->self_id, (long long)s->boot, (long long)++j->nonce);
   j->commit_in_progress = true;
   s->stats.groups++;
   snap_make_if_due (s);
@@ -479,7 +479,7 @@
     }
 }
 
-/* Snapshots. */
+/* Writing of snapshots. */
 
 /* Appends a record of the task to the snapshot @row.  @kind is its enum
    rec_kind.  *@recs_cap is the number of records that row->recs has space for;
@@ -495,7 +495,7 @@
       if (!row->recs)
         abort ();
     }
-  row->recs[row->n_recs++] = task_rec (t, kind);
+  row->recs[row->n_recs++] = task_make_rec (t, kind);
 }
 
 /* Appends the records that restore the task's state to the snapshot @row.
@@ -566,9 +566,9 @@
   j->snap_step = SNAP_WRITE_OBJECT;
 }
 
-/* Sends the write that sets the snapshot row to the new object and deletes the
-   oldest journal rows that the snapshot covers, at most SNAP_DELETE_ROWS_MAX
-   of them. */
+/* Sends a write that makes the snapshot row name the new snapshot's object and
+   deletes the oldest journal rows that the snapshot covers, at most
+   SNAP_DELETE_ROWS_MAX of them. */
 static void
 snap_put_row (struct sched *s)
 {
--- a/core/load.c
+++ b/core/load.c
@@ -285,7 +285,7 @@
   s->load_step = LOAD_DONE;
   s->phase = SCHED_READY;
   escrow_apply_limits (s);
-  sched_event (s, WHY_LEASE_ACQUIRED, "", "", s->me, 0);
+  sched_event (s, WHY_LEASE_ACQUIRED, "", "", s->self_id, 0);
 }
 
 void
--- a/core/msg.h
+++ b/core/msg.h
@@ -582,7 +582,7 @@
 
 /**
  * out_line() - Append a log line to @q; see docs/OPERATIONS.md.
- * @fmt: format as of printf(), without a newline
+ * @fmt: format as for printf(), without a newline
  */
 void out_line (struct outq *q, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
--- a/core/node.c
+++ b/core/node.c
@@ -299,7 +299,7 @@
   sched_used_slots (s, &own_slots);
   free (own_slots.items);
   s->slots_known = true;
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 /* Reports the slots that this instance uses to the new lease holder @to. */
--- a/core/node.h
+++ b/core/node.h
@@ -372,8 +372,8 @@
  * @state: enum task_state
  * @executor_failed: true if this counts as a failure of the executor
  *
- * Detaches the caller and sends CALL_RELEASE to the lease holder, again and
- * again until the holder confirms it or the time for this is over.
+ * Detaches the caller and sends CALL_RELEASE to the lease holder, repeatedly
+ * until the holder confirms it or the request's deadline passes.
  */
 void entry_pending_release (struct node *n, struct pending *p, int state,
                             bool executor_failed);
@@ -464,7 +464,7 @@
 int64_t entry_query_number (const char *query, const char *name);
 /**
  * apply_request() - Handle an operator's request with a new manifest.
- * @query: the path after "/v1/config"
+ * @query: the query string: what follows "/v1/config" in the path
  */
 void apply_request (struct node *n, const struct request *rq,
                     const char *query);
--- a/core/place.c
+++ b/core/place.c
@@ -18,7 +18,8 @@
   /* Added to a worker's score for each other member of the task on the same
      rack, if the task is to be spread. */
   SCORE_SAME_RACK = 16384,
-  /* Added to the score of the worker that is to be avoided. */
+  /* Added to the score of the worker on which the task last failed, so that it
+     is chosen only if no other worker fits. */
   SCORE_AVOID = 1 << 24,
 };
 
@@ -149,7 +150,7 @@
 {
   struct pool *pool;
   const struct spec *spec;
-  const char *avoid;
+  const char *avoid; /* id of the worker to be avoided, or empty */
   int64_t now_ms;
   struct worker **picked;
   int64_t n_picked;
@@ -304,7 +305,7 @@
   return could_ever_fit (pool, spec) ? WHY_NO_ROOM : WHY_NO_WORKER_FITS;
 }
 
-/* Adds @r to @sum, except for resources of which @r is negative. */
+/* Adds @r to @sum, except for resources whose amount in @r is negative. */
 static void
 add_positive (struct clb_res *sum, const struct clb_res *r)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -94,7 +94,7 @@
   size_t n_workers; /* number of workers in the tree */
 };
 
-/** pool_worker_cmp() - Compare two workers by their ids, as strcmp(). */
+/** pool_worker_cmp() - Compare two workers by their ids, like strcmp(). */
 int pool_worker_cmp (const struct worker *a, const struct worker *b);
 /** pool_init() - Make @pool an empty pool. */
 void pool_init (struct pool *pool);
--- a/core/queue.c
+++ b/core/queue.c
@@ -77,7 +77,7 @@
 
   while (ms > wait_bucket_ms[bucket])
     bucket++;
-  s->stats.waits[t->class][bucket]++;
+  s->stats.wait_histogram[t->class][bucket]++;
   s->stats.wait_sum_ms[t->class] += (uint64_t)ms;
 }
 
@@ -261,7 +261,7 @@
   struct placement_round r = { .n_blocked = 0 };
   struct clb_res total = total_capacity (s);
 
-  s->dirty = false;
+  s->placement_due = false;
   for (int class = 0; class < CLASS_N; class ++)
     place_class_tasks (s, &r, &total, class);
 }
--- a/core/recon.c
+++ b/core/recon.c
@@ -13,8 +13,9 @@
 
 enum
 {
-  /* Allowance for different clock rates of the two machines and for pauses on
-     either of them. */
+  /* Added to the time after which a worker's task leases count as expired.
+     Allows for different clock rates of this machine and the worker's, and for
+     pauses on either of them. */
   CLOCK_MARGIN_MS = 1000,
   /* Delay from a run's expected end to the sync that is sent because of it. */
   END_SYNC_DELAY_MS = 10,
@@ -50,7 +51,7 @@
   run_id_push (&w->acks, &w->n_acks, run);
 }
 
-/* Syncs that are sent to workers. */
+/* Sending of syncs to workers. */
 
 /* Returns the length of the lease that a sync grants to all of a worker's
    tasks, in ms; 0 if their leases are not renewed. */
@@ -71,7 +72,7 @@
 {
   /* The team may have become frozen since the task was placed, because its
      limit was lowered. */
-  if (m->task->team->frozen && task_unsent (m->task))
+  if (m->task->team->frozen && task_starts_unsent (m->task))
     return false;
   /* The list of instances must be current, since it shows whether the worker
      is leaving, and so must the configuration, since it shows whether a limit
@@ -130,7 +131,7 @@
 
   clb_copy (o->u.sync.worker, w->inst.id, sizeof o->u.sync.worker);
   clb_copy (o->u.sync.addr, w->inst.addr, sizeof o->u.sync.addr);
-  clb_copy (req->holder, s->me, sizeof req->holder);
+  clb_copy (req->holder, s->self_id, sizeof req->holder);
   req->epoch = s->epoch;
   req->seq = ++w->sync_seq;
   req->lease_ms = task_lease_ms (s, w);
@@ -163,7 +164,7 @@
   s->stats.syncs++;
 }
 
-/* Reports with which workers answer syncs. */
+/* Handling of the reports that workers send in reply to syncs. */
 
 /* Finds the member with run id @run that is placed on the worker.  Returns
    NULL if the task is unknown, the run belongs to another attempt, or the
@@ -297,9 +298,9 @@
     }
 }
 
-/* Acknowledges an ended run to its worker once the open group, and with it the
-   record of the run's end, is durable.  Until a run is acknowledged, the
-   worker goes on reporting it. */
+/* Acknowledges an ended run to its worker once the open journal group, and
+   with it the record of the run's end, is durable.  Until a run is
+   acknowledged, the worker goes on reporting it. */
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
 {
@@ -415,7 +416,7 @@
   if (w->state != WORKER_UNSEEN)
     sched_event (s, WHY_WORKER_BACK, "", "", w->inst.id, 0);
   w->state = WORKER_LIVE;
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 void
@@ -444,7 +445,7 @@
   stop_unlisted_members (w, seq);
 }
 
-/* Workers that do not answer. */
+/* Handling of workers that do not answer syncs. */
 
 /* Returns the time at which the leases of all tasks of a worker in state
    WORKER_EXPIRING have certainly run out. */
--- a/core/sched.c
+++ b/core/sched.c
@@ -41,16 +41,16 @@
 RB_GENERATE (team_tree, team, by_name, team_cmp)
 
 struct sched *
-sched_new (const char *domain, const char *me, int64_t boot, int64_t epoch,
-           int64_t epoch_row_ver, int64_t now_ms, const struct conf *conf,
-           struct outq *out, uint64_t *last_token)
+sched_new (const char *domain, const char *self_id, int64_t boot,
+           int64_t epoch, int64_t epoch_row_ver, int64_t now_ms,
+           const struct conf *conf, struct outq *out, uint64_t *last_token)
 {
   struct sched *s = calloc (1, sizeof *s);
 
   if (!s)
     abort ();
   clb_copy (s->domain, domain, sizeof s->domain);
-  clb_copy (s->me, me, sizeof s->me);
+  clb_copy (s->self_id, self_id, sizeof s->self_id);
   s->boot = boot;
   s->epoch = epoch;
   s->now_ms = now_ms;
@@ -134,7 +134,7 @@
       team->limit = conf->teams[i].limit;
     }
   escrow_apply_limits (s);
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 struct task *
@@ -194,7 +194,7 @@
   struct out *o = out_new (s->out, OUT_PEER);
   clb_copy (o->u.peer.to, entry, sizeof o->u.peer.to);
   o->u.peer.msg.kind = PM_REPLY;
-  clb_copy (o->u.peer.msg.from, s->me, sizeof o->u.peer.msg.from);
+  clb_copy (o->u.peer.msg.from, s->self_id, sizeof o->u.peer.msg.from);
   o->u.peer.msg.boot = s->boot;
   o->u.peer.msg.u.reply = *r;
 }
@@ -253,7 +253,7 @@
       if (t->not_before_ms && t->not_before_ms <= s->now_ms)
         {
           t->not_before_ms = 0;
-          s->dirty = true;
+          s->placement_due = true;
         }
       if (t->expires_ms && t->expires_ms <= s->now_ms
           && !task_state_final (t->state))
@@ -305,7 +305,7 @@
     }
   s->list_ms = requested_ms;
   s->n_domains = n_domains > 0 ? n_domains : 1;
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 bool
@@ -340,7 +340,8 @@
       expire_tasks (s);
       forget_oldest_ended (s);
       escrow_tick (s);
-      if (s->dirty && s->may_start && !s->stopping && !journal_full (s))
+      if (s->placement_due && s->may_start && !s->stopping
+          && !journal_full (s))
         place_round (s);
       recon_tick (s);
     }
--- a/core/sched.h
+++ b/core/sched.h
@@ -326,7 +326,8 @@
 {
   SCHED_LOADING, /* the snapshot, journal and grants are being read */
   SCHED_READY,   /* loading is complete */
-  /* The condition of a write failed: another epoch has begun. */
+  /* A conditional write failed because a newer epoch has begun, so another
+     scheduler has taken over the domain. */
   SCHED_SUPERSEDED,
 };
 
@@ -344,7 +345,7 @@
 {
   /* Histogram of the times from accept to first placement: numbers of tasks,
      by enum task_class and by bucket. */
-  uint64_t waits[CLASS_N][WAIT_BUCKETS];
+  uint64_t wait_histogram[CLASS_N][WAIT_BUCKETS];
   /* Sum of the times from accept to first placement, by enum task_class. */
   uint64_t wait_sum_ms[CLASS_N];
   uint64_t reasons[WHY_N]; /* number of decisions by enum clb_reason */
@@ -362,7 +363,7 @@
 {
   char domain[CLB_NAME_MAX];
   /* Id of this instance, which holds the domain's lease. */
-  char me[CLB_ID_MAX];
+  char self_id[CLB_ID_MAX];
   int64_t boot; /* boot of this instance */
   int64_t epoch;
   int phase;          /* enum sched_phase */
@@ -381,7 +382,7 @@
   bool stopping;
   /* True if free capacity or a queue changed since the last placement
      round. */
-  bool dirty;
+  bool placement_due;
   /* Number in the latest task id given in this epoch; 0: none yet. */
   int64_t last_id;
   /* Time of the next check of the tasks' time limits. */
@@ -390,7 +391,7 @@
   int n_domains; /* number of failure domains that share the teams' limits */
   const struct conf *conf; /* configuration in force, borrowed */
   struct outq *out;        /* queue for outgoing messages, borrowed */
-  uint64_t *last_token;        /* token of the latest store operation, borrowed */
+  uint64_t *last_token;    /* token of the latest store operation, borrowed */
   struct pool pool;        /* the domain's workers and service executors */
   struct task_tree tasks;
   /* Recorded tasks by team and request id, to find duplicates. */
@@ -434,20 +435,21 @@
 /**
  * sched_new() - Create a scheduler, which begins by loading the journal.
  * @domain: failure domain to schedule
- * @me: id of this instance
+ * @self_id: id of this instance
  * @boot: boot of this instance
  * @epoch: epoch of the domain's lease
  * @epoch_row_ver: version of the epoch row; writes fail once it has changed
  * @now_ms: current time
  * @conf: configuration in force
  * @out: queue for outgoing messages
- * @last_token: token of the latest store operation; incremented for each operation
+ * @last_token: token of the latest store operation; incremented for each
+ *              operation
  *
  * @conf, @out and @last_token are borrowed and must outlive the scheduler.
  *
  * Return: the scheduler, which the caller frees with sched_free().
  */
-struct sched *sched_new (const char *domain, const char *me, int64_t boot,
+struct sched *sched_new (const char *domain, const char *self_id, int64_t boot,
                          int64_t epoch, int64_t epoch_row_ver, int64_t now_ms,
                          const struct conf *conf, struct outq *out,
                          uint64_t *last_token);
@@ -458,7 +460,7 @@
 void sched_conf (struct sched *s, const struct conf *conf);
 /**
  * sched_instances() - Apply the platform's list of instances.
- * @list: the list, copied as far as it is needed
+ * @list: the list, borrowed; the scheduler copies what it keeps
  * @requested_ms: when the list was requested
  */
 void sched_instances (struct sched *s, const struct inst_list *list,
@@ -466,7 +468,7 @@
 /**
  * sched_handle_call() - Handle a call; the reply may be sent much later.
  * @entry: id of the entry instance that calls
- * @c: the call, copied as far as it is needed
+ * @c: the call, borrowed; the scheduler copies what it keeps
  */
 void sched_handle_call (struct sched *s, const char *entry,
                         const struct call *c);
@@ -526,7 +528,7 @@
  */
 char *sched_why (struct sched *s, const char *id);
 
-/* The rest is internal to the scheduler's files. */
+/* The following declarations are internal to the scheduler. */
 
 enum
 {
@@ -580,7 +582,8 @@
 /**
  * task_answer_waiters() - Send the task's current state to its waiters.
  *
- * For a recorded task the replies are sent once the open group is durable.
+ * For a recorded task the replies are sent once the open journal group is
+ * durable.
  */
 void task_answer_waiters (struct sched *s, struct task *t);
 /**
@@ -594,28 +597,30 @@
  */
 void member_run_id (const struct member *m, char out[CLB_ID_MAX]);
 /**
- * task_unsent() - Return whether a task is placed and no member's start was
- * sent.
+ * task_starts_unsent() - Return whether a placed task has no start sent yet.
  *
- * Always false for a service request, whose members have no start to be sent.
+ * False for a task that is not placed, and for a service request, whose
+ * members have no start to be sent.
  */
-bool task_unsent (const struct task *t);
+bool task_starts_unsent (const struct task *t);
 /**
- * sched_withdraw() - Requeue the team's tasks for which task_unsent() is true.
+ * sched_requeue_unsent() - Requeue the team's placed tasks with no start sent.
+ *
+ * These are the tasks for which task_starts_unsent() is true.
  */
-void sched_withdraw (struct sched *s, struct team *team);
+void sched_requeue_unsent (struct sched *s, struct team *team);
 /**
  * sched_reply() - Send a reply.
  * @entry: id of the receiving entry instance; empty: nothing is sent
  */
 void sched_reply (struct sched *s, const char *entry, const struct reply *r);
 /**
- * task_rec() - Make a journal record of the task's current state.
+ * task_make_rec() - Make a journal record of the task's current state.
  * @kind: enum rec_kind
  *
  * Return: the record; the caller owns the array of its places.
  */
-struct rec task_rec (const struct task *t, int kind);
+struct rec task_make_rec (const struct task *t, int kind);
 /**
  * task_journal() - Add a record of the task's current state to the journal.
  * @kind: enum rec_kind
@@ -644,8 +649,8 @@
  * @entry: receiver, an entry instance
  * @call_seq: number of the call
  *
- * The state is the present one; the reply is sent once the open group is
- * durable.
+ * The state is the present one; the reply is sent once the open journal group
+ * is durable.
  */
 void task_reply_durable (struct sched *s, const struct task *t,
                          const char *entry, int64_t call_seq);
@@ -717,16 +722,18 @@
 /** journal_free() - Free what the journal's write side owns. */
 void journal_free (struct sched *s);
 /**
- * journal_add() - Add a record to the open group.
+ * journal_add() - Add a record to the open journal group.
  * @rec: the record; the function takes ownership of what it points to
  */
 void journal_add (struct sched *s, const struct rec *rec);
 /**
- * journal_effect() - Add an action to be run once the open group is durable.
+ * journal_effect() - Add an action to the open journal group.
  * @kind: enum effect_kind
  * @id: id of the task, or of the run for %EFFECT_ACK
  *
- * Return: the effect, owned by the open group, to be filled by the caller.
+ * The action is run once the group is durable.
+ *
+ * Return: the effect, owned by the group, to be filled by the caller.
  */
 struct effect *journal_effect (struct sched *s, int kind, const char *id);
 /** journal_full() - Return whether too many records wait to be written. */
--- a/core/task.c
+++ b/core/task.c
@@ -68,7 +68,7 @@
   TAILQ_INSERT_TAIL (&t->team->queue[t->class], t, queued);
   t->team->waiting++;
   t->in_queue = true;
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 void
@@ -121,7 +121,7 @@
 }
 
 struct rec
-task_rec (const struct task *t, int kind)
+task_make_rec (const struct task *t, int kind)
 {
   struct rec r = {
     .kind = kind,
@@ -161,7 +161,7 @@
 {
   if (!t->recorded)
     return;
-  struct rec r = task_rec (t, kind);
+  struct rec r = task_make_rec (t, kind);
   journal_add (s, &r);
 }
 
@@ -211,7 +211,7 @@
   clb_res_add (&m->task->team->used, &m->task->spec.need, -1);
   m->task->team->idle_since_ms = s->now_ms;
   m->worker = NULL;
-  s->dirty = true;
+  s->placement_due = true;
 }
 
 void
@@ -311,7 +311,7 @@
 }
 
 bool
-task_unsent (const struct task *t)
+task_starts_unsent (const struct task *t)
 {
   for (int64_t i = 0; i < t->n_members; i++)
     if (t->members[i].state != MEMBER_INTENT)
@@ -320,13 +320,13 @@
 }
 
 void
-sched_withdraw (struct sched *s, struct team *team)
+sched_requeue_unsent (struct sched *s, struct team *team)
 {
   struct task *t;
   struct task *next;
 
   RB_FOREACH_SAFE (t, task_tree, &s->tasks, next)
-    if (t->team == team && task_unsent (t))
+    if (t->team == team && task_starts_unsent (t))
       task_retry (s, t, WHY_TEAM_LIMIT);
 }
 
--- a/core/urgent.c
+++ b/core/urgent.c
@@ -18,8 +18,8 @@
 /* struct preempt_plan - tasks to preempt on one worker, and the cost of it */
 struct preempt_plan
 {
-  struct task *victims[VICTIMS_MAX];
-  int n_victims; /* number of victims */
+  struct task *victims[VICTIMS_MAX]; /* tasks to preempt */
+  int n_victims;                     /* number of tasks in victims */
   /* Sum of preempt_cost() of all victims, in core milliseconds. */
   int64_t cost;
 };
--- a/core/view.c
+++ b/core/view.c
@@ -193,7 +193,7 @@
       unsigned long long cumulative = 0;
       for (int b = 0; b < WAIT_BUCKETS; b++)
         {
-          cumulative += st->waits[c][b];
+          cumulative += st->wait_histogram[c][b];
           fprintf (f, "citronlb_wait_ms_bucket{class=\"%s\",le=\"",
                    task_class_names[c]);
           if (b == WAIT_BUCKETS - 1)
