--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -12,9 +12,9 @@
 
 enum
 {
-  STOP_MS = 100,
-  GANG_MS = 3000,
-  FAULT_NEAR_MS = 6000,
+  STOP_DELAY_MS = 100,
+  GANG_WAIT_MS = 3000,
+  RECENT_FAULT_MS = 6000,
   LEASE_MAX_MS = 6000,
   ADVICE_VALID_MS = 2000,
 };
@@ -22,17 +22,17 @@
 struct delivery
 {
   int inst;
-  uint64_t life;
+  uint64_t incarnation;
   struct order order;
   char exec[CLB_ID_MAX];
   struct order_result res;
-  int64_t until_ms; /* of a question for ends */
-  int64_t born_ms;  /* of the boot that it came to; 0: under way */
-  bool silent;      /* nobody hears the answer */
+  int64_t poll_deadline_ms; /* of a question for ends */
+  int64_t boot_start_ms;    /* of the boot that it came to; 0: under way */
+  bool drop_result;         /* nobody hears the answer */
 };
 
 static struct fexec *
-exec_of (struct fsim *s, const char *id)
+find_exec (struct fsim *s, const char *id)
 {
   for (int i = 0; i < s->n_exec; i++)
     if (strcmp (s->exec[i]->id, id) == 0)
@@ -40,17 +40,17 @@
   return NULL;
 }
 
-static struct fmark *
-mark_of (struct fsim *s, const struct task_ref *t)
+static struct ftask_stats *
+task_stats (struct fsim *s, const struct task_ref *t)
 {
-  struct fjob *j = fsim_job (s, t->job);
+  struct fjob *j = fsim_find_job (s, t->job);
   int at = 0;
 
   if (!j || t->step >= (int64_t)j->spec.n_steps)
     return NULL;
   for (int i = 0; i < t->step; i++)
     at += (int)j->spec.steps[i].tasks;
-  return &j->marks[at + t->index];
+  return &j->stats[at + t->index];
 }
 
 static bool
@@ -61,36 +61,38 @@
 }
 
 static void
-remember (struct fexec *e, const struct task_ref *task, int64_t run)
+remember_run (struct fexec *e, const struct task_ref *task, int64_t run)
 {
-  e->past = realloc (e->past, (size_t)(e->n_past + 1) * sizeof *e->past);
-  if (!e->past)
+  e->past_runs = realloc (e->past_runs,
+                          (size_t)(e->n_past_runs + 1) * sizeof *e->past_runs);
+  if (!e->past_runs)
     abort ();
-  e->past[e->n_past++] = (struct fpast){ *task, run };
+  e->past_runs[e->n_past_runs++] = (struct frun_ref){ *task, run };
 }
 
 static void
 end_run (struct fsim *s, struct fexec *e, int i, int how)
 {
   struct frun *r = &e->runs[i];
-  struct fmark *m = mark_of (s, &r->task);
+  struct ftask_stats *m = task_stats (s, &r->task);
   struct end_row *end = &e->ends[e->n_ends];
 
-  remember (e, &r->task, r->run);
+  remember_run (e, &r->task, r->run_id);
   if (m)
-    m->running--;
+    m->n_running--;
   /* Orders to stop the member may have been lost as well (walk, seed 184). */
   if (how == RUN_END_GANG_INCOMPLETE
-      && s->now_ms - e->fault_ms > FAULT_NEAR_MS)
+      && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
     fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s waited in vain",
                     r->task.job, (long long)r->task.step,
-                    (long long)r->task.index, (long long)r->run, e->id);
+                    (long long)r->task.index, (long long)r->run_id, e->id);
   if (e->n_ends < (int)CLB_COUNT (e->ends))
     {
       e->n_ends++;
-      *end = (struct end_row){
-        .seq = ++e->last_end, .task = r->task, .run_id = r->run, .how = how
-      };
+      *end = (struct end_row){ .seq = ++e->last_end_seq,
+                               .task = r->task,
+                               .run_id = r->run_id,
+                               .how = how };
     }
   e->runs[i] = e->runs[--e->n_runs];
 }
@@ -114,8 +116,8 @@
 
 /* The members of one run of a gang that are there; @each is told of each. */
 static int
-members (struct fsim *s, const struct task_ref *t, int64_t run,
-         void (*each) (struct fsim *s, struct frun *r))
+gang_members (struct fsim *s, const struct task_ref *t, int64_t run,
+              void (*each) (struct fsim *s, struct frun *r))
 {
   int n = 0;
 
@@ -123,7 +125,7 @@
     for (int i = 0; i < s->exec[k]->n_runs; i++)
       {
         struct frun *r = &s->exec[k]->runs[i];
-        if (r->run != run || r->task.step != t->step
+        if (r->run_id != run || r->task.step != t->step
             || strcmp (r->task.job, t->job) != 0)
           continue;
         n++;
@@ -134,11 +136,11 @@
 }
 
 static void
-set_to_work (struct fsim *s, struct frun *r)
+start_gang_member (struct fsim *s, struct frun *r)
 {
-  struct fjob *j = fsim_job (s, r->task.job);
+  struct fjob *j = fsim_find_job (s, r->task.job);
 
-  r->waits = false;
+  r->awaits_gang = false;
   r->end_ms = s->now_ms + j->task_ms[r->task.step];
   r->how = RUN_END_DONE;
 }
@@ -147,16 +149,16 @@
 static void
 join_gang (struct fsim *s, struct frun *r, const struct job_step *step)
 {
-  r->waits = true;
-  r->end_ms = s->now_ms + GANG_MS;
+  r->awaits_gang = true;
+  r->end_ms = s->now_ms + GANG_WAIT_MS;
   r->how = RUN_END_GANG_INCOMPLETE;
-  if (members (s, &r->task, r->run, NULL) == step->tasks)
-    members (s, &r->task, r->run, set_to_work);
+  if (gang_members (s, &r->task, r->run_id, NULL) == step->tasks)
+    gang_members (s, &r->task, r->run_id, start_gang_member);
 }
 
 static void
 check_start (struct fsim *s, struct fexec *e, const struct order *o,
-             struct fjob *j, struct fmark *m)
+             struct fjob *j, struct ftask_stats *m)
 {
   struct job_need used = { 0 };
 
@@ -165,21 +167,24 @@
       used.millicores += e->runs[i].need.millicores;
       used.mem_mb += e->runs[i].need.mem_mb;
     }
-  if (used.millicores > e->room.millicores || used.mem_mb > e->room.mem_mb)
+  if (used.millicores > e->capacity.millicores
+      || used.mem_mb > e->capacity.mem_mb)
     fsim_violation (s, "LIMIT %s: %lld millicores of %lld", e->id,
-                    (long long)used.millicores, (long long)e->room.millicores);
-  if (m->running > 1)
+                    (long long)used.millicores,
+                    (long long)e->capacity.millicores);
+  if (m->n_running > 1)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: runs elsewhere",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->noted)
+  if (m->end_acked)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: done before",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->failed >= j->spec.attempts)
+  if (m->n_failed >= j->spec.attempts)
     fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d have failed",
                     o->task.job, (long long)o->task.step,
-                    (long long)o->task.index, (long long)o->run_id, m->failed);
+                    (long long)o->task.index, (long long)o->run_id,
+                    m->n_failed);
   if (j->refused)
     fsim_violation (s, "REFUSED %s starts", o->task.job);
 }
@@ -187,8 +192,8 @@
 static void
 begin_run (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  struct fjob *j = fsim_job (s, o->task.job);
-  struct fmark *m = mark_of (s, &o->task);
+  struct fjob *j = fsim_find_job (s, o->task.job);
+  struct ftask_stats *m = task_stats (s, &o->task);
   struct frun *r = &e->runs[e->n_runs];
 
   if (!j || !m)
@@ -198,44 +203,46 @@
     }
   e->n_runs++;
   *r = (struct frun){ .task = o->task,
-                      .run = o->run_id,
-                      .begin_ms = s->now_ms,
+                      .run_id = o->run_id,
+                      .start_ms = s->now_ms,
                       .end_ms = s->now_ms + j->task_ms[o->task.step],
-                      .how
-                      = j->poison || e->fails ? RUN_END_FAILED : RUN_END_DONE,
+                      .how = j->always_fails || e->fails_runs ? RUN_END_FAILED
+                                                              : RUN_END_DONE,
                       .need = j->spec.steps[o->task.step].need };
   if (r->how == RUN_END_FAILED)
     r->end_ms = s->now_ms + 50;
-  if (e->hangs)
+  if (e->hangs_runs)
     r->end_ms = INT64_MAX;
-  m->running++;
-  m->starts++;
+  m->n_running++;
+  m->n_starts++;
   if (j->spec.steps[o->task.step].gang && r->how == RUN_END_DONE)
     join_gang (s, r, &j->spec.steps[o->task.step]);
   check_start (s, e, o, j, m);
 }
 
 static int
-start (struct fsim *s, struct fexec *e, const struct order *o)
+apply_start (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  if (o->fencing_token < e->fence)
+  if (o->fencing_token < e->fencing_token)
     return REFUSED_FENCE;
-  if (o->lease_deadline_ms <= s->now_ms - e->born_ms)
+  if (o->lease_deadline_ms <= s->now_ms - e->boot_start_ms)
     return REFUSED_LEASE_OVER;
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
+    if (same_task (&e->runs[i].task, &o->task)
+        && e->runs[i].run_id == o->run_id)
       return -1;
-  for (int i = 0; i < e->n_past; i++)
-    if (same_task (&e->past[i].task, &o->task) && e->past[i].run >= o->run_id)
+  for (int i = 0; i < e->n_past_runs; i++)
+    if (same_task (&e->past_runs[i].task, &o->task)
+        && e->past_runs[i].run_id >= o->run_id)
       return REFUSED_STALE_RUN;
   begin_run (s, e, o);
   return -1;
 }
 
 static void
-extend (struct fsim *s, struct fexec *e, int64_t deadline_ms)
+extend_lease (struct fsim *s, struct fexec *e, int64_t deadline_ms)
 {
-  int64_t until = e->born_ms + deadline_ms;
+  int64_t until = e->boot_start_ms + deadline_ms;
 
   if (until > s->now_ms + LEASE_MAX_MS)
     until = s->now_ms + LEASE_MAX_MS;
@@ -244,15 +251,16 @@
 }
 
 static void
-stop (struct fsim *s, struct fexec *e, const struct order *o)
+apply_stop (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  remember (e, &o->task, o->run_id);
+  remember_run (e, &o->task, o->run_id);
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
+    if (same_task (&e->runs[i].task, &o->task)
+        && e->runs[i].run_id == o->run_id)
       {
         e->runs[i].stopping = true;
-        if (e->runs[i].end_ms > s->now_ms + STOP_MS)
-          e->runs[i].end_ms = s->now_ms + STOP_MS;
+        if (e->runs[i].end_ms > s->now_ms + STOP_DELAY_MS)
+          e->runs[i].end_ms = s->now_ms + STOP_DELAY_MS;
       }
 }
 
@@ -264,7 +272,7 @@
   for (int i = 0; i < e->n_ends; i++)
     {
       const struct end_row *end = &e->ends[i];
-      struct fmark *m = mark_of (s, &end->task);
+      struct ftask_stats *m = task_stats (s, &end->task);
       if (end->seq > recorded)
         {
           e->ends[kept++] = *end;
@@ -273,10 +281,10 @@
       if (m && end->how == RUN_END_DONE)
         {
           m->done = true;
-          m->noted = true;
+          m->end_acked = true;
         }
       if (m && end->how == RUN_END_FAILED)
-        m->failed++;
+        m->n_failed++;
     }
   e->n_ends = kept;
 }
@@ -289,11 +297,11 @@
   for (int i = 0; i < e->n_runs; i++)
     {
       struct frun *r = &e->runs[i];
-      int64_t whole = r->end_ms - r->begin_ms;
+      int64_t whole = r->end_ms - r->start_ms;
       res->runs[res->n_runs++] = (struct run_row){
         .task = r->task,
-        .run_id = r->run,
-        .percent = whole > 0 ? (s->now_ms - r->begin_ms) * 100 / whole : 0
+        .run_id = r->run_id,
+        .percent = whole > 0 ? (s->now_ms - r->start_ms) * 100 / whole : 0
       };
     }
   for (int i = 0; i < e->n_ends && i < 500; i++)
@@ -301,20 +309,22 @@
 }
 
 static void
-result (struct fsim *s, void *arg)
+deliver_result (struct fsim *s, void *arg)
 {
   struct delivery *d = arg;
-  struct finst *in = s->inst[d->inst];
+  struct fsim_instance *in = s->inst[d->inst];
 
-  if (in->up && in->life == d->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, result, d);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_result,
+                     d);
       return;
     }
-  if (in->up && in->life == d->life && !d->silent)
+  if (in->up && in->incarnation == d->incarnation && !d->drop_result)
     {
       fleet_order_result (&in->fleet, s->now_ms, &d->order, &d->res);
-      fsim_pump (s, d->inst);
+      fsim_process_outputs (s, d->inst);
     }
   order_result_clear (&d->res);
   free (d->order.text);
@@ -323,17 +333,17 @@
 }
 
 static void
-come_back (struct fsim *s, struct delivery *d, struct fexec *e)
+send_result (struct fsim *s, struct delivery *d, struct fexec *e)
 {
-  if (!fsim_can_reach (s, d->inst, e) || fsim_random (s) < e->lost)
+  if (!fsim_can_reach (s, d->inst, e) || fsim_random (s) < e->reply_lost_share)
     {
-      e->fault_ms = s->now_ms;
+      e->last_fault_ms = s->now_ms;
       order_result_clear (&d->res);
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, d->order.timeout_ms, result, d);
+      fsim_schedule (s, d->order.timeout_ms, deliver_result, d);
       return;
     }
-  fsim_at (s, FSIM_LINK_MS, result, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_result, d);
 }
 
 bool
@@ -343,20 +353,20 @@
   int refusal = -1;
 
   fexec_tick (s);
-  res->clock_ms = s->now_ms - e->born_ms;
-  res->boot_start_ms = e->born_ms;
+  res->clock_ms = s->now_ms - e->boot_start_ms;
+  res->boot_start_ms = e->boot_start_ms;
   res->outcome = ORDER_DONE;
-  if (o->fencing_token < e->fence)
+  if (o->fencing_token < e->fencing_token)
     refusal = REFUSED_FENCE;
   else
     {
-      e->fence = o->fencing_token;
+      e->fencing_token = o->fencing_token;
       if (o->lease_deadline_ms)
-        extend (s, e, o->lease_deadline_ms);
+        extend_lease (s, e, o->lease_deadline_ms);
       if (o->kind == ORDER_STOP)
-        stop (s, e, o);
+        apply_stop (s, e, o);
       else if (o->kind == ORDER_START)
-        refusal = start (s, e, o);
+        refusal = apply_start (s, e, o);
     }
   if (refusal >= 0)
     {
@@ -375,25 +385,25 @@
 }
 
 static void
-arrive (struct fsim *s, void *arg)
+deliver_order (struct fsim *s, void *arg)
 {
   struct delivery *d = arg;
-  struct fexec *e = exec_of (s, d->exec);
+  struct fexec *e = find_exec (s, d->exec);
   bool first;
 
   /* What waits in a boot ends with it. */
   if (!e->up || !fsim_can_reach (s, d->inst, e)
-      || (d->born_ms && d->born_ms != e->born_ms))
+      || (d->boot_start_ms && d->boot_start_ms != e->boot_start_ms))
     {
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, d->order.timeout_ms, result, d);
+      fsim_schedule (s, d->order.timeout_ms, deliver_result, d);
     }
-  else if (first = !d->born_ms, d->born_ms = e->born_ms,
-           fexec_apply (s, e, &d->order, first, s->now_ms >= d->until_ms,
-                        &d->res))
-    come_back (s, d, e);
+  else if (first = !d->boot_start_ms, d->boot_start_ms = e->boot_start_ms,
+           fexec_apply (s, e, &d->order, first,
+                        s->now_ms >= d->poll_deadline_ms, &d->res))
+    send_result (s, d, e);
   else
-    fsim_at (s, 10, arrive, d);
+    fsim_schedule (s, 10, deliver_order, d);
 }
 
 static struct delivery *
@@ -402,54 +412,55 @@
   struct delivery *d = calloc (1, sizeof *d);
 
   d->inst = i;
-  d->life = s->inst[i]->life;
+  d->incarnation = s->inst[i]->incarnation;
   d->order = *o;
   d->order.text = o->text ? strdup (o->text) : NULL;
   d->order.execs = NULL;
   clb_copy (d->exec, o->exec, sizeof d->exec);
-  d->until_ms = s->now_ms + o->wait_ms;
+  d->poll_deadline_ms = s->now_ms + o->wait_ms;
   return d;
 }
 
 static void
-late_arrival (struct fsim *s, void *arg)
+deliver_delayed_order (struct fsim *s, void *arg)
 {
   struct delivery *d = arg;
 
   /* A boot refuses what was meant for another one. */
-  d->silent = true;
-  arrive (s, d);
+  d->drop_result = true;
+  deliver_order (s, d);
 }
 
 void
-fexec_order (struct fsim *s, int i, const struct order *o)
+fexec_send_order (struct fsim *s, int i, const struct order *o)
 {
-  struct fexec *e = exec_of (s, o->exec);
+  struct fexec *e = find_exec (s, o->exec);
   struct delivery *d = delivery_new (s, i, o);
 
-  if (!e || e->unreached)
+  if (!e || e->refuses_connections)
     {
       d->res.outcome = ORDER_UNREACHED;
-      fsim_at (s, FSIM_LINK_MS, result, d);
+      fsim_schedule (s, FSIM_LINK_MS, deliver_result, d);
       return;
     }
-  if (o->kind != ORDER_POLL && fsim_random (s) < e->late)
+  if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_share)
     {
       struct delivery *late = delivery_new (s, i, o);
-      late->born_ms = e->born_ms;
-      e->fault_ms = s->now_ms;
-      fsim_at (s, 2000 + (int64_t)(fsim_random (s) * 10000), late_arrival,
-               late);
+      late->boot_start_ms = e->boot_start_ms;
+      e->last_fault_ms = s->now_ms;
+      fsim_schedule (s, 2000 + (int64_t)(fsim_random (s) * 10000),
+                     deliver_delayed_order, late);
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, o->timeout_ms, result, d);
+      fsim_schedule (s, o->timeout_ms, deliver_result, d);
       return;
     }
-  fsim_at (s, FSIM_LINK_MS, arrive, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_order, d);
 }
 
 /* The same executors are good for a step each time it is asked. */
 static bool
-is_good (const struct fsim *s, const char *job, int64_t step, const char *exec)
+is_permitted (const struct fsim *s, const char *job, int64_t step,
+              const char *exec)
 {
   uint64_t h = 1469598103934665603ULL + (uint64_t)step;
 
@@ -460,17 +471,18 @@
   h ^= h >> 33;
   h *= 0xff51afd7ed558ccdULL;
   h ^= h >> 33;
-  return (double)(h >> 40 & 0xffff) / 65536 < s->good_share;
+  return (double)(h >> 40 & 0xffff) / 65536 < s->permitted_share;
 }
 
 void
-fexec_good (struct fsim *s, const struct order *o, struct order_result *res)
+fexec_permitted (struct fsim *s, const struct order *o,
+                 struct order_result *res)
 {
   res->outcome = ORDER_DONE;
   res->valid_ms = ADVICE_VALID_MS;
   res->permitted = calloc (o->n_execs + 1, sizeof *res->permitted);
   for (size_t k = 0; k < o->n_execs; k++)
-    if (is_good (s, o->task.job, o->task.step, o->execs[k]))
+    if (is_permitted (s, o->task.job, o->task.step, o->execs[k]))
       {
         struct permitted_exec *g = &res->permitted[res->n_permitted++];
         clb_copy (g->exec, o->execs[k], sizeof g->exec);
@@ -479,32 +491,34 @@
 }
 
 void
-fexec_advise (struct fsim *s, int i, const struct order *o)
+fexec_send_advice_query (struct fsim *s, int i, const struct order *o)
 {
   struct delivery *d = delivery_new (s, i, o);
-  struct finst *in = s->inst[i];
-  struct fjob *j = fsim_job (s, o->task.job);
+  struct fsim_instance *in = s->inst[i];
+  struct fjob *j = fsim_find_job (s, o->task.job);
   double cost = j ? j->spec.advice.base_ms
                         + j->spec.advice.per_exec_ms * (double)o->n_execs
                   : 1;
-  int64_t begin
-      = in->advice_until_ms > s->now_ms ? in->advice_until_ms : s->now_ms;
+  int64_t begin = in->advice_busy_until_ms > s->now_ms
+                      ? in->advice_busy_until_ms
+                      : s->now_ms;
 
   s->advice_calls++;
-  in->advice_until_ms = begin + (int64_t)cost;
-  fexec_good (s, o, &d->res);
-  fsim_at (s, in->advice_until_ms - s->now_ms + 2 * FSIM_LINK_MS, result, d);
+  in->advice_busy_until_ms = begin + (int64_t)cost;
+  fexec_permitted (s, o, &d->res);
+  fsim_schedule (s, in->advice_busy_until_ms - s->now_ms + 2 * FSIM_LINK_MS,
+                 deliver_result, d);
 }
 
 void
-fexec_list (struct fsim *s, struct fexec *e)
+fexec_update_listing (struct fsim *s, struct fexec *e)
 {
   char key[CLB_ID_MAX + 16];
   char value[256];
 
   snprintf (key, sizeof key, "servers/%s", e->id);
   snprintf (value, sizeof value, "%s %d %lld %lld", e->id, e->draining,
-            (long long)e->room.millicores, (long long)e->room.mem_mb);
+            (long long)e->capacity.millicores, (long long)e->capacity.mem_mb);
   ftable_put (s, key, e->up && e->listed ? value : NULL);
 }
 
@@ -514,7 +528,7 @@
   struct fexec *e = arg;
 
   if (!e->up)
-    fexec_list (s, e);
+    fexec_update_listing (s, e);
 }
 
 void
@@ -523,25 +537,25 @@
   e->up = false;
   for (int i = 0; i < e->n_runs; i++)
     {
-      struct fmark *m = mark_of (s, &e->runs[i].task);
+      struct ftask_stats *m = task_stats (s, &e->runs[i].task);
       if (m)
-        m->running--;
+        m->n_running--;
     }
   e->n_runs = 0;
   e->n_ends = 0;
-  e->last_end = 0;
-  e->n_past = 0;
-  e->fence = 0;
-  fsim_at (s, 4500, unlist, e);
+  e->last_end_seq = 0;
+  e->n_past_runs = 0;
+  e->fencing_token = 0;
+  fsim_schedule (s, 4500, unlist, e);
 }
 
 void
-fexec_reborn (struct fsim *s, struct fexec *e)
+fexec_reboot (struct fsim *s, struct fexec *e)
 {
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  e->born_ms = s->now_ms + 1; /* 0 is "not told" */
+  e->boot_start_ms = s->now_ms + 1; /* 0 is "not told" */
   e->lease_until_ms = 0;
-  fexec_list (s, e);
+  fexec_update_listing (s, e);
 }
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -12,9 +12,9 @@
 {
   FSIM_INSTANCES_MAX = 64,
   FSIM_EXECS_MAX = 512,
-  FSIM_LINK_MS = 2,      /* one way, between any two */
-  FSIM_STORE_MS = 3,     /* a transaction, one after another in a part */
-  FSIM_HISTORY = 100000, /* changes that a feed can go back */
+  FSIM_LINK_MS = 2,          /* one way, between any two */
+  FSIM_STORE_MS = 3,         /* a transaction, one after another in a part */
+  FSIM_HISTORY_MAX = 100000, /* changes that a feed can go back */
 };
 
 struct fsim;
@@ -28,17 +28,17 @@
   void *arg;
 };
 
-/** struct frow - a row of the table */
-struct frow
+/** struct ftable_row - a row of the table */
+struct ftable_row
 {
-  RB_ENTRY (frow) by_key;
+  RB_ENTRY (ftable_row) by_key;
   char *key;
   char *value;
   int64_t ver;
 };
-RB_HEAD (frow_tree, frow);
+RB_HEAD (ftable_row_tree, ftable_row);
 
-struct fchange
+struct ftable_change
 {
   int64_t ver;
   char *key;
@@ -47,36 +47,36 @@
 /** struct ftable - the platform's table service */
 struct ftable
 {
-  struct frow_tree rows;
+  struct ftable_row_tree rows;
   int64_t ver;
-  struct fchange *log;
-  size_t n_log;
-  int64_t oldest; /* changes up to here are forgotten */
+  struct ftable_change *changes;
+  size_t n_changes;
+  int64_t compacted_ver; /* changes up to here are forgotten */
   int64_t down_until_ms;
-  int64_t slow; /* times the usual */
-  double lost;  /* share of writes that are done and not answered */
-  double late;  /* ... and done seconds later */
+  int64_t slow_factor;     /* times the usual */
+  double reply_lost_share; /* share of writes that are done and not answered */
+  double delayed_share;    /* ... and done seconds later */
   int64_t busy_until_ms;
-  uint64_t calls;
+  uint64_t n_calls;
 };
 
 /** struct frun - a task on an executor */
 struct frun
 {
   struct task_ref task;
-  int64_t run;
-  int64_t begin_ms;
+  int64_t run_id;
+  int64_t start_ms;
   int64_t end_ms;
   int how; /* at end_ms */
   bool stopping;
-  bool waits; /* for the others of its gang */
+  bool awaits_gang; /* for the others of its gang */
   struct job_need need;
 };
 
-struct fpast
+struct frun_ref
 {
   struct task_ref task;
-  int64_t run;
+  int64_t run_id;
 };
 
 struct fexec
@@ -86,24 +86,25 @@
   bool up;
   bool listed;
   bool draining;
-  int64_t born_ms;
-  int64_t cut_until_ms;
+  int64_t boot_start_ms;
+  int64_t partitioned_until_ms;
   int64_t lease_until_ms;
-  int64_t fence;
-  double lost; /* share of answers that get lost */
-  double late; /* share of starts carried out seconds later, unanswered */
-  bool fails;  /* all that it starts */
-  bool hangs;
-  int64_t fault_ms; /* an order or its answer was last lost then */
-  bool unreached;   /* connections to it fail at once */
-  struct job_need room;
+  int64_t fencing_token;
+  double reply_lost_share; /* share of answers that get lost */
+  double delayed_share;    /* share of starts carried out seconds later,
+                              unanswered */
+  bool fails_runs;         /* all that it starts */
+  bool hangs_runs;
+  int64_t last_fault_ms;    /* an order or its answer was last lost then */
+  bool refuses_connections; /* connections to it fail at once */
+  struct job_need capacity;
   struct frun runs[256];
   int n_runs;
   struct end_row ends[4096];
   int n_ends;
-  int64_t last_end;
-  struct fpast *past; /* runs stopped or ended here, in this boot */
-  int n_past;
+  int64_t last_end_seq;
+  struct frun_ref *past_runs; /* runs stopped or ended here, in this boot */
+  int n_past_runs;
 };
 
 /** struct fjob - what a caller handed in */
@@ -113,31 +114,31 @@
   char id[JOB_ID_SIZE];
   struct job_spec spec;
   int64_t task_ms[JOB_STEPS_MAX];
-  bool poison;
+  bool always_fails;
   bool accepted;
   bool refused; /* every try was */
   int64_t sent_ms;
-  int64_t done_ms;     /* the last task was done */
-  int state;           /* last told, or -1 */
-  struct fmark *marks; /* by step and index */
-  int n_marks;
+  int64_t done_ms;           /* the last task was done */
+  int last_state;            /* last told, or -1 */
+  struct ftask_stats *stats; /* by step and index */
+  int n_stats;
 };
 RB_HEAD (fjob_tree, fjob);
 
-/** struct fmark - what the executors know of a task */
-struct fmark
+/** struct ftask_stats - what the executors know of a task */
+struct ftask_stats
 {
-  int running;
+  int n_running;
   bool done;
-  bool noted; /* the end was acknowledged */
-  int failed;
-  int starts;
+  bool end_acked; /* the end was acknowledged */
+  int n_failed;
+  int n_starts;
 };
 
-/** struct fcall - a caller's request */
-struct fcall
+/** struct fsim_call - a caller's request */
+struct fsim_call
 {
-  uint64_t no;
+  uint64_t call_id;
   int instance;
   int verb;
   char id[JOB_ID_SIZE];
@@ -147,18 +148,18 @@
   int64_t answered_ms;
 };
 
-struct finst
+struct fsim_instance
 {
   struct fleet fleet;
   bool up;
   bool frozen;
   int64_t frozen_until_ms;
-  int64_t store_cut_until_ms;
-  int64_t turned_away_until_ms; /* the table refuses its calls */
-  int64_t cut_until_ms;         /* from other instances and executors */
-  int64_t advice_until_ms;
-  int64_t clock_ms; /* its wall clock is ahead by so much */
-  uint64_t life;    /* answers to an earlier one are dropped */
+  int64_t store_partitioned_until_ms;
+  int64_t store_refused_until_ms; /* the table refuses its calls */
+  int64_t partitioned_until_ms;   /* from other instances and executors */
+  int64_t advice_busy_until_ms;
+  int64_t clock_offset_ms; /* its wall clock is ahead by so much */
+  uint64_t incarnation;    /* answers to an earlier one are dropped */
   uint64_t ticks;
 };
 
@@ -171,32 +172,32 @@
   size_t n_heap;
   size_t cap_heap;
   struct ftable table;
-  struct finst *inst[FSIM_INSTANCES_MAX];
+  struct fsim_instance *inst[FSIM_INSTANCES_MAX];
   int n_inst;
   struct fexec *exec[FSIM_EXECS_MAX];
   int n_exec;
-  double good_share;
+  double permitted_share;
   struct fjob_tree jobs;
-  struct fcall *calls;
+  struct fsim_call *calls;
   size_t n_calls;
   int64_t advice_calls;
   int violations;
-  char first[256]; /* the first violation */
+  char first_violation[256]; /* the first violation */
   bool verbose;
-  bool ending;
+  bool shutting_down;
 };
 
-RB_PROTOTYPE (frow_tree, frow, by_key, frow_cmp)
+RB_PROTOTYPE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
 RB_PROTOTYPE (fjob_tree, fjob, by_id, fjob_cmp)
-int frow_cmp (const struct frow *a, const struct frow *b);
+int ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b);
 int fjob_cmp (const struct fjob *a, const struct fjob *b);
 
 /* sim.c */
 struct fsim *fsim_new (uint64_t seed, int instances, int execs,
-                       const struct job_need *room);
+                       const struct job_need *capacity);
 void fsim_free (struct fsim *s);
-void fsim_at (struct fsim *s, int64_t after_ms,
-              void (*fn) (struct fsim *s, void *arg), void *arg);
+void fsim_schedule (struct fsim *s, int64_t after_ms,
+                    void (*fn) (struct fsim *s, void *arg), void *arg);
 void fsim_run (struct fsim *s, int64_t for_ms);
 /** fsim_random() - From 0 up to 1. */
 double fsim_random (struct fsim *s);
@@ -205,8 +206,8 @@
 void fsim_start (struct fsim *s, int i);
 void fsim_kill (struct fsim *s, int i);
 /** fsim_pump() - Carry out what instance @i wants done. */
-void fsim_pump (struct fsim *s, int i);
-struct fjob *fsim_job (struct fsim *s, const char *id);
+void fsim_process_outputs (struct fsim *s, int i);
+struct fjob *fsim_find_job (struct fsim *s, const char *id);
 int fsim_leader (const struct fsim *s);
 /** fsim_request() - Return: index of the call. */
 size_t fsim_request (struct fsim *s, int instance, int verb, const char *id,
@@ -233,13 +234,13 @@
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
                   bool first, bool waited, struct order_result *res);
-void fexec_good (struct fsim *s, const struct order *o,
-                 struct order_result *res);
-void fexec_order (struct fsim *s, int i, const struct order *o);
-void fexec_advise (struct fsim *s, int i, const struct order *o);
-void fexec_list (struct fsim *s, struct fexec *e);
+void fexec_permitted (struct fsim *s, const struct order *o,
+                      struct order_result *res);
+void fexec_send_order (struct fsim *s, int i, const struct order *o);
+void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
+void fexec_update_listing (struct fsim *s, struct fexec *e);
 void fexec_crash (struct fsim *s, struct fexec *e);
-void fexec_reborn (struct fsim *s, struct fexec *e);
+void fexec_reboot (struct fsim *s, struct fexec *e);
 void fexec_tick (struct fsim *s);
 
 #endif
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  TICK_MS = 10,
-  WALL_MS = 1000000, /* the wall clock at time 0 */
+  INSTANCE_TICK_MS = 10,
+  WALL_CLOCK_START_MS = 1000000, /* the wall clock at time 0 */
 };
 
 int
@@ -38,20 +38,20 @@
   vsnprintf (text, sizeof text, fmt, ap);
   va_end (ap);
   if (s->violations++ == 0)
-    snprintf (s->first, sizeof s->first, "at %lld: %s", (long long)s->now_ms,
-              text);
+    snprintf (s->first_violation, sizeof s->first_violation, "at %lld: %s",
+              (long long)s->now_ms, text);
 }
 
 /* Events. */
 
 static bool
-before (const struct fsim_event *a, const struct fsim_event *b)
+event_before (const struct fsim_event *a, const struct fsim_event *b)
 {
   return a->at_ms < b->at_ms || (a->at_ms == b->at_ms && a->seq < b->seq);
 }
 
 static void
-swap (struct fsim_event *a, struct fsim_event *b)
+event_swap (struct fsim_event *a, struct fsim_event *b)
 {
   struct fsim_event t = *a;
 
@@ -60,8 +60,8 @@
 }
 
 void
-fsim_at (struct fsim *s, int64_t after_ms,
-         void (*fn) (struct fsim *s, void *arg), void *arg)
+fsim_schedule (struct fsim *s, int64_t after_ms,
+               void (*fn) (struct fsim *s, void *arg), void *arg)
 {
   size_t i = s->n_heap++;
 
@@ -72,12 +72,13 @@
     }
   s->heap[i] = (struct fsim_event){ s->now_ms + (after_ms > 0 ? after_ms : 0),
                                     ++s->seq, fn, arg };
-  for (; i > 0 && before (&s->heap[i], &s->heap[(i - 1) / 2]); i = (i - 1) / 2)
-    swap (&s->heap[i], &s->heap[(i - 1) / 2]);
+  for (; i > 0 && event_before (&s->heap[i], &s->heap[(i - 1) / 2]);
+       i = (i - 1) / 2)
+    event_swap (&s->heap[i], &s->heap[(i - 1) / 2]);
 }
 
 static struct fsim_event
-take_event (struct fsim *s)
+pop_event (struct fsim *s)
 {
   struct fsim_event top = s->heap[0];
   size_t i = 0;
@@ -87,11 +88,11 @@
     {
       size_t least = i;
       for (size_t k = 2 * i + 1; k <= 2 * i + 2 && k < s->n_heap; k++)
-        if (before (&s->heap[k], &s->heap[least]))
+        if (event_before (&s->heap[k], &s->heap[least]))
           least = k;
       if (least == i)
         return top;
-      swap (&s->heap[i], &s->heap[least]);
+      event_swap (&s->heap[i], &s->heap[least]);
       i = least;
     }
 }
@@ -103,7 +104,7 @@
 
   while (s->n_heap && s->heap[0].at_ms <= until)
     {
-      struct fsim_event e = take_event (s);
+      struct fsim_event e = pop_event (s);
       s->now_ms = e.at_ms;
       e.fn (s, e.arg);
     }
@@ -111,7 +112,7 @@
 }
 
 struct fjob *
-fsim_job (struct fsim *s, const char *id)
+fsim_find_job (struct fsim *s, const char *id)
 {
   struct fjob key;
 
@@ -122,7 +123,8 @@
 bool
 fsim_can_reach (const struct fsim *s, int i, const struct fexec *e)
 {
-  return s->inst[i]->cut_until_ms <= s->now_ms && e->cut_until_ms <= s->now_ms;
+  return s->inst[i]->partitioned_until_ms <= s->now_ms
+         && e->partitioned_until_ms <= s->now_ms;
 }
 
 /* The documents of this simulation: words, not the platform's JSON. */
@@ -205,13 +207,13 @@
 }
 
 static char *
-tell_state (int state)
+state_body (int state)
 {
   return strdup (job_state_names[state]);
 }
 
 static char *
-tell_error (const char *error, const char *detail)
+error_body (const char *error, const char *detail)
 {
   char *text;
 
@@ -221,7 +223,7 @@
 }
 
 static char *
-tell_count (int64_t waiting)
+count_body (int64_t waiting)
 {
   char *text;
 
@@ -235,12 +237,12 @@
 struct mesh_delivery
 {
   int to;
-  uint64_t life;
+  uint64_t incarnation;
   struct mesh_msg *msg;
 };
 
 static int
-inst_of (const struct fsim *s, const char *addr)
+find_instance (const struct fsim *s, const char *addr)
 {
   for (int i = 0; i < s->n_inst; i++)
     if (strcmp (s->inst[i]->fleet.settings.mesh_addr, addr) == 0)
@@ -249,20 +251,22 @@
 }
 
 static void
-mesh_arrive (struct fsim *s, void *arg)
+deliver_mesh (struct fsim *s, void *arg)
 {
   struct mesh_delivery *d = arg;
-  struct finst *in = s->inst[d->to];
+  struct fsim_instance *in = s->inst[d->to];
 
-  if (in->up && in->life == d->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, mesh_arrive, d);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_mesh, d);
       return;
     }
-  if (in->up && in->life == d->life && in->cut_until_ms <= s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->partitioned_until_ms <= s->now_ms)
     {
       fleet_mesh_msg (&in->fleet, s->now_ms, d->msg);
-      fsim_pump (s, d->to);
+      fsim_process_outputs (s, d->to);
     }
   mesh_free (d->msg);
   free (d);
@@ -271,25 +275,25 @@
 static void
 send_mesh (struct fsim *s, int from, const char *addr, struct mesh_msg *m)
 {
-  int to = inst_of (s, addr);
+  int to = find_instance (s, addr);
   struct mesh_delivery *d;
 
-  if (to < 0 || s->inst[from]->cut_until_ms > s->now_ms)
+  if (to < 0 || s->inst[from]->partitioned_until_ms > s->now_ms)
     {
       mesh_free (m);
       return;
     }
   d = calloc (1, sizeof *d);
   d->to = to;
-  d->life = s->inst[to]->life;
+  d->incarnation = s->inst[to]->incarnation;
   d->msg = m;
-  fsim_at (s, FSIM_LINK_MS, mesh_arrive, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_mesh, d);
 }
 
 static void
-take_answer (struct fsim *s, const struct out *o)
+record_answer (struct fsim *s, const struct out *o)
 {
-  struct fcall *c = &s->calls[o->u.answer.call - 1];
+  struct fsim_call *c = &s->calls[o->u.answer.call - 1];
 
   c->status = o->u.answer.status;
   c->retry_ms = o->u.answer.retry_ms;
@@ -298,9 +302,9 @@
 }
 
 void
-fsim_pump (struct fsim *s, int i)
+fsim_process_outputs (struct fsim *s, int i)
 {
-  struct finst *in = s->inst[i];
+  struct fsim_instance *in = s->inst[i];
   struct out *o;
 
   while ((o = fleet_next_out (&in->fleet)))
@@ -308,7 +312,7 @@
       switch (o->kind)
         {
         case OUT_ANSWER:
-          take_answer (s, o);
+          record_answer (s, o);
           break;
         case OUT_STORE:
           ftable_send (s, i, o->u.store.token, &o->u.store.op);
@@ -319,9 +323,9 @@
           break;
         case OUT_ORDER:
           if (o->u.order->kind == ORDER_ADVISE)
-            fexec_advise (s, i, o->u.order);
+            fexec_send_advice_query (s, i, o->u.order);
           else
-            fexec_order (s, i, o->u.order);
+            fexec_send_order (s, i, o->u.order);
           break;
         case OUT_LINE:
           if (s->verbose)
@@ -337,16 +341,16 @@
 struct tick
 {
   int inst;
-  uint64_t life;
+  uint64_t incarnation;
 };
 
 static void
 on_tick (struct fsim *s, void *arg)
 {
   struct tick *t = arg;
-  struct finst *in = s->inst[t->inst];
+  struct fsim_instance *in = s->inst[t->inst];
 
-  if (!in->up || in->life != t->life)
+  if (!in->up || in->incarnation != t->incarnation)
     {
       free (t);
       return;
@@ -355,38 +359,39 @@
     in->frozen = false;
   if (!in->frozen)
     {
-      fleet_tick (&in->fleet, s->now_ms, WALL_MS + s->now_ms + in->clock_ms);
-      fsim_pump (s, t->inst);
+      fleet_tick (&in->fleet, s->now_ms,
+                  WALL_CLOCK_START_MS + s->now_ms + in->clock_offset_ms);
+      fsim_process_outputs (s, t->inst);
     }
-  fsim_at (s, TICK_MS, on_tick, t);
+  fsim_schedule (s, INSTANCE_TICK_MS, on_tick, t);
 }
 
 void
 fsim_start (struct fsim *s, int i)
 {
-  struct finst *in = s->inst[i];
+  struct fsim_instance *in = s->inst[i];
   struct tick *t = calloc (1, sizeof *t);
-  struct fleet_settings set = { .boot = WALL_MS + s->now_ms,
-                                .revoke_ms = 5000,
-                                .codec = { .conf = read_conf,
-                                           .exec = read_exec,
-                                           .job = read_job,
-                                           .state_body = tell_state,
-                                           .count_body = tell_count,
-                                           .error_body = tell_error,
-                                           .conf_table = "op",
-                                           .conf_key = "op/config",
-                                           .exec_table = "servers" } };
-
-  snprintf (set.id, sizeof set.id, "n%d", i);
-  snprintf (set.mesh_addr, sizeof set.mesh_addr, "n%d", i);
-  fleet_init (&in->fleet, &set, s->now_ms);
+  struct fleet_settings settings = { .boot = WALL_CLOCK_START_MS + s->now_ms,
+                                     .revoke_ms = 5000,
+                                     .codec = { .conf = read_conf,
+                                                .exec = read_exec,
+                                                .job = read_job,
+                                                .state_body = state_body,
+                                                .count_body = count_body,
+                                                .error_body = error_body,
+                                                .conf_table = "op",
+                                                .conf_key = "op/config",
+                                                .exec_table = "servers" } };
+
+  snprintf (settings.id, sizeof settings.id, "n%d", i);
+  snprintf (settings.mesh_addr, sizeof settings.mesh_addr, "n%d", i);
+  fleet_init (&in->fleet, &settings, s->now_ms);
   in->up = true;
   in->frozen = false;
-  in->life++;
+  in->incarnation++;
   t->inst = i;
-  t->life = in->life;
-  fsim_at (s, 1 + i, on_tick, t);
+  t->incarnation = in->incarnation;
+  fsim_schedule (s, 1 + i, on_tick, t);
 }
 
 void
@@ -395,27 +400,28 @@
   if (!s->inst[i]->up)
     return;
   s->inst[i]->up = false;
-  s->inst[i]->life++;
+  s->inst[i]->incarnation++;
   fleet_fini (&s->inst[i]->fleet);
 }
 
 static void
-exec_clock (struct fsim *s, void *arg)
+exec_timer (struct fsim *s, void *arg)
 {
   (void)arg;
-  if (s->ending)
+  if (s->shutting_down)
     return;
   fexec_tick (s);
-  fsim_at (s, 5, exec_clock, NULL);
+  fsim_schedule (s, 5, exec_timer, NULL);
 }
 
 struct fsim *
-fsim_new (uint64_t seed, int instances, int execs, const struct job_need *room)
+fsim_new (uint64_t seed, int instances, int execs,
+          const struct job_need *capacity)
 {
   struct fsim *s = calloc (1, sizeof *s);
 
   s->rng = seed * 2654435761u + 88172645463325252ULL;
-  s->good_share = 0.5;
+  s->permitted_share = 0.5;
   RB_INIT (&s->jobs);
   RB_INIT (&s->table.rows);
   s->n_exec = execs;
@@ -425,8 +431,8 @@
       snprintf (e->id, sizeof e->id, "e%03d", i);
       e->index = i;
       e->listed = true;
-      e->room = *room;
-      fexec_reborn (s, e);
+      e->capacity = *capacity;
+      fexec_reboot (s, e);
     }
   s->n_inst = instances;
   for (int i = 0; i < instances; i++)
@@ -434,7 +440,7 @@
       s->inst[i] = calloc (1, sizeof *s->inst[i]);
       fsim_start (s, i);
     }
-  fsim_at (s, 5, exec_clock, NULL);
+  fsim_schedule (s, 5, exec_timer, NULL);
   return s;
 }
 
@@ -454,15 +460,15 @@
               const char *body, const char *key)
 {
   struct fleet_request rq = { 0 };
-  struct fcall *c;
+  struct fsim_call *c;
 
   s->calls = realloc (s->calls, (s->n_calls + 1) * sizeof *s->calls);
   c = &s->calls[s->n_calls++];
   memset (c, 0, sizeof *c);
-  c->no = s->n_calls;
+  c->call_id = s->n_calls;
   c->instance = instance;
   c->verb = verb;
-  rq.call = c->no;
+  rq.call = c->call_id;
   rq.verb = verb;
   rq.host = "h";
   rq.path = id;
@@ -473,8 +479,10 @@
   if (!s->inst[instance]->up || s->inst[instance]->frozen)
     return s->n_calls - 1;
   fleet_request (&s->inst[instance]->fleet, s->now_ms,
-                 WALL_MS + s->now_ms + s->inst[instance]->clock_ms, &rq);
-  fsim_pump (s, instance);
+                 WALL_CLOCK_START_MS + s->now_ms
+                     + s->inst[instance]->clock_offset_ms,
+                 &rq);
+  fsim_process_outputs (s, instance);
   return s->n_calls - 1;
 }
 
@@ -486,10 +494,10 @@
   for (int i = 0; i < s->n_inst; i++)
     fsim_kill (s, i);
   /* What is under way finds nobody and frees itself. */
-  s->ending = true;
+  s->shutting_down = true;
   while (s->n_heap)
     {
-      struct fsim_event e = take_event (s);
+      struct fsim_event e = pop_event (s);
       s->now_ms = e.at_ms;
       e.fn (s, e.arg);
     }
@@ -502,12 +510,12 @@
     {
       RB_REMOVE (fjob_tree, &s->jobs, j);
       codec_free (&job_spec_desc, &j->spec);
-      free (j->marks);
+      free (j->stats);
       free (j);
     }
   for (int i = 0; i < s->n_exec; i++)
     {
-      free (s->exec[i]->past);
+      free (s->exec[i]->past_runs);
       free (s->exec[i]);
     }
   ftable_free (&s->table);
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -7,40 +7,40 @@
 struct request
 {
   int inst;
-  uint64_t life;
+  uint64_t incarnation;
   uint64_t token;
   struct store_op op;
   struct store_rep rep;
-  int64_t until_ms; /* of a feed */
-  bool mute;
+  int64_t feed_deadline_ms; /* of a feed */
+  bool drop_reply;
 };
 
 int
-frow_cmp (const struct frow *a, const struct frow *b)
+ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b)
 {
   return strcmp (a->key, b->key);
 }
 
-RB_GENERATE (frow_tree, frow, by_key, frow_cmp)
+RB_GENERATE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
 
-static struct frow *
-find (struct ftable *t, const char *key)
+static struct ftable_row *
+find_row (struct ftable *t, const char *key)
 {
-  struct frow k = { .key = (char *)key };
+  struct ftable_row k = { .key = (char *)key };
 
-  return RB_FIND (frow_tree, &t->rows, &k);
+  return RB_FIND (ftable_row_tree, &t->rows, &k);
 }
 
 static void
 set_row (struct ftable *t, const char *key, const char *value)
 {
-  struct frow *r = find (t, key);
+  struct ftable_row *r = find_row (t, key);
 
-  t->log = realloc (t->log, (t->n_log + 1) * sizeof *t->log);
-  t->log[t->n_log++] = (struct fchange){ t->ver, strdup (key) };
+  t->changes = realloc (t->changes, (t->n_changes + 1) * sizeof *t->changes);
+  t->changes[t->n_changes++] = (struct ftable_change){ t->ver, strdup (key) };
   if (r)
     {
-      RB_REMOVE (frow_tree, &t->rows, r);
+      RB_REMOVE (ftable_row_tree, &t->rows, r);
       free (r->key);
       free (r->value);
       free (r);
@@ -51,7 +51,7 @@
   r->key = strdup (key);
   r->value = strdup (value);
   r->ver = t->ver;
-  RB_INSERT (frow_tree, &t->rows, r);
+  RB_INSERT (ftable_row_tree, &t->rows, r);
 }
 
 void
@@ -62,7 +62,7 @@
 }
 
 static void
-add_row (struct store_rep *rep, const char *key, const struct frow *r)
+add_row (struct store_rep *rep, const char *key, const struct ftable_row *r)
 {
   rep->rows = realloc (rep->rows, (rep->n_rows + 1) * sizeof *rep->rows);
   rep->rows[rep->n_rows++]
@@ -76,7 +76,7 @@
 {
   for (size_t i = 0; i < op->n_conds; i++)
     {
-      struct frow *r = find (t, op->conds[i].key);
+      struct ftable_row *r = find_row (t, op->conds[i].key);
       if ((r ? r->ver : 0) != op->conds[i].ver)
         rep->err = CLB_ECONFLICT;
     }
@@ -84,7 +84,7 @@
     {
       for (size_t i = 0; i < op->n_conds; i++)
         {
-          struct frow *r = find (t, op->conds[i].key);
+          struct ftable_row *r = find_row (t, op->conds[i].key);
           if (r)
             add_row (rep, r->key, r);
         }
@@ -100,12 +100,12 @@
 do_list (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   size_t len = strlen (op->key);
-  struct frow k = { .key = op->after ? op->after : op->key };
-  struct frow *r = RB_NFIND (frow_tree, &t->rows, &k);
+  struct ftable_row k = { .key = op->after ? op->after : op->key };
+  struct ftable_row *r = RB_NFIND (ftable_row_tree, &t->rows, &k);
 
   rep->ver = t->ver;
   for (; r && strncmp (r->key, op->key, len) == 0;
-       r = RB_NEXT (frow_tree, &t->rows, r))
+       r = RB_NEXT (ftable_row_tree, &t->rows, r))
     {
       if (op->after && strcmp (r->key, op->after) == 0)
         continue;
@@ -128,15 +128,15 @@
 
 /* Index of the first change after version @since. */
 static size_t
-first_after (const struct ftable *t, int64_t since)
+first_change_after (const struct ftable *t, int64_t since)
 {
   size_t low = 0;
-  size_t high = t->n_log;
+  size_t high = t->n_changes;
 
   while (low < high)
     {
       size_t mid = (low + high) / 2;
-      if (t->log[mid].ver > since)
+      if (t->changes[mid].ver > since)
         high = mid;
       else
         low = mid + 1;
@@ -148,21 +148,21 @@
 do_feed (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   rep->ver = t->ver;
-  if (op->since < t->oldest)
+  if (op->since < t->compacted_ver)
     {
       rep->err = CLB_ENOTFOUND;
       return;
     }
-  for (size_t i = first_after (t, op->since); i < t->n_log; i++)
-    if (in_table (t->log[i].key, op->key))
-      add_row (rep, t->log[i].key, find (t, t->log[i].key));
+  for (size_t i = first_change_after (t, op->since); i < t->n_changes; i++)
+    if (in_table (t->changes[i].key, op->key))
+      add_row (rep, t->changes[i].key, find_row (t, t->changes[i].key));
 }
 
 void
 ftable_apply (struct ftable *t, const struct store_op *op,
               struct store_rep *rep)
 {
-  struct frow *r;
+  struct ftable_row *r;
 
   switch (op->kind)
     {
@@ -173,7 +173,7 @@
       do_feed (t, op, rep);
       break;
     case STORE_GET:
-      r = find (t, op->key);
+      r = find_row (t, op->key);
       rep->ver = t->ver;
       if (r)
         add_row (rep, r->key, r);
@@ -187,20 +187,21 @@
 }
 
 static void
-answer (struct fsim *s, void *arg)
+deliver_reply (struct fsim *s, void *arg)
 {
   struct request *q = arg;
-  struct finst *in = s->inst[q->inst];
+  struct fsim_instance *in = s->inst[q->inst];
 
-  if (in->up && in->life == q->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == q->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, answer, q);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_reply, q);
       return;
     }
-  if (in->up && in->life == q->life)
+  if (in->up && in->incarnation == q->incarnation)
     {
       fleet_store_reply (&in->fleet, s->now_ms, q->token, &q->rep);
-      fsim_pump (s, q->inst);
+      fsim_process_outputs (s, q->inst);
     }
   codec_free (&store_op_desc, &q->op);
   codec_free (&store_rep_desc, &q->rep);
@@ -208,38 +209,39 @@
 }
 
 static void
-fail (struct fsim *s, struct request *q, int err, int64_t after_ms)
+fail_request (struct fsim *s, struct request *q, int err, int64_t after_ms)
 {
   codec_free (&store_rep_desc, &q->rep);
   q->rep.err = err;
-  fsim_at (s, after_ms, answer, q);
+  fsim_schedule (s, after_ms, deliver_reply, q);
 }
 
 static void
-reply (struct fsim *s, struct request *q)
+send_reply (struct fsim *s, struct request *q)
 {
-  if (s->inst[q->inst]->store_cut_until_ms > s->now_ms || q->mute)
-    fail (s, q, CLB_EUNKNOWN, 700);
+  if (s->inst[q->inst]->store_partitioned_until_ms > s->now_ms
+      || q->drop_reply)
+    fail_request (s, q, CLB_EUNKNOWN, 700);
   else
-    fsim_at (s, FSIM_LINK_MS, answer, q);
+    fsim_schedule (s, FSIM_LINK_MS, deliver_reply, q);
 }
 
 static void
-carry_out (struct fsim *s, void *arg)
+execute (struct fsim *s, void *arg)
 {
   struct request *q = arg;
 
   ftable_apply (&s->table, &q->op, &q->rep);
   if (q->op.kind == STORE_FEED && q->rep.err == 0 && q->rep.n_rows == 0
-      && s->now_ms < q->until_ms)
-    fsim_at (s, 5, carry_out, q);
+      && s->now_ms < q->feed_deadline_ms)
+    fsim_schedule (s, 5, execute, q);
   else
-    reply (s, q);
+    send_reply (s, q);
 }
 
 /* A write that nobody hears of, done much later. */
 static void
-carry_out_late (struct fsim *s, void *arg)
+execute_delayed (struct fsim *s, void *arg)
 {
   struct request *q = arg;
 
@@ -269,7 +271,7 @@
   struct request *q = calloc (1, sizeof *q);
 
   q->inst = i;
-  q->life = s->inst[i]->life;
+  q->incarnation = s->inst[i]->incarnation;
   q->token = token;
   copy_op (&q->op, op);
   return q;
@@ -283,51 +285,52 @@
   int64_t wait = FSIM_LINK_MS;
   bool write = op->kind == STORE_TXN;
 
-  t->calls++;
-  if (s->inst[i]->store_cut_until_ms > s->now_ms)
+  t->n_calls++;
+  if (s->inst[i]->store_partitioned_until_ms > s->now_ms)
     {
-      fail (s, q, CLB_EUNKNOWN, 700);
+      fail_request (s, q, CLB_EUNKNOWN, 700);
       return;
     }
   if (t->down_until_ms > s->now_ms
-      || s->inst[i]->turned_away_until_ms > s->now_ms)
+      || s->inst[i]->store_refused_until_ms > s->now_ms)
     {
-      fail (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
+      fail_request (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
       return;
     }
-  if (write && fsim_random (s) < t->late)
+  if (write && fsim_random (s) < t->delayed_share)
     {
-      fsim_at (s, 1000 + (int64_t)(fsim_random (s) * 5000), carry_out_late,
-               request_new (s, i, token, op));
-      fail (s, q, CLB_EUNKNOWN, 700);
+      fsim_schedule (s, 1000 + (int64_t)(fsim_random (s) * 5000),
+                     execute_delayed, request_new (s, i, token, op));
+      fail_request (s, q, CLB_EUNKNOWN, 700);
       return;
     }
-  q->mute = write && fsim_random (s) < t->lost;
-  q->until_ms = s->now_ms + op->wait_ms;
+  q->drop_reply = write && fsim_random (s) < t->reply_lost_share;
+  q->feed_deadline_ms = s->now_ms + op->wait_ms;
   if (write)
     {
       int64_t begin
           = s->now_ms > t->busy_until_ms ? s->now_ms : t->busy_until_ms;
-      t->busy_until_ms = begin + FSIM_STORE_MS * (t->slow ? t->slow : 1) / 3;
+      t->busy_until_ms
+          = begin + FSIM_STORE_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
       wait += t->busy_until_ms - s->now_ms;
     }
-  wait += FSIM_LINK_MS * (t->slow ? t->slow : 1);
-  fsim_at (s, wait, carry_out, q);
+  wait += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
+  fsim_schedule (s, wait, execute, q);
 }
 
 void
 ftable_free (struct ftable *t)
 {
-  struct frow *r, *next;
+  struct ftable_row *r, *next;
 
-  RB_FOREACH_SAFE (r, frow_tree, &t->rows, next)
+  RB_FOREACH_SAFE (r, ftable_row_tree, &t->rows, next)
     {
-      RB_REMOVE (frow_tree, &t->rows, r);
+      RB_REMOVE (ftable_row_tree, &t->rows, r);
       free (r->key);
       free (r->value);
       free (r);
     }
-  for (size_t i = 0; i < t->n_log; i++)
-    free (t->log[i].key);
-  free (t->log);
+  for (size_t i = 0; i < t->n_changes; i++)
+    free (t->changes[i].key);
+  free (t->changes);
 }
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -16,12 +16,12 @@
 static int failed;
 
 static int64_t
-field (lua_State *l, int at, const char *name, int64_t otherwise)
+field (lua_State *l, int at, const char *name, int64_t fallback)
 {
   int64_t v;
 
   lua_getfield (l, at, name);
-  v = lua_isnil (l, -1)       ? otherwise
+  v = lua_isnil (l, -1)       ? fallback
       : lua_isboolean (l, -1) ? lua_toboolean (l, -1)
                               : (int64_t)lua_tonumber (l, -1);
   lua_pop (l, 1);
@@ -32,15 +32,15 @@
 static int
 verb_fleet (lua_State *l)
 {
-  struct job_need room = { .millicores = 1000 * field (l, 1, "cores", 16),
-                           .mem_mb = field (l, 1, "mem", 32000) };
+  struct job_need capacity = { .millicores = 1000 * field (l, 1, "cores", 16),
+                               .mem_mb = field (l, 1, "mem", 32000) };
 
   if (sim)
     fsim_free (sim);
   sim = fsim_new (seed, (int)field (l, 1, "instances", 3),
-                  (int)field (l, 1, "execs", 6), &room);
+                  (int)field (l, 1, "execs", 6), &capacity);
   sim->verbose = verbose;
-  sim->good_share = (double)field (l, 1, "good_percent", 100) / 100;
+  sim->permitted_share = (double)field (l, 1, "good_percent", 100) / 100;
   return 0;
 }
 
@@ -106,9 +106,9 @@
   j->spec.advice.base_ms = (double)field (l, 1, "advice_base_us", 0) / 1000;
   j->spec.advice.per_exec_ms
       = (double)field (l, 1, "advice_each_us", 0) / 1000;
-  j->poison = field (l, 1, "poison", 0);
+  j->always_fails = field (l, 1, "poison", 0);
   j->spec.attempts = field (l, 1, "attempts", 3);
-  j->state = -1;
+  j->last_state = -1;
   lua_getfield (l, 1, "steps");
   j->spec.n_steps = lua_rawlen (l, -1);
   j->spec.steps = calloc (j->spec.n_steps + 1, sizeof *j->spec.steps);
@@ -116,10 +116,10 @@
     {
       lua_rawgeti (l, -1, (lua_Integer)i + 1);
       read_step (l, j, i);
-      j->n_marks += (int)j->spec.steps[i].tasks;
+      j->n_stats += (int)j->spec.steps[i].tasks;
       lua_pop (l, 1);
     }
-  j->marks = calloc ((size_t)j->n_marks + 1, sizeof *j->marks);
+  j->stats = calloc ((size_t)j->n_stats + 1, sizeof *j->stats);
   j->spec.text = strdup ("work");
   if (RB_INSERT (fjob_tree, &sim->jobs, j))
     return luaL_error (l, "job %s stands already", j->id);
@@ -131,16 +131,16 @@
 verb_submit (lua_State *l)
 {
   int inst = (int)luaL_checkinteger (l, 1);
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 2));
-  struct job_spec hand_in = j->spec;
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 2));
+  struct job_spec submitted = j->spec;
   char path[128];
   char *body;
 
-  clb_copy (hand_in.id, j->id, sizeof hand_in.id);
-  hand_in.attempts = 0;
-  clb_copy (hand_in.service, "-", sizeof hand_in.service);
+  clb_copy (submitted.id, j->id, sizeof submitted.id);
+  submitted.attempts = 0;
+  clb_copy (submitted.service, "-", sizeof submitted.service);
   snprintf (path, sizeof path, "/%s/%s", j->spec.queue, j->id);
-  body = codec_text (&job_spec_desc, &hand_in);
+  body = codec_text (&job_spec_desc, &submitted);
   j->sent_ms = sim->now_ms;
   lua_pushinteger (l, (lua_Integer)fsim_request (sim, inst, FLEET_SUBMIT, path,
                                                  body,
@@ -151,9 +151,9 @@
 
 /* ask(instance, id [, "cancel"]): number of the call */
 static int
-verb_ask (lua_State *l)
+verb_request (lua_State *l)
 {
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 2));
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 2));
   const char *what = luaL_optstring (l, 3, "state");
   char path[128];
 
@@ -183,7 +183,7 @@
 static int
 verb_answer (lua_State *l)
 {
-  const struct fcall *c = &sim->calls[luaL_checkinteger (l, 1)];
+  const struct fsim_call *c = &sim->calls[luaL_checkinteger (l, 1)];
 
   lua_pushinteger (l, c->status);
   lua_pushstring (l, c->body ? c->body : "");
@@ -195,14 +195,14 @@
 static int
 verb_task (lua_State *l)
 {
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 1));
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 1));
   int at = (int)luaL_optinteger (l, 3, 0);
 
   for (int i = 0; i < luaL_optinteger (l, 2, 0); i++)
     at += (int)j->spec.steps[i].tasks;
-  lua_pushinteger (l, j->marks[at].starts);
-  lua_pushinteger (l, j->marks[at].failed);
-  lua_pushboolean (l, j->marks[at].done);
+  lua_pushinteger (l, j->stats[at].n_starts);
+  lua_pushinteger (l, j->stats[at].n_failed);
+  lua_pushboolean (l, j->stats[at].done);
   return 3;
 }
 
@@ -214,7 +214,7 @@
   int i = (int)luaL_checkinteger (l, 1);
   const char *what = luaL_checkstring (l, 2);
   int64_t until = sim->now_ms + (int64_t)luaL_optnumber (l, 3, 0);
-  struct finst *in = sim->inst[i];
+  struct fsim_instance *in = sim->inst[i];
 
   if (strcmp (what, "kill") == 0)
     fsim_kill (sim, i);
@@ -223,7 +223,7 @@
   else if (strcmp (what, "stop") == 0 && in->up)
     {
       fleet_stop (&in->fleet, sim->now_ms);
-      fsim_pump (sim, i);
+      fsim_process_outputs (sim, i);
     }
   else if (strcmp (what, "freeze") == 0)
     {
@@ -231,13 +231,13 @@
       in->frozen_until_ms = until;
     }
   else if (strcmp (what, "clock") == 0)
-    in->clock_ms = until - sim->now_ms;
+    in->clock_offset_ms = until - sim->now_ms;
   else if (strcmp (what, "cut") == 0)
-    in->cut_until_ms = until;
+    in->partitioned_until_ms = until;
   else if (strcmp (what, "cut-store") == 0)
-    in->store_cut_until_ms = until;
+    in->store_partitioned_until_ms = until;
   else if (strcmp (what, "turn-away") == 0)
-    in->turned_away_until_ms = until;
+    in->store_refused_until_ms = until;
   return 0;
 }
 
@@ -252,23 +252,23 @@
   if (strcmp (what, "crash") == 0)
     fexec_crash (sim, e);
   else if (strcmp (what, "reborn") == 0)
-    fexec_reborn (sim, e);
+    fexec_reboot (sim, e);
   else if (strcmp (what, "cut") == 0)
-    e->cut_until_ms = sim->now_ms + (int64_t)x;
+    e->partitioned_until_ms = sim->now_ms + (int64_t)x;
   else if (strcmp (what, "lost") == 0)
-    e->lost = x;
+    e->reply_lost_share = x;
   else if (strcmp (what, "late") == 0)
-    e->late = x;
+    e->delayed_share = x;
   else if (strcmp (what, "fails") == 0)
-    e->fails = x > 0;
+    e->fails_runs = x > 0;
   else if (strcmp (what, "unreached") == 0)
-    e->unreached = x > 0;
+    e->refuses_connections = x > 0;
   else if (strcmp (what, "hangs") == 0)
-    e->hangs = x > 0;
+    e->hangs_runs = x > 0;
   else if (strcmp (what, "drain") == 0)
     {
       e->draining = x > 0;
-      fexec_list (sim, e);
+      fexec_update_listing (sim, e);
     }
   return 0;
 }
@@ -284,13 +284,13 @@
   if (strcmp (what, "down") == 0)
     t->down_until_ms = sim->now_ms + (int64_t)x;
   else if (strcmp (what, "slow") == 0)
-    t->slow = (int64_t)x;
+    t->slow_factor = (int64_t)x;
   else if (strcmp (what, "lost") == 0)
-    t->lost = x;
+    t->reply_lost_share = x;
   else if (strcmp (what, "late") == 0)
-    t->late = x;
+    t->delayed_share = x;
   else if (strcmp (what, "compact") == 0)
-    t->oldest = t->ver;
+    t->compacted_ver = t->ver;
   return 0;
 }
 
@@ -317,7 +317,7 @@
 static int
 verb_calls (lua_State *l)
 {
-  lua_pushinteger (l, (lua_Integer)sim->table.calls);
+  lua_pushinteger (l, (lua_Integer)sim->table.n_calls);
   lua_pushinteger (l, sim->advice_calls);
   return 2;
 }
@@ -338,7 +338,7 @@
 verb_violations (lua_State *l)
 {
   lua_pushinteger (l, sim->violations);
-  lua_pushstring (l, sim->first);
+  lua_pushstring (l, sim->first_violation);
   return 2;
 }
 
@@ -369,7 +369,7 @@
   else if (sim && sim->violations)
     {
       printf ("FAIL %s: %d violations, %s (seed %d)\n", name, sim->violations,
-              sim->first, (int)seed);
+              sim->first_violation, (int)seed);
       bad = 1;
     }
   failed += bad;
@@ -385,7 +385,7 @@
   { "random", verb_random },
   { "job", verb_job },
   { "submit", verb_submit },
-  { "ask", verb_ask },
+  { "ask", verb_request },
   { "waiting", verb_waiting },
   { "answer", verb_answer },
   { "task", verb_task },
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -26,7 +26,7 @@
 
 enum
 {
-  RETRY_MS = 5, /* how often a waiting question is looked at */
+  PENDING_RETRY_MS = 5, /* how often a waiting question is looked at */
   ADVICE_MS = 2,
   BODY_MAX = 4 << 20,
 };
@@ -39,24 +39,26 @@
 };
 
 /* struct wait - a feed or a question for ends that may be answered later */
-struct wait
+struct pending
 {
-  TAILQ_ENTRY (wait) link;
+  TAILQ_ENTRY (pending) link;
   struct server *server;
-  uint64_t no;
-  int64_t until_ms;
+  uint64_t request_id;
+  int64_t deadline_ms;
   struct store_op op;
   struct order order;
 };
 
-static TAILQ_HEAD (, wait) waits = TAILQ_HEAD_INITIALIZER (waits);
+static TAILQ_HEAD (, pending)
+    pending_list = TAILQ_HEAD_INITIALIZER (pending_list);
 static struct fsim *sim;
 static struct server table;
 static struct server *execs;
 static int n_execs;
-static int advertise; /* executors' entries name their ports and so much */
+static int
+    advertised_offset; /* executors' entries name their ports and so much */
 static struct server advice;
-static int64_t began_ms;
+static int64_t started_ms;
 
 static int64_t
 now (void)
@@ -64,16 +66,16 @@
   struct timespec ts;
 
   clock_gettime (CLOCK_MONOTONIC, &ts);
-  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - began_ms;
+  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - started_ms;
 }
 
 static void
-answer (struct server *s, uint64_t no, int status, json_t *json)
+answer (struct server *s, uint64_t request_id, int status, json_t *json)
 {
   clb_auto char *text = json_dumps (json, JSON_COMPACT);
 
-  httpd_answer (s->http, no, status, "application/json", text, strlen (text),
-                0);
+  httpd_answer (s->http, request_id, status, "application/json", text,
+                strlen (text), 0);
   json_decref (json);
 }
 
@@ -134,7 +136,7 @@
 }
 
 static void
-answer_rep (uint64_t no, const struct store_rep *rep)
+answer_rep (uint64_t request_id, const struct store_rep *rep)
 {
   json_t *rows = json_array ();
   int status = rep->err == CLB_ECONFLICT   ? 412
@@ -143,14 +145,14 @@
 
   for (size_t i = 0; i < rep->n_rows; i++)
     json_array_append_new (rows, row_json (&rep->rows[i]));
-  answer (&table, no, status,
+  answer (&table, request_id, status,
           json_pack ("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more",
                      rep->more, "ver", (json_int_t)rep->ver, "now_ms",
                      (json_int_t)now ()));
 }
 
 static void
-query (const char *path, const char *name, char *out, size_t size)
+query_param (const char *path, const char *name, char *out, size_t size)
 {
   const char *at = strchr (path, '?');
   size_t len = strlen (name);
@@ -174,7 +176,7 @@
 
 /* 0, or -1 for a transaction that cannot be read. */
 static int
-read_op (const struct httpd_req *rq, struct store_op *op)
+read_table_op (const struct httpd_req *rq, struct store_op *op)
 {
   char name[128], part[128], from[256], number[32];
   json_auto_t *body = NULL;
@@ -201,16 +203,16 @@
       op->kind = STORE_TXN;
       return op->n_puts ? 0 : -1;
     }
-  query (rq->path, "table", name, sizeof name);
-  query (rq->path, "part", part, sizeof part);
-  query (rq->path, "from", from, sizeof from);
+  query_param (rq->path, "table", name, sizeof name);
+  query_param (rq->path, "part", part, sizeof part);
+  query_param (rq->path, "from", from, sizeof from);
   if (strncmp (rq->path, "/api/rows-feed", 14) == 0)
     {
       op->kind = STORE_FEED;
       op->key = strdup (name);
-      query (rq->path, "after", number, sizeof number);
+      query_param (rq->path, "after", number, sizeof number);
       op->since = atoll (number);
-      query (rq->path, "wait_ms", number, sizeof number);
+      query_param (rq->path, "wait_ms", number, sizeof number);
       op->wait_ms = atoll (number);
       return 0;
     }
@@ -224,7 +226,7 @@
 /* A list begins with the row that it is asked from, which the simulated table
    leaves out. */
 static void
-add_first (const struct store_op *op, struct store_rep *rep)
+add_start_row (const struct store_op *op, struct store_rep *rep)
 {
   struct store_op one = { .kind = STORE_GET, .key = op->after };
   struct store_rep got = { 0 };
@@ -243,36 +245,36 @@
 }
 
 static bool
-try_op (uint64_t no, const struct store_op *op, int64_t until_ms)
+try_table_op (uint64_t request_id, const struct store_op *op, int64_t until_ms)
 {
   struct store_rep rep = { 0 };
-  bool waits;
+  bool must_wait;
 
   ftable_apply (&sim->table, op, &rep);
-  add_first (op, &rep);
-  waits
+  add_start_row (op, &rep);
+  must_wait
       = op->kind == STORE_FEED && !rep.err && !rep.n_rows && now () < until_ms;
-  if (!waits)
-    answer_rep (no, &rep);
+  if (!must_wait)
+    answer_rep (request_id, &rep);
   codec_free (&store_rep_desc, &rep);
-  return !waits;
+  return !must_wait;
 }
 
 static void
 on_table (void *arg, const struct httpd_req *rq)
 {
-  struct wait *w = calloc (1, sizeof *w);
+  struct pending *w = calloc (1, sizeof *w);
 
   w->server = arg;
-  w->no = rq->id;
-  if (read_op (rq, &w->op))
+  w->request_id = rq->id;
+  if (read_table_op (rq, &w->op))
     {
       answer (&table, rq->id, 400, json_object ());
       codec_free (&store_op_desc, &w->op);
       free (w);
       return;
     }
-  w->until_ms = now () + w->op.wait_ms;
+  w->deadline_ms = now () + w->op.wait_ms;
   if (now () < sim->table.down_until_ms)
     {
       answer (&table, rq->id, 503, json_object ());
@@ -280,7 +282,8 @@
       free (w);
       return;
     }
-  if (w->op.kind == STORE_TXN && fsim_random (sim) < sim->table.lost)
+  if (w->op.kind == STORE_TXN
+      && fsim_random (sim) < sim->table.reply_lost_share)
     {
       struct store_rep rep = { 0 };
       /* Done, and never answered. */
@@ -290,9 +293,9 @@
       free (w);
       return;
     }
-  if (!try_op (rq->id, &w->op, w->until_ms))
+  if (!try_table_op (rq->id, &w->op, w->deadline_ms))
     {
-      TAILQ_INSERT_TAIL (&waits, w, link);
+      TAILQ_INSERT_TAIL (&pending_list, w, link);
       return;
     }
   codec_free (&store_op_desc, &w->op);
@@ -306,7 +309,7 @@
 {
   static const char *const reasons[]
       = { "other", "fence", "old", "late", "room", "ticket" };
-  static const char *const hows[]
+  static const char *const end_names[]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
   json_t *running = json_array ();
   json_t *finished = json_array ();
@@ -327,7 +330,7 @@
       json_array_append_new (finished,
                              json_pack ("[I,s,I,s,s]", (json_int_t)e->seq,
                                         name, (json_int_t)e->run_id,
-                                        hows[e->how], e->checkpoint));
+                                        end_names[e->how], e->checkpoint));
     }
   return json_pack ("{s:I, s:I, s:o, s:o, s:s}", "clock_ms",
                     (json_int_t)res->clock_ms, "born",
@@ -361,14 +364,15 @@
 }
 
 static bool
-try_order (struct server *s, uint64_t no, const struct order *o, bool first,
-           bool waited)
+try_order (struct server *s, uint64_t request_id, const struct order *o,
+           bool first, bool waited)
 {
   struct order_result res = { 0 };
   bool done = fexec_apply (sim, s->exec, o, first, waited, &res);
 
   if (done)
-    answer (s, no, res.outcome == ORDER_DONE ? 200 : 409, result_json (&res));
+    answer (s, request_id, res.outcome == ORDER_DONE ? 200 : 409,
+            result_json (&res));
   order_result_clear (&res);
   return done;
 }
@@ -376,9 +380,9 @@
 /* The stand-in learns of a job when its first task starts; it stands for all
    that it may be. */
 static void
-learn_job (const struct order *o)
+register_job (const struct order *o)
 {
-  struct fjob *j = fsim_job (sim, o->task.job);
+  struct fjob *j = fsim_find_job (sim, o->task.job);
 
   if (j || o->kind != ORDER_START)
     return;
@@ -392,29 +396,29 @@
       j->spec.steps[i].tasks = JOB_STEP_TASKS_MAX;
       j->task_ms[i] = 300;
     }
-  j->marks = calloc (4 * JOB_STEP_TASKS_MAX, sizeof *j->marks);
+  j->stats = calloc (4 * JOB_STEP_TASKS_MAX, sizeof *j->stats);
   RB_INSERT (fjob_tree, &sim->jobs, j);
 }
 
 static void
 on_exec (void *arg, const struct httpd_req *rq)
 {
-  struct wait *w = calloc (1, sizeof *w);
+  struct pending *w = calloc (1, sizeof *w);
 
   sim->now_ms = now ();
   w->server = arg;
-  w->no = rq->id;
-  if (!w->server->exec->up || now () < w->server->exec->cut_until_ms)
+  w->request_id = rq->id;
+  if (!w->server->exec->up || now () < w->server->exec->partitioned_until_ms)
     {
       /* Dark: the caller gives up. */
       free (w);
       return;
     }
   read_order (rq, &w->order);
-  learn_job (&w->order);
-  w->until_ms = now () + w->order.wait_ms;
+  register_job (&w->order);
+  w->deadline_ms = now () + w->order.wait_ms;
   if (!try_order (w->server, rq->id, &w->order, true, w->order.wait_ms == 0))
-    TAILQ_INSERT_TAIL (&waits, w, link);
+    TAILQ_INSERT_TAIL (&pending_list, w, link);
   else
     free (w);
 }
@@ -425,61 +429,62 @@
   struct server *s = arg;
   json_error_t je;
   json_auto_t *body = json_loadb (rq->body, rq->body_len, 0, &je);
-  json_t *good = json_array ();
+  json_t *permitted = json_array ();
   size_t i;
   json_t *name;
 
   json_array_foreach (json_object_get (body, "workers"), i, name)
     json_array_append_new (
-        good, json_pack ("[s,s]", json_string_value (name), "ticket"));
+        permitted, json_pack ("[s,s]", json_string_value (name), "ticket"));
   answer (s, rq->id, 200,
-          json_pack ("{s:o, s:i}", "good", good, "valid_ms", 2000));
+          json_pack ("{s:o, s:i}", "good", permitted, "valid_ms", 2000));
 }
 
 static void
-on_gone (void *arg, uint64_t no)
+on_disconnect (void *arg, uint64_t request_id)
 {
-  struct wait *w, *next;
+  struct pending *w, *next;
 
-  TAILQ_FOREACH_SAFE (w, &waits, link, next)
-    if (w->server == arg && w->no == no)
+  TAILQ_FOREACH_SAFE (w, &pending_list, link, next)
+    if (w->server == arg && w->request_id == request_id)
       {
-        TAILQ_REMOVE (&waits, w, link);
+        TAILQ_REMOVE (&pending_list, w, link);
         codec_free (&store_op_desc, &w->op);
         free (w);
       }
 }
 
 static void
-tell_violations (void)
+report_violations (void)
 {
-  static int told;
+  static int reported;
 
-  if (sim->violations == told)
+  if (sim->violations == reported)
     return;
-  printf ("violation %d, first %s\n", sim->violations, sim->first);
+  printf ("violation %d, first %s\n", sim->violations, sim->first_violation);
   fflush (stdout);
-  told = sim->violations;
+  reported = sim->violations;
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
-  struct wait *w, *next;
+  struct pending *w, *next;
 
   (void)t;
   sim->now_ms = now ();
   fexec_tick (sim);
-  tell_violations ();
-  TAILQ_FOREACH_SAFE (w, &waits, link, next)
+  report_violations ();
+  TAILQ_FOREACH_SAFE (w, &pending_list, link, next)
     {
-      bool over = now () >= w->until_ms;
-      bool done = w->server->exec
-                      ? try_order (w->server, w->no, &w->order, false, over)
-                      : try_op (w->no, &w->op, w->until_ms);
+      bool over = now () >= w->deadline_ms;
+      bool done
+          = w->server->exec
+                ? try_order (w->server, w->request_id, &w->order, false, over)
+                : try_table_op (w->request_id, &w->op, w->deadline_ms);
       if (!done)
         continue;
-      TAILQ_REMOVE (&waits, w, link);
+      TAILQ_REMOVE (&pending_list, w, link);
       codec_free (&store_op_desc, &w->op);
       free (w);
     }
@@ -493,7 +498,7 @@
                              .body_max = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
-                             .on_disconnect = on_gone };
+                             .on_disconnect = on_disconnect };
   int err;
 
   snprintf (s->addr, sizeof s->addr, "127.0.0.1:%d", port);
@@ -505,19 +510,19 @@
 }
 
 static void
-list_exec (const struct server *s)
+publish_exec (const struct server *s)
 {
   char key[CLB_ID_MAX + 16];
   json_auto_t *entry = json_pack (
       "{s:s, s:s, s:s, s:s, s:{s:I, s:I, s:i}, s:[s,s]}", "service", "svc",
       "address", s->addr, "zone", "a", "state", "ready", "capacity", "cpu",
-      (json_int_t)s->exec->room.millicores, "mem_mb",
-      (json_int_t)s->exec->room.mem_mb, "gpu", 0, "labels", "kind", "r1");
+      (json_int_t)s->exec->capacity.millicores, "mem_mb",
+      (json_int_t)s->exec->capacity.mem_mb, "gpu", 0, "labels", "kind", "r1");
   char addr[CLB_ADDR_MAX];
   clb_auto char *text = NULL;
 
   snprintf (addr, sizeof addr, "127.0.0.1:%d",
-            atoi (strchr (s->addr, ':') + 1) + advertise);
+            atoi (strchr (s->addr, ':') + 1) + advertised_offset);
   json_object_set_new (entry, "address", json_string (addr));
   text = json_dumps (entry, JSON_COMPACT);
   snprintf (key, sizeof key, "servers/%s", s->exec->id);
@@ -553,18 +558,18 @@
 }
 
 static void
-spoil_table (const char *what, double x)
+inject_table_fault (const char *what, double x)
 {
   if (strcmp (what, "down") == 0)
     sim->table.down_until_ms = now () + (int64_t)x;
   else if (strcmp (what, "lost") == 0)
-    sim->table.lost = x;
+    sim->table.reply_lost_share = x;
   else if (strcmp (what, "compact") == 0)
-    sim->table.oldest = sim->table.ver;
+    sim->table.compacted_ver = sim->table.ver;
 }
 
 static void
-spoil_exec (int k, const char *what, double x)
+inject_exec_fault (int k, const char *what, double x)
 {
   struct fexec *e;
 
@@ -576,17 +581,17 @@
     fexec_crash (sim, e);
   else if (strcmp (what, "reborn") == 0)
     {
-      fexec_reborn (sim, e);
-      list_exec (&execs[k]);
+      fexec_reboot (sim, e);
+      publish_exec (&execs[k]);
     }
   else if (strcmp (what, "cut") == 0)
-    e->cut_until_ms = now () + (int64_t)x;
+    e->partitioned_until_ms = now () + (int64_t)x;
   else if (strcmp (what, "fails") == 0)
-    e->fails = x > 0;
+    e->fails_runs = x > 0;
 }
 
 static void
-command (const char *line)
+run_command (const char *line)
 {
   char what[16] = "";
   char path[256] = "";
@@ -594,9 +599,9 @@
   int k = -1;
 
   if (sscanf (line, "table %15s %lf", what, &x) >= 1)
-    spoil_table (what, x);
+    inject_table_fault (what, x);
   else if (sscanf (line, "exec %d %15s %lf", &k, what, &x) >= 2)
-    spoil_exec (k, what, x);
+    inject_exec_fault (k, what, x);
   else if (sscanf (line, "config %255s", path) == 1)
     {
       clb_auto char *text = read_file (path);
@@ -628,7 +633,7 @@
     if (buf->base[i] == '\n')
       {
         line[len] = '\0';
-        command (line);
+        run_command (line);
         len = 0;
       }
     else if (len + 1 < sizeof line)
@@ -638,7 +643,7 @@
 int
 main (int argc, char **argv)
 {
-  struct job_need room = { .millicores = 16000, .mem_mb = 32768 };
+  struct job_need capacity = { .millicores = 16000, .mem_mb = 32768 };
   static uv_timer_t timer;
   static uv_pipe_t in;
   int port, n;
@@ -652,21 +657,21 @@
   signal (SIGPIPE, SIG_IGN); /* connections may be reset at any time */
   port = atoi (argv[1]);
   n = n_execs = atoi (argv[2]);
-  advertise = argc == 5 ? atoi (argv[4]) : 0;
-  began_ms = now ();
-  sim = fsim_new (1, 0, n, &room);
+  advertised_offset = argc == 5 ? atoi (argv[4]) : 0;
+  started_ms = now ();
+  sim = fsim_new (1, 0, n, &capacity);
   serve (&table, port, on_table);
   execs = calloc ((size_t)n, sizeof *execs);
   for (int i = 0; i < n; i++)
     {
       execs[i].exec = sim->exec[i];
       serve (&execs[i], port + 1 + i, on_exec);
-      list_exec (&execs[i]);
+      publish_exec (&execs[i]);
     }
   serve (&advice, port + 1 + n, on_advice);
   ftable_put (sim, "op/config", read_file (argv[3]));
   uv_timer_init (uv_default_loop (), &timer);
-  uv_timer_start (&timer, on_timer, RETRY_MS, RETRY_MS);
+  uv_timer_start (&timer, on_timer, PENDING_RETRY_MS, PENDING_RETRY_MS);
   uv_pipe_init (uv_default_loop (), &in, 0);
   if (uv_guess_handle (0) == UV_NAMED_PIPE && uv_pipe_open (&in, 0) == 0)
     uv_read_start ((uv_stream_t *)&in, on_alloc, on_commands);
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -19,8 +19,8 @@
 
 enum
 {
-  ASK_MS = 250,
-  AGAIN_MS = 400, /* to the next try */
+  STATE_POLL_MS = 250,
+  RESUBMIT_MS = 400, /* to the next try */
   TRIES_MAX = 8,
   GIVE_UP_MS = 30000,
   JOBS_MAX = 100000,
@@ -31,25 +31,25 @@
   int64_t sent_ms;
   int64_t done_ms;
   bool accepted;
-  bool maybe; /* a try may have been accepted */
+  bool outcome_unknown; /* a try may have been accepted */
   bool failed;
   int tries;
-  bool asking;
-  int64_t next_ask_ms;
+  bool request_pending;
+  int64_t next_request_ms;
 };
 
 static struct httpc *http;
 static uv_loop_t *loop;
 static struct load_job jobs[JOBS_MAX];
 static int n_jobs;
-static int n_open;
-static int wanted;
+static int n_unfinished;
+static int n_jobs_wanted;
 static double rate;
-static int64_t began_ms;
+static int64_t started_ms;
 static char **addrs;
 static int n_addrs;
 static int first_id;
-static bool repeats;
+static bool resubmit;
 
 static int64_t
 now (void)
@@ -61,11 +61,11 @@
 }
 
 static void
-finish (struct load_job *j, bool good)
+finish_job (struct load_job *j, bool passed)
 {
-  j->failed = !good;
+  j->failed = !passed;
   j->done_ms = now ();
-  n_open--;
+  n_unfinished--;
 }
 
 static void
@@ -74,37 +74,37 @@
   struct load_job *j = arg;
 
   (void)len;
-  j->asking = false;
-  j->next_ask_ms = now () + ASK_MS;
+  j->request_pending = false;
+  j->next_request_ms = now () + STATE_POLL_MS;
   if (end == HTTPC_OK && status == 410 && j->tries >= TRIES_MAX)
-    finish (j, true);
+    finish_job (j, true);
   if (end != HTTPC_OK || status != 200 || !body)
     return;
   if (strstr (body, "completed"))
-    finish (j, true);
+    finish_job (j, true);
   else if (strstr (body, "failed"))
-    finish (j, false);
+    finish_job (j, false);
 }
 
 static void
-on_accept (void *arg, int end, int status, const char *body, size_t len)
+on_submitted (void *arg, int end, int status, const char *body, size_t len)
 {
   struct load_job *j = arg;
 
   (void)body;
   (void)len;
-  j->asking = false;
+  j->request_pending = false;
   j->accepted = end == HTTPC_OK && status == 200;
-  j->next_ask_ms = now () + (j->accepted ? ASK_MS : AGAIN_MS);
+  j->next_request_ms = now () + (j->accepted ? STATE_POLL_MS : RESUBMIT_MS);
   if (end != HTTPC_OK || status != 503)
-    j->maybe = true;
-  if (j->accepted || (repeats && j->tries < TRIES_MAX))
+    j->outcome_unknown = true;
+  if (j->accepted || (resubmit && j->tries < TRIES_MAX))
     return;
-  if (repeats && !j->maybe)
+  if (resubmit && !j->outcome_unknown)
     printf ("refused %016x\n", first_id + (int)(j - jobs));
   /* What may have been accepted is asked for, and may also not be there. */
-  if (!repeats || !j->maybe)
-    finish (j, repeats);
+  if (!resubmit || !j->outcome_unknown)
+    finish_job (j, resubmit);
   else
     j->accepted = true;
 }
@@ -127,33 +127,33 @@
 
   snprintf (url, sizeof url, "http://%s/q/%016x",
             addrs[(i + jobs[i].tries) % n_addrs], first_id + i);
-  jobs[i].asking = true;
+  jobs[i].request_pending = true;
   httpc_send (http, &rq);
 }
 
 static void
-hand_in (int i)
+submit (int i)
 {
   send_to (i, "POST",
            "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
            "\"mem_mb\":100,\"estimate_ms\":300}]}",
-           on_accept);
+           on_submitted);
   jobs[i].tries++;
 }
 
 static void
-go_on (int i)
+next_request (int i)
 {
   struct load_job *j = &jobs[i];
 
   if (now () - j->sent_ms > GIVE_UP_MS)
     {
-      if (repeats)
+      if (resubmit)
         printf ("lost %016x accepted %d\n", first_id + i, j->accepted);
-      finish (j, false);
+      finish_job (j, false);
     }
   else if (!j->accepted)
-    hand_in (i);
+    submit (i);
   else
     send_to (i, "GET", NULL, on_state);
 }
@@ -163,18 +163,19 @@
 {
   int64_t at = now ();
 
-  while (n_jobs < wanted
-         && n_jobs < (int)((double)(at - began_ms) * rate / 1000))
+  while (n_jobs < n_jobs_wanted
+         && n_jobs < (int)((double)(at - started_ms) * rate / 1000))
     {
       jobs[n_jobs].sent_ms = at;
-      n_open++;
-      hand_in (n_jobs);
+      n_unfinished++;
+      submit (n_jobs);
       n_jobs++;
     }
   for (int i = 0; i < n_jobs; i++)
-    if (!jobs[i].done_ms && !jobs[i].asking && at >= jobs[i].next_ask_ms)
-      go_on (i);
-  if (n_jobs == wanted && n_open == 0)
+    if (!jobs[i].done_ms && !jobs[i].request_pending
+        && at >= jobs[i].next_request_ms)
+      next_request (i);
+  if (n_jobs == n_jobs_wanted && n_unfinished == 0)
     {
       uv_timer_stop (t);
       uv_stop (loop);
@@ -182,7 +183,7 @@
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_ms (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -194,19 +195,19 @@
 main (int argc, char **argv)
 {
   static uv_timer_t timer;
-  static int64_t took[JOBS_MAX];
+  static int64_t durations_ms[JOBS_MAX];
   int passed = 0;
 
-  repeats = argc > 1 && strcmp (argv[1], "-r") == 0;
-  argc -= repeats;
-  argv += repeats;
+  resubmit = argc > 1 && strcmp (argv[1], "-r") == 0;
+  argc -= resubmit;
+  argv += resubmit;
   if (argc < 5)
     {
       fprintf (stderr,
                "usage: fleet-load [-r] JOBS RATE FIRST-ID IP:PORT...\n");
       return 64;
     }
-  wanted = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
+  n_jobs_wanted = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
   rate = atof (argv[2]);
   first_id = atoi (argv[3]);
   addrs = argv + 4;
@@ -214,18 +215,18 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   loop = uv_default_loop ();
   http = httpc_new (loop);
-  began_ms = now ();
+  started_ms = now ();
   uv_timer_init (loop, &timer);
   uv_timer_start (&timer, on_timer, 0, 5);
   uv_run (loop, UV_RUN_DEFAULT);
   for (int i = 0; i < n_jobs; i++)
     if (!jobs[i].failed)
-      took[passed++] = jobs[i].done_ms - jobs[i].sent_ms;
-  qsort (took, (size_t)passed, sizeof *took, by_time);
+      durations_ms[passed++] = jobs[i].done_ms - jobs[i].sent_ms;
+  qsort (durations_ms, (size_t)passed, sizeof *durations_ms, compare_ms);
   if (passed)
     printf ("shown as completed after p50 %lld ms, p99 %lld ms\n",
-            (long long)took[passed / 2],
-            (long long)took[(passed - 1) * 99 / 100]);
+            (long long)durations_ms[passed / 2],
+            (long long)durations_ms[(passed - 1) * 99 / 100]);
   printf ("%d passed, %d failed\n", passed, n_jobs - passed);
   return passed == n_jobs ? 0 : 1;
 }
