--- a/regress/fleet/gang.lua
+++ b/regress/fleet/gang.lua
@@ -1,56 +1,64 @@
 dofile("regress/fleet/lib.lua")
 
--- A start whose answer is lost may or may not have come in.
-scenario("a gang does not wait for a member whose start got lost", function()
-  begin{execs = 4, cores = 4}
-  for i = 0, 3 do exec(i, "late", i == 2 and 1 or 0) end
+-- When the answer to a start order is lost, the leader cannot know whether the
+-- member has started.  It must not leave the other members waiting.
+scenario("a gang is stopped when the start order of one member is lost",
+  function()
+  start_fleet{execs = 4, cores = 4}
+  for i = 0, 3 do exec(i, "delay-orders", i == 2 and 1 or 0) end
   job{id = id(1), steps = {{tasks = 8, gang = true, cpu = 2000, ms = 800}}}
   submit(0, id(1))
   run(700)
-  expect(running() > 0, "members have come")
+  expect(running() > 0, "no member has started")
   run(1800)
-  expect(running(0) == 0 and running(1) == 0, "members stopped")
-  exec(2, "late", 0)
+  expect(running(0) == 0 and running(1) == 0, "members were not stopped")
+  exec(2, "delay-orders", 0)
   run(4000)
-  expect(state(0, id(1)) == "completed", "completed")
+  expect(state(0, id(1)) == "completed", "job is not completed")
 end)
 
-scenario("a start whose answer alone was lost is not stopped", function()
-  begin{execs = 2}
-  exec(0, "lost", 0.5)
-  exec(1, "lost", 0.5)
+-- The task runs; stopping it and starting it again would waste the work.
+scenario("a run is not stopped when only the answer to its start was lost",
+  function()
+  start_fleet{execs = 2}
+  exec(0, "lose-results", 0.5)
+  exec(1, "lose-results", 0.5)
   for n = 1, 10 do
     job{id = id(n), steps = {{tasks = 2, ms = 2000}}}
     submit(0, id(n))
   end
   run(1500)
-  exec(0, "lost", 0)
-  exec(1, "lost", 0)
+  exec(0, "lose-results", 0)
+  exec(1, "lose-results", 0)
   run(3500)
   local starts = 0
   for n = 1, 10 do
-    expect(state(0, id(n)) == "completed", "completed")
+    expect(state(0, id(n)) == "completed", "job is not completed")
     starts = starts + task(id(n), 0, 0) + task(id(n), 0, 1)
   end
-  expect(starts == 20, starts .. " starts of 20 tasks")
+  expect(starts == 20, starts .. " starts instead of 20")
 end)
 
-scenario("a second try that is not sent proves nothing of the first", function()
-  begin{execs = 2, cores = 4}
-  exec(0, "lost", 1)
-  exec(1, "lost", 1)
+-- The answer to the first start order is lost, and the second order cannot be
+-- sent.  The leader must not take the second outcome as proof that the task is
+-- not running.
+scenario("a start order that is not sent does not settle an earlier one",
+  function()
+  start_fleet{execs = 2, cores = 4}
+  exec(0, "lose-results", 1)
+  exec(1, "lose-results", 1)
   for n = 1, 4 do
     job{id = id(n), steps = {{tasks = 1, ms = 3000, cpu = 1000}}}
     submit(0, id(n))
   end
   run(300)
-  exec(0, "unreached", 1)
-  exec(0, "lost", 0)
-  exec(1, "lost", 0)
+  exec(0, "refuse-connections", 1)
+  exec(0, "lose-results", 0)
+  exec(1, "lose-results", 0)
   run(12000)
-  exec(0, "unreached", 0)
+  exec(0, "refuse-connections", 0)
   run(8000)
   for n = 1, 4 do
-    expect(state(1, id(n)) == "completed", "completed")
+    expect(state(1, id(n)) == "completed", "job is not completed")
   end
 end)
--- a/regress/fleet/instances.lua
+++ b/regress/fleet/instances.lua
@@ -1,7 +1,9 @@
 dofile("regress/fleet/lib.lua")
 
-scenario("instances' wall clocks differ: work keeps its turn", function()
-  begin{execs = 1, cores = 1}
+-- The instance whose wall clock is 4 s behind takes the second of three jobs.
+scenario("jobs keep their order when the wall clocks of instances differ",
+  function()
+  start_fleet{execs = 1, cores = 1}
   local behind = (leader() + 1) % 3
   instance(behind, "clock", -4000)
   run(100)
@@ -14,18 +16,21 @@
   job{id = id(3), steps = {{tasks = 1, ms = 500}}}
   submit(leader(), id(3))
   run(1250)
-  expect(state(0, id(2)) == "completed", "the earlier one went first")
+  expect(state(0, id(2)) == "completed",
+         "the job that was submitted earlier is not completed first")
 end)
 
-scenario("questions put through instances that are cut off are asked again",
+-- The leader has the other instances query the advice service for it.  Queries
+-- that they never answer must be repeated.
+scenario("advice queries through partitioned instances are repeated",
          function()
-  begin{instances = 3, execs = 4}
+  start_fleet{instances = 3, execs = 4}
   local l = leader()
-  instance((l + 1) % 3, "cut", 5000)
-  instance((l + 2) % 3, "cut", 5000)
-  job{id = id(1), queue = "quick", advice_base_us = 5600, advice_each_us = 80,
-      steps = {{tasks = 2, ms = 300}}}
+  instance((l + 1) % 3, "partition", 5000)
+  instance((l + 2) % 3, "partition", 5000)
+  job{id = id(1), queue = "quick", advice_base_us = 5600,
+      advice_per_exec_us = 80, steps = {{tasks = 2, ms = 300}}}
   submit(l, id(1))
   run(1500)
-  expect(state(l, id(1)) == "completed", "completed within 1.9 s")
+  expect(state(l, id(1)) == "completed", "job is not completed within 1.9 s")
 end)
--- a/regress/fleet/load.lua
+++ b/regress/fleet/load.lua
@@ -1,17 +1,20 @@
 dofile("regress/fleet/lib.lua")
 
--- The Unit's mix on 48 executors of 16 cores, at X times the usual rate, with
--- a bulge of waiting work.  COUNT(kind) tells how many were completed in time.
-local function mix(rate, seconds)
-  begin{instances = 6, execs = 48, good_percent = 50}
+-- Submits the usual mix of jobs at RATE times the usual rate for SECONDS, to 48
+-- executors of 16 cores.  per_s is the usual rate of a kind in jobs per second.
+--
+-- Return: the submitted jobs, each with its id, kind, time of submission (ms),
+-- call number and due time (ms).
+local function submit_mix(rate, seconds)
+  start_fleet{instances = 6, execs = 48, permitted_percent = 50}
   local n, sent = 0, {}
   local kinds = {
     {queue = "wide", per_s = 1.83, tasks = 8, cpu = 4500, ms = 4000, gang = true,
-     base = 310000, each = 4400, slack = 2.2, target = 1000},
+     base = 310000, per_exec = 4400, slack = 2.2, target = 1000},
     {queue = "many", per_s = 5.4, tasks = 14, cpu = 980, ms = 2700,
-     base = 50000, each = 710, slack = 4, target = 3000},
+     base = 50000, per_exec = 710, slack = 4, target = 3000},
     {queue = "quick", per_s = 48, tasks = 2, cpu = 1400, ms = 640,
-     base = 5600, each = 80, slack = 1.5, target = 250},
+     base = 5600, per_exec = 80, slack = 1.5, target = 250},
   }
   for tick = 1, seconds * 20 do
     for _, k in ipairs(kinds) do
@@ -19,7 +22,7 @@
         for _ = 1, math.max(1, math.floor(k.per_s * rate / 20)) do
           n = n + 1
           job{id = id(n), queue = k.queue, advice_base_us = k.base,
-              advice_each_us = k.each,
+              advice_per_exec_us = k.per_exec,
               steps = {{tasks = k.tasks, cpu = k.cpu, ms = k.ms, gang = k.gang}}}
           sent[#sent + 1] = {id = id(n), kind = k.queue, at = now(),
                              call = submit(n % 6, id(n)),
@@ -32,14 +35,14 @@
   return sent
 end
 
-scenario("three times the usual load for ten seconds, then it drains", function()
-  local sent = mix(3, 10)
+scenario("a backlog of ten seconds of triple load is worked off", function()
+  local sent = submit_mix(3, 10)
   run(30000)
-  local left = 0
+  local n_unfinished = 0
   for _, s in ipairs(sent) do
     if answer(s.call) == 200 and state(0, s.id) ~= "completed" then
-      left = left + 1
+      n_unfinished = n_unfinished + 1
     end
   end
-  expect(left == 0, left .. " of " .. #sent .. " not completed")
+  expect(n_unfinished == 0, n_unfinished .. " of " .. #sent .. " not completed")
 end)
--- a/regress/fleet/takeover.lua
+++ b/regress/fleet/takeover.lua
@@ -1,90 +1,93 @@
 dofile("regress/fleet/lib.lua")
 
-local function some_jobs(first, count, steps)
+local function submit_jobs(first, count, steps)
   for n = first, first + count - 1 do
     job{id = id(n), steps = steps or {{tasks = 3, ms = 2500, cpu = 2000}}}
     submit(n % 3, id(n))
   end
 end
 
-local function all_completed(first, last, ask_at)
+local function all_completed(first, last, query_at)
   for n = first, last do
-    local s = state(ask_at, id(n))
+    local s = state(query_at, id(n))
     expect(s == "completed", "job " .. n .. " is " .. s)
   end
 end
 
 local function follower(l) return (l + 1) % 3 end
 
-scenario("work goes on when the leader is killed", function()
-  begin{}
-  some_jobs(1, 8)
+scenario("running tasks are kept when the leader is killed", function()
+  start_fleet{}
+  submit_jobs(1, 8)
   run(1000)
   local l = leader()
   instance(l, "kill")
   run(3000)
-  expect(leader() >= 0 and leader() ~= l, "a successor leads within 3 s")
+  expect(leader() >= 0 and leader() ~= l, "no successor leads within 3 s")
   run(4000)
   all_completed(1, 8, follower(l))
   for n = 1, 8 do
-    for t = 0, 2 do expect(task(id(n), 0, t) == 1, "nothing started again") end
+    for t = 0, 2 do
+      expect(task(id(n), 0, t) == 1, "task was not started exactly once")
+    end
   end
 end)
 
-scenario("a frozen leader that wakes starts nothing", function()
-  begin{}
-  some_jobs(1, 6)
+scenario("a frozen leader starts no task after it is resumed", function()
+  start_fleet{}
+  submit_jobs(1, 6)
   run(600)
   local l = leader()
   instance(l, "freeze", 5000)
-  some_jobs(20, 6)
+  submit_jobs(20, 6)
   run(9000)
   all_completed(1, 6, follower(l))
 end)
 
-scenario("a leader cut from the table goes on through another", function()
-  begin{}
-  some_jobs(1, 6)
+scenario("a leader without the table leads on through another instance",
+  function()
+  start_fleet{}
+  submit_jobs(1, 6)
   run(600)
   local l = leader()
-  instance(l, "cut-store", 8000)
+  instance(l, "partition-store", 8000)
   run(2000)
   for n = 20, 25 do
     job{id = id(n), steps = {{tasks = 2}}}
     submit(n % 3, id(n))
   end
   run(3500)
-  expect(leader() == l, "it still leads")
+  expect(leader() == l, "the leader has changed")
   all_completed(1, 6, follower(l))
   all_completed(20, 25, follower(l))
   run(5000)
-  expect(leader() == l, "and after the cut")
+  expect(leader() == l, "the leader has changed after the partition")
 end)
 
-scenario("a leader turned away by the table goes on through another",
+scenario("a leader whose calls the table refuses leads on through another",
   function()
-  begin{}
+  start_fleet{}
   run(600)
   local l = leader()
-  instance(l, "turn-away", 6000)
+  instance(l, "refuse-store", 6000)
   run(200)
-  some_jobs(1, 6, {{tasks = 2, ms = 500}})
+  submit_jobs(1, 6, {{tasks = 2, ms = 500}})
   run(1500)
-  expect(leader() == l, "it still leads")
+  expect(leader() == l, "the leader has changed")
   all_completed(1, 6, follower(l))
 end)
 
-scenario("a leader cut from the table and from all others makes way",
+scenario("a fully partitioned leader is replaced",
   function()
-  begin{}
-  some_jobs(1, 6)
+  start_fleet{}
+  submit_jobs(1, 6)
   run(600)
   local l = leader()
-  instance(l, "cut-store", 8000)
-  instance(l, "cut", 8000)
+  instance(l, "partition-store", 8000)
+  instance(l, "partition", 8000)
   run(3000)
   local next = leader()
-  expect(next >= 0 and next ~= l, "a successor leads")
+  expect(next >= 0 and next ~= l, "no successor leads")
   for n = 20, 25 do
     job{id = id(n), steps = {{tasks = 2}}}
     submit(next, id(n))
@@ -94,21 +97,21 @@
   all_completed(20, 25, next)
 end)
 
-scenario("a stop hands the lead over at once", function()
-  begin{}
-  some_jobs(1, 4)
+scenario("a leader that is stopped hands over at once", function()
+  start_fleet{}
+  submit_jobs(1, 4)
   run(600)
   local l = leader()
   instance(l, "stop")
   run(700)
-  expect(leader() >= 0 and leader() ~= l, "within 0.7 s")
+  expect(leader() >= 0 and leader() ~= l, "no successor leads within 0.7 s")
   run(4500)
   all_completed(1, 4, follower(l))
 end)
 
-scenario("all instances at once: nothing is lost, nothing twice", function()
-  begin{}
-  some_jobs(1, 10)
+scenario("no job is lost or run twice when all instances are killed", function()
+  start_fleet{}
+  submit_jobs(1, 10)
   run(800)
   for i = 0, 2 do instance(i, "kill") end
   run(1500)
@@ -117,21 +120,25 @@
   all_completed(1, 10, 1)
 end)
 
-scenario("an executor that nobody hears is waited out before work is moved",
+-- The tasks of an unreachable executor may be running until its lease ends.
+scenario("tasks of an unreachable executor are moved after its lease",
          function()
-  begin{execs = 4}
-  some_jobs(1, 8)
+  start_fleet{execs = 4}
+  submit_jobs(1, 8)
   run(700)
   local l = leader()
-  exec(0, "cut", 20000)
+  exec(0, "partition", 20000)
   instance(l, "kill")
   run(16000)
   all_completed(1, 8, follower(l))
 end)
 
-scenario("failures told out of order are each counted once", function()
-  begin{execs = 3, cores = 1}
-  for i = 0, 2 do exec(i, "fails", 1) end
+-- Runs of one task fail on several executors, and the leader is killed while
+-- the table is still down.  The next leader must count each failure once, or
+-- the task gets more or fewer attempts than the queue allows.
+scenario("failures reported out of order are each counted once", function()
+  start_fleet{execs = 3, cores = 1}
+  for i = 0, 2 do exec(i, "fail-runs", 1) end
   job{id = id(1), attempts = 3, steps = {{tasks = 1}}}
   submit(0, id(1))
   run(60)
@@ -139,26 +146,27 @@
   run(2500)
   instance(leader() >= 0 and leader() or 0, "kill")
   run(9000)
-  expect(state(1, id(1)) == "failed" or state(2, id(1)) == "failed", "failed")
+  expect(state(1, id(1)) == "failed" or state(2, id(1)) == "failed",
+         "job is not failed")
 end)
 
-scenario("an executor that is lost for good frees its work", function()
-  begin{execs = 4}
-  some_jobs(1, 6)
+scenario("tasks of an executor that never returns run elsewhere", function()
+  start_fleet{execs = 4}
+  submit_jobs(1, 6)
   run(500)
   exec(0, "crash")
   run(10500)
   all_completed(1, 6, leader())
 end)
 
--- Only what may be running on a silent executor waits for its lease.
-scenario("an executor lost with the leader holds up its own tasks alone",
+-- Only tasks that may be running on an unreachable executor wait for its lease.
+scenario("an executor lost with the leader delays only its own tasks",
   function()
-  begin{}
+  start_fleet{}
   job{id = id(1), steps = {{tasks = 30, ms = 2000, cpu = 4000}}}
   submit(0, id(1))
   run(1000)
-  some_jobs(2, 6, {{tasks = 2, ms = 1000, cpu = 4000}})
+  submit_jobs(2, 6, {{tasks = 2, ms = 1000, cpu = 4000}})
   run(300)
   local l = leader()
   exec(0, "crash")
@@ -168,33 +176,33 @@
   for n = 2, 7 do
     if state(follower(l), id(n)) == "completed" then done = done + 1 end
   end
-  expect(done >= 5, done .. " of 6 jobs that had not begun are completed")
+  expect(done >= 5, done .. " of 6 jobs without a started task are completed")
   run(9000)
   all_completed(1, 7, follower(l))
 end)
 
-scenario("writes that are carried out seconds late do not cost the lead",
+scenario("the leader stays when table writes are executed seconds late",
   function()
-  begin{}
+  start_fleet{}
   local l = leader()
-  store("late", 0.3)
+  store("delay-writes", 0.3)
   run(12000)
-  expect(leader() == l, "still the same leader")
-  store("late", 0)
+  expect(leader() == l, "the leader has changed")
+  store("delay-writes", 0)
   run(7000)
-  some_jobs(1, 4)
+  submit_jobs(1, 4)
   run(4000)
   all_completed(1, 4, follower(l))
 end)
 
-scenario("a slow table does not cost the lead", function()
-  begin{}
+scenario("the leader stays when the table is slow", function()
+  start_fleet{}
   local l = leader()
   store("slow", 50)
   run(10000)
-  expect(leader() == l, "still the same leader")
+  expect(leader() == l, "the leader has changed")
   store("slow", 1)
-  some_jobs(1, 4)
+  submit_jobs(1, 4)
   run(4000)
   all_completed(1, 4, follower(l))
 end)
--- a/regress/fleet/walk.lua
+++ b/regress/fleet/walk.lua
@@ -1,19 +1,20 @@
 dofile("regress/fleet/lib.lua")
 
--- Faults at random, a few at a time; then calm, and every accepted job ends.
+-- Injects one or two random faults at a time while jobs are submitted.  After
+-- the faults, every accepted job must end.
 scenario("random walk", function()
-  begin{instances = 4, execs = 8, good_percent = 80}
+  start_fleet{instances = 4, execs = 8, permitted_percent = 80}
   local n, calls = 0, {}
-  local function hand_in()
+  local function submit_job()
     n = n + 1
     local kind = random()
     if kind < 0.2 then
       job{id = id(n), steps = {{tasks = 4, gang = true, cpu = 3000, ms = 900}}}
     elseif kind < 0.25 then
-      job{id = id(n), poison = true, steps = {{tasks = 2}}}
+      job{id = id(n), always_fails = true, steps = {{tasks = 2}}}
     elseif kind < 0.6 then
       job{id = id(n), queue = "quick", advice_base_us = 5000,
-          advice_each_us = 100, steps = {{tasks = 2, cpu = 1500, ms = 400}}}
+          advice_per_exec_us = 100, steps = {{tasks = 2, cpu = 1500, ms = 400}}}
     else
       job{id = id(n), steps = {{tasks = 3, ms = 700}, {tasks = 2, after = 0}}}
     end
@@ -22,22 +23,35 @@
   local faults = {
     function() local i = math.floor(random() * 4)
       instance(i, "kill") return function() instance(i, "start") end end,
-    function() instance(math.floor(random() * 4), "freeze", 500 + random() * 4000) end,
-    function() instance(math.floor(random() * 4), "cut-store", 500 + random() * 5000) end,
-    function() instance(math.floor(random() * 4), "cut", 500 + random() * 5000) end,
+    function()
+      instance(math.floor(random() * 4), "freeze", 500 + random() * 4000)
+    end,
+    function()
+      instance(math.floor(random() * 4), "partition-store",
+               500 + random() * 5000)
+    end,
+    function()
+      instance(math.floor(random() * 4), "partition", 500 + random() * 5000)
+    end,
     function() local l = leader() if l >= 0 then instance(l, "kill")
       return function() instance(l, "start") end end end,
-    function() exec(math.floor(random() * 8), "cut", 500 + random() * 9000) end,
+    function()
+      exec(math.floor(random() * 8), "partition", 500 + random() * 9000)
+    end,
     function() local e = math.floor(random() * 8)
-      exec(e, "crash") return function() exec(e, "reborn") end end,
-    function() exec(math.floor(random() * 8), "reborn") end,
+      exec(e, "crash") return function() exec(e, "reboot") end end,
+    function() exec(math.floor(random() * 8), "reboot") end,
     function() local e = math.floor(random() * 8)
-      exec(e, "lost", 0.3) return function() exec(e, "lost", 0) end end,
+      exec(e, "lose-results", 0.3)
+      return function() exec(e, "lose-results", 0) end end,
     function() local e = math.floor(random() * 8)
-      exec(e, "late", 0.3) return function() exec(e, "late", 0) end end,
+      exec(e, "delay-orders", 0.3)
+      return function() exec(e, "delay-orders", 0) end end,
     function() store("down", 300 + random() * 4000) end,
-    function() store("lost", 0.3) return function() store("lost", 0) end end,
-    function() store("late", 0.2) return function() store("late", 0) end end,
+    function() store("lose-replies", 0.3)
+      return function() store("lose-replies", 0) end end,
+    function() store("delay-writes", 0.2)
+      return function() store("delay-writes", 0) end end,
     function() store("slow", 30) return function() store("slow", 1) end end,
     function() store("compact") end,
   }
@@ -48,7 +62,7 @@
       if u then undo[#undo + 1] = u end
     end
     for _ = 1, 8 do
-      for _ = 1, 2 do hand_in() end
+      for _ = 1, 2 do submit_job() end
       run(100 + random() * 300)
     end
     while #undo > 0 do table.remove(undo)() end
--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -1,8 +1,16 @@
 /*
- * Executors and the advice service.  An executor refuses what the contract
- * says, runs what it accepts whether it fits or not, and checks what it saw:
- * no two runs of a task, no start after an end that was acknowledged, no more
- * than its room, no more attempts than the queue allows.
+ * The simulated executors and the advice service.
+ *
+ * An executor refuses what the platform's contract says, except that it also
+ * runs a task that exceeds its capacity.  At each start it checks the
+ * scheduler, and reports a violation if:
+ *   TWICE    the task runs already, or a successful end was acknowledged
+ *   LIMIT    the running tasks exceed the executor's capacity
+ *   BUDGET   the task has failed as often as the queue allows
+ *   REFUSED  the job's submission was refused
+ *   UNASKED  the job or task does not exist
+ * At an end it reports GANG if a member of a gang waited for the other members
+ * until its wait time was over, without a recent fault.
  */
 #include "fsim.h"
 
@@ -12,13 +20,19 @@
 
 enum
 {
+  /* From a stop order to the end of the run. */
   STOP_DELAY_MS = 100,
+  /* A member of a gang waits for the other members for this time. */
   GANG_WAIT_MS = 3000,
+  /* A gang that is incomplete within this time after a fault is no
+     violation. */
   RECENT_FAULT_MS = 6000,
+  /* A lease ends no later than this time after the order that extends it. */
   LEASE_MAX_MS = 6000,
   ADVICE_VALID_MS = 2000,
 };
 
+/* struct delivery - an order that is on its way, or whose result is */
 struct delivery
 {
   int inst;
@@ -26,9 +40,12 @@
   struct order order;
   char exec[CLB_ID_MAX];
   struct order_result res;
-  int64_t poll_deadline_ms; /* of a question for ends */
-  int64_t boot_start_ms;    /* of the boot that it came to; 0: under way */
-  bool drop_result;         /* nobody hears the answer */
+  /* A poll is answered by then, also without ends. */
+  int64_t poll_deadline_ms;
+  /* Start of the boot that received the order; 0: it has not arrived. */
+  int64_t boot_start_ms;
+  /* The result is lost. */
+  bool drop_result;
 };
 
 static struct fexec *
@@ -41,7 +58,7 @@
 }
 
 static struct ftask_stats *
-task_stats (struct fsim *s, const struct task_ref *t)
+find_task_stats (struct fsim *s, const struct task_ref *t)
 {
   struct fjob *j = fsim_find_job (s, t->job);
   int at = 0;
@@ -61,29 +78,30 @@
 }
 
 static void
-remember_run (struct fexec *e, const struct task_ref *task, int64_t run)
+remember_run (struct fexec *e, const struct task_ref *task, int64_t run_id)
 {
   e->past_runs = realloc (e->past_runs,
                           (size_t)(e->n_past_runs + 1) * sizeof *e->past_runs);
   if (!e->past_runs)
     abort ();
-  e->past_runs[e->n_past_runs++] = (struct frun_ref){ *task, run };
+  e->past_runs[e->n_past_runs++] = (struct frun_ref){ *task, run_id };
 }
 
 static void
 end_run (struct fsim *s, struct fexec *e, int i, int how)
 {
   struct frun *r = &e->runs[i];
-  struct ftask_stats *m = task_stats (s, &r->task);
+  struct ftask_stats *m = find_task_stats (s, &r->task);
   struct end_row *end = &e->ends[e->n_ends];
 
   remember_run (e, &r->task, r->run_id);
   if (m)
     m->n_running--;
-  /* Orders to stop the member may have been lost as well (walk, seed 184). */
+  /* After a fault the leader's orders to stop the member may have been lost as
+     well (walk.lua, seed 184: the stop order was lost). */
   if (how == RUN_END_GANG_INCOMPLETE
       && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
-    fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s waited in vain",
+    fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s: gang incomplete",
                     r->task.job, (long long)r->task.step,
                     (long long)r->task.index, (long long)r->run_id, e->id);
   if (e->n_ends < (int)CLB_COUNT (e->ends))
@@ -114,9 +132,11 @@
     }
 }
 
-/* The members of one run of a gang that are there; @each is told of each. */
+/* Calls @each, if not NULL, for each started member of run @run_id of a gang.
+
+   Return: number of these members. */
 static int
-gang_members (struct fsim *s, const struct task_ref *t, int64_t run,
+gang_members (struct fsim *s, const struct task_ref *t, int64_t run_id,
               void (*each) (struct fsim *s, struct frun *r))
 {
   int n = 0;
@@ -125,7 +145,7 @@
     for (int i = 0; i < s->exec[k]->n_runs; i++)
       {
         struct frun *r = &s->exec[k]->runs[i];
-        if (r->run_id != run || r->task.step != t->step
+        if (r->run_id != run_id || r->task.step != t->step
             || strcmp (r->task.job, t->job) != 0)
           continue;
         n++;
@@ -145,7 +165,8 @@
   r->how = RUN_END_DONE;
 }
 
-/* A gang works only once all are there, and waits for GANG_MS. */
+/* The members of a gang begin their work when the last of them has started.  A
+   member whose gang is incomplete after GANG_WAIT_MS ends. */
 static void
 join_gang (struct fsim *s, struct frun *r, const struct job_step *step)
 {
@@ -169,36 +190,36 @@
     }
   if (used.millicores > e->capacity.millicores
       || used.mem_mb > e->capacity.mem_mb)
-    fsim_violation (s, "LIMIT %s: %lld millicores of %lld", e->id,
+    fsim_violation (s, "LIMIT %s: %lld millicores used of %lld", e->id,
                     (long long)used.millicores,
                     (long long)e->capacity.millicores);
   if (m->n_running > 1)
-    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: runs elsewhere",
+    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already running",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
   if (m->end_acked)
-    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: done before",
+    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already done",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
   if (m->n_failed >= j->spec.attempts)
-    fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d have failed",
+    fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d runs have failed",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id,
                     m->n_failed);
   if (j->refused)
-    fsim_violation (s, "REFUSED %s starts", o->task.job);
+    fsim_violation (s, "REFUSED %s: started although refused", o->task.job);
 }
 
 static void
 begin_run (struct fsim *s, struct fexec *e, const struct order *o)
 {
   struct fjob *j = fsim_find_job (s, o->task.job);
-  struct ftask_stats *m = task_stats (s, &o->task);
+  struct ftask_stats *m = find_task_stats (s, &o->task);
   struct frun *r = &e->runs[e->n_runs];
 
   if (!j || !m)
     {
-      fsim_violation (s, "UNASKED %s", o->task.job);
+      fsim_violation (s, "UNASKED %s: job or task unknown", o->task.job);
       return;
     }
   e->n_runs++;
@@ -272,7 +293,7 @@
   for (int i = 0; i < e->n_ends; i++)
     {
       const struct end_row *end = &e->ends[i];
-      struct ftask_stats *m = task_stats (s, &end->task);
+      struct ftask_stats *m = find_task_stats (s, &end->task);
       if (end->seq > recorded)
         {
           e->ends[kept++] = *end;
@@ -297,11 +318,12 @@
   for (int i = 0; i < e->n_runs; i++)
     {
       struct frun *r = &e->runs[i];
-      int64_t whole = r->end_ms - r->start_ms;
+      int64_t duration_ms = r->end_ms - r->start_ms;
       res->runs[res->n_runs++] = (struct run_row){
         .task = r->task,
         .run_id = r->run_id,
-        .percent = whole > 0 ? (s->now_ms - r->start_ms) * 100 / whole : 0
+        .percent
+        = duration_ms > 0 ? (s->now_ms - r->start_ms) * 100 / duration_ms : 0
       };
     }
   for (int i = 0; i < e->n_ends && i < 500; i++)
@@ -391,7 +413,7 @@
   struct fexec *e = find_exec (s, d->exec);
   bool first;
 
-  /* What waits in a boot ends with it. */
+  /* A poll that waits is lost if the executor has crashed or rebooted. */
   if (!e->up || !fsim_can_reach (s, d->inst, e)
       || (d->boot_start_ms && d->boot_start_ms != e->boot_start_ms))
     {
@@ -426,7 +448,7 @@
 {
   struct delivery *d = arg;
 
-  /* A boot refuses what was meant for another one. */
+  /* deliver_order() drops the order if another boot has begun. */
   d->drop_result = true;
   deliver_order (s, d);
 }
@@ -457,7 +479,8 @@
   fsim_schedule (s, FSIM_LINK_MS, deliver_order, d);
 }
 
-/* The same executors are good for a step each time it is asked. */
+/* Whether the advice service permits @exec for the step.  A hash makes the
+   answer the same for each query. */
 static bool
 is_permitted (const struct fsim *s, const char *job, int64_t step,
               const char *exec)
@@ -496,15 +519,15 @@
   struct delivery *d = delivery_new (s, i, o);
   struct fsim_instance *in = s->inst[i];
   struct fjob *j = fsim_find_job (s, o->task.job);
-  double cost = j ? j->spec.advice.base_ms
-                        + j->spec.advice.per_exec_ms * (double)o->n_execs
-                  : 1;
-  int64_t begin = in->advice_busy_until_ms > s->now_ms
-                      ? in->advice_busy_until_ms
-                      : s->now_ms;
+  double cost_ms = j ? j->spec.advice.base_ms
+                           + j->spec.advice.per_exec_ms * (double)o->n_execs
+                     : 1;
+  int64_t begin_ms = in->advice_busy_until_ms > s->now_ms
+                         ? in->advice_busy_until_ms
+                         : s->now_ms;
 
   s->advice_calls++;
-  in->advice_busy_until_ms = begin + (int64_t)cost;
+  in->advice_busy_until_ms = begin_ms + (int64_t)cost_ms;
   fexec_permitted (s, o, &d->res);
   fsim_schedule (s, in->advice_busy_until_ms - s->now_ms + 2 * FSIM_LINK_MS,
                  deliver_result, d);
@@ -537,7 +560,7 @@
   e->up = false;
   for (int i = 0; i < e->n_runs; i++)
     {
-      struct ftask_stats *m = task_stats (s, &e->runs[i].task);
+      struct ftask_stats *m = find_task_stats (s, &e->runs[i].task);
       if (m)
         m->n_running--;
     }
@@ -546,6 +569,7 @@
   e->last_end_seq = 0;
   e->n_past_runs = 0;
   e->fencing_token = 0;
+  /* The platform removes the entry of a crashed executor after 4500 ms. */
   fsim_schedule (s, 4500, unlist, e);
 }
 
@@ -555,7 +579,8 @@
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  e->boot_start_ms = s->now_ms + 1; /* 0 is "not told" */
+  /* 0 would mean that the start of the boot is unknown. */
+  e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
   fexec_update_listing (s, e);
 }
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -266,17 +266,23 @@
  */
 size_t fsim_request (struct fsim *s, int instance, int verb, const char *id,
                      const char *body, const char *key);
-/** fsim_can_reach() - Whether neither instance @i nor executor @e is
- * partitioned. */
+/**
+ * fsim_can_reach() - Whether neither instance @i nor executor @e is
+ * partitioned.
+ */
 bool fsim_can_reach (const struct fsim *s, int i, const struct fexec *e);
 
 /* table.c */
-/** ftable_send() - Send a call of instance @i to the table, with the faults
- * that are configured; the reply arrives as an event. */
+/**
+ * ftable_send() - Send a call of instance @i to the table, with the faults
+ * that are configured; the reply arrives as an event.
+ */
 void ftable_send (struct fsim *s, int i, uint64_t token,
                   const struct store_op *op);
-/** ftable_apply() - Execute @op at once, without faults.  A feed without
- * changes returns no rows instead of waiting for one. */
+/**
+ * ftable_apply() - Execute @op at once, without faults.  A feed without
+ * changes returns no rows instead of waiting for one.
+ */
 void ftable_apply (struct ftable *t, const struct store_op *op,
                    struct store_rep *rep);
 /** ftable_put() - Write a row directly; a NULL @value deletes it. */
@@ -296,20 +302,28 @@
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
                   bool first, bool waited, struct order_result *res);
-/** fexec_permitted() - Answer a query for advice: which of its executors may
- * run the step. */
+/**
+ * fexec_permitted() - Answer a query for advice: which of its executors may
+ * run the step.
+ */
 void fexec_permitted (struct fsim *s, const struct order *o,
                       struct order_result *res);
-/** fexec_send_order() - Send @o from instance @i to its executor, with the
- * faults that are configured; the result arrives as an event. */
+/**
+ * fexec_send_order() - Send @o from instance @i to its executor, with the
+ * faults that are configured; the result arrives as an event.
+ */
 void fexec_send_order (struct fsim *s, int i, const struct order *o);
-/** fexec_send_advice_query() - Send a query from instance @i to the advice
- * service; the result arrives as an event. */
+/**
+ * fexec_send_advice_query() - Send a query from instance @i to the advice
+ * service; the result arrives as an event.
+ */
 void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
 /** fexec_update_listing() - Write or delete the executor's discovery entry. */
 void fexec_update_listing (struct fsim *s, struct fexec *e);
-/** fexec_crash() - End the executor's boot with all its runs and reports.  The
- * discovery entry is deleted later. */
+/**
+ * fexec_crash() - End the executor's boot with all its runs and reports.  The
+ * discovery entry is deleted later.
+ */
 void fexec_crash (struct fsim *s, struct fexec *e);
 /** fexec_reboot() - Begin a new boot; one that is up crashes first. */
 void fexec_reboot (struct fsim *s, struct fexec *e);
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -1,3 +1,4 @@
+/* Events, instances, messages between instances, and callers' requests. */
 #include "fsim.h"
 
 #include <stdarg.h>
@@ -8,7 +9,8 @@
 enum
 {
   INSTANCE_TICK_MS = 10,
-  WALL_CLOCK_START_MS = 1000000, /* the wall clock at time 0 */
+  /* Wall clock at simulated time 0. */
+  WALL_CLOCK_START_MS = 1000000,
 };
 
 int
@@ -42,7 +44,7 @@
               (long long)s->now_ms, text);
 }
 
-/* Events. */
+/* The events form a binary heap, earliest event first. */
 
 static bool
 event_before (const struct fsim_event *a, const struct fsim_event *b)
@@ -127,7 +129,8 @@
          && e->partitioned_until_ms <= s->now_ms;
 }
 
-/* The documents of this simulation: words, not the platform's JSON. */
+/* Documents of the simulation are lines of words instead of the platform's
+   JSON. */
 
 static int
 read_exec (const char *id, const char *text, struct exec_report *out)
@@ -155,8 +158,9 @@
   return codec_parse (&job_spec_desc, text, len, CODEC_STRICT, out, ce);
 }
 
-/* Lines: "version N", "queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE EACH",
-   "tenant NAME WEIGHT CORES KEY...". */
+/* A configuration consists of the lines "version N",
+   "queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE PER_EXEC" (target, base and
+   per executor in ms) and "tenant NAME WEIGHT MILLICORES [KEY]". */
 static int
 read_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
@@ -232,7 +236,7 @@
   return text;
 }
 
-/* Instances. */
+/* Instances and the messages between them. */
 
 struct mesh_delivery
 {
@@ -493,7 +497,7 @@
 
   for (int i = 0; i < s->n_inst; i++)
     fsim_kill (s, i);
-  /* What is under way finds nobody and frees itself. */
+  /* Messages that are outstanding find no receiver and are freed. */
   s->shutting_down = true;
   while (s->n_heap)
     {
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -1,9 +1,10 @@
-/* The table service: rows with versions, transactions, feeds. */
+/* The simulated table service: versioned rows, transactions and feeds. */
 #include "fsim.h"
 
 #include <stdlib.h>
 #include <string.h>
 
+/* struct request - a call of an instance and its reply */
 struct request
 {
   int inst;
@@ -11,7 +12,9 @@
   uint64_t token;
   struct store_op op;
   struct store_rep rep;
-  int64_t feed_deadline_ms; /* of a feed */
+  /* A feed is answered by then, also without changes. */
+  int64_t feed_deadline_ms;
+  /* The reply is lost. */
   bool drop_reply;
 };
 
@@ -126,7 +129,8 @@
   return strncmp (key, table, n) == 0 && (key[n] == '/' || key[n] == ':');
 }
 
-/* Index of the first change after version @since. */
+/* Return: index of the first change after version @since, or the number of
+   changes. */
 static size_t
 first_change_after (const struct ftable *t, int64_t since)
 {
@@ -239,7 +243,7 @@
     send_reply (s, q);
 }
 
-/* A write that nobody hears of, done much later. */
+/* Executes a delayed write; no reply is sent. */
 static void
 execute_delayed (struct fsim *s, void *arg)
 {
@@ -282,7 +286,7 @@
 {
   struct ftable *t = &s->table;
   struct request *q = request_new (s, i, token, op);
-  int64_t wait = FSIM_LINK_MS;
+  int64_t delay_ms = FSIM_LINK_MS;
   bool write = op->kind == STORE_TXN;
 
   t->n_calls++;
@@ -308,14 +312,15 @@
   q->feed_deadline_ms = s->now_ms + op->wait_ms;
   if (write)
     {
-      int64_t begin
+      int64_t begin_ms
           = s->now_ms > t->busy_until_ms ? s->now_ms : t->busy_until_ms;
       t->busy_until_ms
-          = begin + FSIM_STORE_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
-      wait += t->busy_until_ms - s->now_ms;
+          = begin_ms
+            + FSIM_STORE_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
+      delay_ms += t->busy_until_ms - s->now_ms;
     }
-  wait += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
-  fsim_schedule (s, wait, execute, q);
+  delay_ms += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
+  fsim_schedule (s, delay_ms, execute, q);
 }
 
 void
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -1,4 +1,11 @@
-/* fsim-run - plays scripts against the simulated fleet. */
+/*
+ * fsim-run - executes a Lua script that controls a simulated fleet.
+ *
+ * usage: fsim-run [-v] [-s SEED] [-n COUNT] SCRIPT
+ *
+ * The script is executed once for each of COUNT (1) seeds, beginning with SEED
+ * (1).  -v prints the log lines of the instances.
+ */
 #include "fsim.h"
 
 #include <lauxlib.h>
@@ -15,6 +22,8 @@
 static int passed;
 static int failed;
 
+/* Return: field @name of the table at stack index @at as an integer; @fallback
+   if the field is nil. */
 static int64_t
 field (lua_State *l, int at, const char *name, int64_t fallback)
 {
@@ -28,7 +37,9 @@
   return v;
 }
 
-/* fleet{instances=, execs=, cores=, mem=, good=} */
+/* fleet{instances=, execs=, cores=, mem=, permitted_percent=}: replaces the
+   simulation.  Cores and memory (MB) are those of each executor; the advice
+   service permits permitted_percent of the executors for a step. */
 static int
 verb_fleet (lua_State *l)
 {
@@ -40,11 +51,11 @@
   sim = fsim_new (seed, (int)field (l, 1, "instances", 3),
                   (int)field (l, 1, "execs", 6), &capacity);
   sim->verbose = verbose;
-  sim->permitted_share = (double)field (l, 1, "good_percent", 100) / 100;
+  sim->permitted_share = (double)field (l, 1, "permitted_percent", 100) / 100;
   return 0;
 }
 
-/* config(text) */
+/* config(text): writes the fleet's configuration to the table */
 static int
 verb_config (lua_State *l)
 {
@@ -52,6 +63,7 @@
   return 0;
 }
 
+/* run(ms): executes the events of this simulated time */
 static int
 verb_run (lua_State *l)
 {
@@ -59,6 +71,7 @@
   return 0;
 }
 
+/* now(): simulated time in ms */
 static int
 verb_now (lua_State *l)
 {
@@ -66,6 +79,7 @@
   return 1;
 }
 
+/* random(): number from 0 up to, but not including, 1 */
 static int
 verb_random (lua_State *l)
 {
@@ -73,6 +87,7 @@
   return 1;
 }
 
+/* Reads a step of a job from the table at the top of the stack. */
 static void
 read_step (lua_State *l, struct fjob *j, size_t i)
 {
@@ -82,15 +97,18 @@
   s->need.millicores = field (l, -1, "cpu", 1000);
   s->need.mem_mb = field (l, -1, "mem", 100);
   s->gang = field (l, -1, "gang", 0);
-  s->checkpoints = field (l, -1, "saves", 0);
-  s->max_per_exec = field (l, -1, "spread", 0);
+  s->checkpoints = field (l, -1, "checkpoints", 0);
+  s->max_per_exec = field (l, -1, "max_per_exec", 0);
   if (field (l, -1, "after", -1) >= 0)
     s->after = UINT64_C (1) << field (l, -1, "after", 0);
   j->task_ms[i] = field (l, -1, "ms", 500);
   s->estimate_ms = field (l, -1, "estimate", j->task_ms[i]);
 }
 
-/* job{id=, queue=, steps={...}, poison=} declares what submit() hands in. */
+/* job{id=, queue=, steps={...}, attempts=, always_fails=, advice_base_us=,
+   advice_per_exec_us=}: defines a job for submit().  Each step is a table with
+   the fields of read_step(); cpu is in millicores, mem in MB, ms is the run
+   time of a task. */
 static int
 verb_job (lua_State *l)
 {
@@ -102,11 +120,12 @@
   lua_getfield (l, 1, "queue");
   clb_copy (j->spec.queue, luaL_optstring (l, -1, "q"), CLB_NAME_MAX);
   lua_pop (l, 1);
-  /* What advice costs, as in the configuration of regress/fleet/lib.lua. */
+  /* Cost of a query for advice; a script passes the values that
+     regress/fleet/lib.lua has in its configuration. */
   j->spec.advice.base_ms = (double)field (l, 1, "advice_base_us", 0) / 1000;
   j->spec.advice.per_exec_ms
-      = (double)field (l, 1, "advice_each_us", 0) / 1000;
-  j->always_fails = field (l, 1, "poison", 0);
+      = (double)field (l, 1, "advice_per_exec_us", 0) / 1000;
+  j->always_fails = field (l, 1, "always_fails", 0);
   j->spec.attempts = field (l, 1, "attempts", 3);
   j->last_state = -1;
   lua_getfield (l, 1, "steps");
@@ -122,11 +141,12 @@
   j->stats = calloc ((size_t)j->n_stats + 1, sizeof *j->stats);
   j->spec.text = strdup ("work");
   if (RB_INSERT (fjob_tree, &sim->jobs, j))
-    return luaL_error (l, "job %s stands already", j->id);
+    return luaL_error (l, "job %s is already defined", j->id);
   return 0;
 }
 
-/* submit(instance, id, key): number of the call */
+/* submit(instance, id [, key]): submits a job; returns the call's number for
+   answer() */
 static int
 verb_submit (lua_State *l)
 {
@@ -149,7 +169,8 @@
   return 1;
 }
 
-/* ask(instance, id [, "cancel"]): number of the call */
+/* request(instance, id [, "cancel"]): queries the state of a job or cancels
+   it; returns the call's number */
 static int
 verb_request (lua_State *l)
 {
@@ -166,7 +187,8 @@
   return 1;
 }
 
-/* waiting(instance, queue): number of the call */
+/* waiting(instance, queue [, key]): queries the number of waiting jobs of a
+   queue; returns the call's number */
 static int
 verb_waiting (lua_State *l)
 {
@@ -179,7 +201,8 @@
   return 1;
 }
 
-/* answer(call): status or 0, body, milliseconds until it may come back */
+/* answer(call): HTTP status or 0 before the answer, body, time in ms after
+   which the caller may retry */
 static int
 verb_answer (lua_State *l)
 {
@@ -191,7 +214,8 @@
   return 3;
 }
 
-/* task(id, step, index): starts, failures, whether done */
+/* task(id [, step [, index]]): number of starts, number of acknowledged
+   failures, whether the task is done */
 static int
 verb_task (lua_State *l)
 {
@@ -206,8 +230,15 @@
   return 3;
 }
 
-/* instance(i, what [, ms]): kill, start, stop, freeze, cut, cut-store,
-   turn-away */
+/* instance(i, what [, ms]): changes the state of an instance.  What is one of:
+   kill             ends the process at once
+   start            starts a new process
+   stop             stops the process in order
+   freeze           the process makes no progress for ms
+   clock            sets the wall clock ms ahead of the simulated time
+   partition        no message to or from instances and executors passes for ms
+   partition-store  no call to the table is answered for ms
+   refuse-store     the table refuses the instance's calls for ms */
 static int
 verb_instance (lua_State *l)
 {
@@ -232,16 +263,26 @@
     }
   else if (strcmp (what, "clock") == 0)
     in->clock_offset_ms = until - sim->now_ms;
-  else if (strcmp (what, "cut") == 0)
+  else if (strcmp (what, "partition") == 0)
     in->partitioned_until_ms = until;
-  else if (strcmp (what, "cut-store") == 0)
+  else if (strcmp (what, "partition-store") == 0)
     in->store_partitioned_until_ms = until;
-  else if (strcmp (what, "turn-away") == 0)
+  else if (strcmp (what, "refuse-store") == 0)
     in->store_refused_until_ms = until;
   return 0;
 }
 
-/* exec(i, what [, ms or share]) */
+/* exec(i, what [, value]): changes the state of an executor.  What is one of:
+   crash               ends the boot, with all runs
+   reboot              begins a new boot
+   partition           no order or result passes for this many ms
+   lose-results        this share of results is lost
+   delay-orders        this share of start and stop orders is executed seconds
+                       later, unanswered
+   fail-runs           every run that starts fails (0 or 1)
+   refuse-connections  connections fail at once (0 or 1)
+   hang-runs           runs that start never end by themselves (0 or 1)
+   drain               its discovery entry says that it drains (0 or 1) */
 static int
 verb_exec (lua_State *l)
 {
@@ -251,19 +292,19 @@
 
   if (strcmp (what, "crash") == 0)
     fexec_crash (sim, e);
-  else if (strcmp (what, "reborn") == 0)
+  else if (strcmp (what, "reboot") == 0)
     fexec_reboot (sim, e);
-  else if (strcmp (what, "cut") == 0)
+  else if (strcmp (what, "partition") == 0)
     e->partitioned_until_ms = sim->now_ms + (int64_t)x;
-  else if (strcmp (what, "lost") == 0)
+  else if (strcmp (what, "lose-results") == 0)
     e->reply_lost_share = x;
-  else if (strcmp (what, "late") == 0)
+  else if (strcmp (what, "delay-orders") == 0)
     e->delayed_share = x;
-  else if (strcmp (what, "fails") == 0)
+  else if (strcmp (what, "fail-runs") == 0)
     e->fails_runs = x > 0;
-  else if (strcmp (what, "unreached") == 0)
+  else if (strcmp (what, "refuse-connections") == 0)
     e->refuses_connections = x > 0;
-  else if (strcmp (what, "hangs") == 0)
+  else if (strcmp (what, "hang-runs") == 0)
     e->hangs_runs = x > 0;
   else if (strcmp (what, "drain") == 0)
     {
@@ -273,7 +314,12 @@
   return 0;
 }
 
-/* store(what, value): down (ms), slow (times), lost, late (shares), compact */
+/* store(what [, value]): changes the state of the table.  What is one of:
+   down          refuses all calls for this many ms
+   slow          multiplies latencies by this factor
+   lose-replies  this share of writes is executed but not answered
+   delay-writes  this share of writes is executed seconds later, unanswered
+   compact       a feed cannot return the changes up to now any more */
 static int
 verb_store (lua_State *l)
 {
@@ -285,15 +331,16 @@
     t->down_until_ms = sim->now_ms + (int64_t)x;
   else if (strcmp (what, "slow") == 0)
     t->slow_factor = (int64_t)x;
-  else if (strcmp (what, "lost") == 0)
+  else if (strcmp (what, "lose-replies") == 0)
     t->reply_lost_share = x;
-  else if (strcmp (what, "late") == 0)
+  else if (strcmp (what, "delay-writes") == 0)
     t->delayed_share = x;
   else if (strcmp (what, "compact") == 0)
     t->compacted_ver = t->ver;
   return 0;
 }
 
+/* leader(): number of the instance that leads, or -1 */
 static int
 verb_leader (lua_State *l)
 {
@@ -301,7 +348,7 @@
   return 1;
 }
 
-/* running(): tasks at work on all executors; on one if a number is given */
+/* running([i]): number of running tasks, on executor i or on all */
 static int
 verb_running (lua_State *l)
 {
@@ -314,6 +361,7 @@
   return 1;
 }
 
+/* calls(): number of calls to the table, number of queries for advice */
 static int
 verb_calls (lua_State *l)
 {
@@ -322,7 +370,8 @@
   return 2;
 }
 
-/* proxied(): calls to the table that went through another instance */
+/* proxied(): number of calls to the table that were sent through another
+   instance */
 static int
 verb_proxied (lua_State *l)
 {
@@ -334,6 +383,7 @@
   return 1;
 }
 
+/* violations(): number of violations, text of the first */
 static int
 verb_violations (lua_State *l)
 {
@@ -342,17 +392,20 @@
   return 2;
 }
 
+/* expect(condition [, message]): fails the scenario unless the condition holds
+ */
 static int
 verb_expect (lua_State *l)
 {
   if (!lua_toboolean (l, 1))
     return luaL_error (l, "%s (seed %d, at %d ms)",
-                       luaL_optstring (l, 2, "not as expected"), (int)seed,
+                       luaL_optstring (l, 2, "expectation not met"), (int)seed,
                        sim ? (int)sim->now_ms : 0);
   return 0;
 }
 
-/* scenario(name, function) */
+/* scenario(name, function): executes the function; the scenario passes if no
+   expectation failed and no violation was reported */
 static int
 verb_scenario (lua_State *l)
 {
@@ -385,7 +438,7 @@
   { "random", verb_random },
   { "job", verb_job },
   { "submit", verb_submit },
-  { "ask", verb_request },
+  { "request", verb_request },
   { "waiting", verb_waiting },
   { "answer", verb_answer },
   { "task", verb_task },
