--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -1,16 +1,25 @@
 /*
- * fleet-standin - the fleet's platform on loopback: table, executors, advice.
+ * fleet-standin - serves a stand-in of the fleet's platform on the loopback
+ * interface: the table service, the executors and the advice service.
  *
- * It speaks what platform/ speaks, over the table and the executors of the
- * simulation (regress/fsim), in real time.  Executor K listens on the port
- * after the table's by 1 + K; the advice service on the one after the last.
+ * It serves the HTTP interfaces that platform/ calls from the table and the
+ * executors of the simulation (regress/fsim), in real time.  The table listens
+ * on PORT, executor K on PORT + 1 + K, and the advice service on the port
+ * after that of the last executor.
  *
- * Each broken promise that its executors see is a line "violation ...".  Lines
- * of standard input are faults and questions:
- *   table down MS | table lost SHARE | table compact
- *   exec K crash | exec K reborn | exec K cut MS | exec K fails 0 or 1
- *   config FILE      the operator's next configuration
- *   started FILE     write the ids of all jobs that have started
+ * A line "violation ..." is printed when the executors have detected further
+ * violations (see regress/fsim/execs.c).  Commands are read from standard
+ * input, one per line:
+ *   table down MS       the table refuses all calls for this time
+ *   table lost SHARE    this share (0 to 1) of writes is executed but not
+ *                       answered
+ *   table compact       a feed cannot return the changes up to now any more
+ *   exec K crash        ends the boot of executor K, with all runs
+ *   exec K reborn       begins a new boot
+ *   exec K cut MS       the executor does not answer for this time
+ *   exec K fails 0|1    whether every run that starts fails
+ *   config FILE         replaces the fleet's configuration
+ *   started FILE        writes the ids of all jobs that have started to FILE
  */
 #include "fsim.h"
 #include "httpd.h"
@@ -26,11 +35,14 @@
 
 enum
 {
-  PENDING_RETRY_MS = 5, /* how often a waiting question is looked at */
+  /* Interval at which pending feeds and polls are tried again. */
+  PENDING_RETRY_MS = 5,
   ADVICE_MS = 2,
+  /* Limit for the body of a request, in bytes. */
   BODY_MAX = 4 << 20,
 };
 
+/* struct server - a listening socket of the stand-in */
 struct server
 {
   struct httpd *http;
@@ -38,7 +50,7 @@
   char addr[CLB_ADDR_MAX];
 };
 
-/* struct wait - a feed or a question for ends that may be answered later */
+/* struct pending - a feed or poll that may be answered later */
 struct pending
 {
   TAILQ_ENTRY (pending) link;
@@ -55,11 +67,12 @@
 static struct server table;
 static struct server *execs;
 static int n_execs;
-static int
-    advertised_offset; /* executors' entries name their ports and so much */
+/* Added to the port in an executor's discovery entry. */
+static int advertised_offset;
 static struct server advice;
 static int64_t started_ms;
 
+/* Return: ms since the start of the stand-in. */
 static int64_t
 now (void)
 {
@@ -79,8 +92,9 @@
   json_decref (json);
 }
 
-/* The table. */
+/* The table service. */
 
+/* Return: the key of a row in the simulated table, "TABLE[:PART]/KEY". */
 static char *
 key_text (const json_t *row)
 {
@@ -96,6 +110,7 @@
   return text;
 }
 
+/* Decodes base64. */
 static char *
 decode (const char *text)
 {
@@ -151,6 +166,8 @@
                      (json_int_t)now ()));
 }
 
+/* Copies the decoded parameter @name of the query string; empty if it is
+   missing. */
 static void
 query_param (const char *path, const char *name, char *out, size_t size)
 {
@@ -174,7 +191,7 @@
   out[n] = '\0';
 }
 
-/* 0, or -1 for a transaction that cannot be read. */
+/* Return: 0, or -1 for a transaction without rows to write. */
 static int
 read_table_op (const struct httpd_req *rq, struct store_op *op)
 {
@@ -223,8 +240,8 @@
   return 0;
 }
 
-/* A list begins with the row that it is asked from, which the simulated table
-   leaves out. */
+/* The platform's list includes the row that the request names as its start;
+   the simulated table leaves that row out, so it is inserted here. */
 static void
 add_start_row (const struct store_op *op, struct store_rep *rep)
 {
@@ -244,16 +261,19 @@
   free (got.rows);
 }
 
+/* Return: whether the call was answered.  A feed without changes is not
+   answered before @until_ms. */
 static bool
-try_table_op (uint64_t request_id, const struct store_op *op, int64_t until_ms)
+try_table_op (uint64_t request_id, const struct store_op *op,
+              int64_t deadline_ms)
 {
   struct store_rep rep = { 0 };
   bool must_wait;
 
   ftable_apply (&sim->table, op, &rep);
   add_start_row (op, &rep);
-  must_wait
-      = op->kind == STORE_FEED && !rep.err && !rep.n_rows && now () < until_ms;
+  must_wait = op->kind == STORE_FEED && !rep.err && !rep.n_rows
+              && now () < deadline_ms;
   if (!must_wait)
     answer_rep (request_id, &rep);
   codec_free (&store_rep_desc, &rep);
@@ -286,7 +306,7 @@
       && fsim_random (sim) < sim->table.reply_lost_share)
     {
       struct store_rep rep = { 0 };
-      /* Done, and never answered. */
+      /* The write is executed but never answered. */
       ftable_apply (&sim->table, &w->op, &rep);
       codec_free (&store_rep_desc, &rep);
       codec_free (&store_op_desc, &w->op);
@@ -302,7 +322,7 @@
   free (w);
 }
 
-/* Executors. */
+/* The executors and the advice service. */
 
 static json_t *
 result_json (const struct order_result *res)
@@ -363,6 +383,8 @@
   o->wait_ms = number (body, "wait_ms");
 }
 
+/* Return: whether the order was answered.  A poll is not answered before its
+   wait time is over (@waited) or the executor has ends to report. */
 static bool
 try_order (struct server *s, uint64_t request_id, const struct order *o,
            bool first, bool waited)
@@ -377,8 +399,10 @@
   return done;
 }
 
-/* The stand-in learns of a job when its first task starts; it stands for all
-   that it may be. */
+/* The stand-in does not see jobs when they are submitted, so it registers a
+   job when the first of its tasks starts.  As the job's size is not known, it
+   is given four steps with the maximum number of tasks, and unlimited
+   attempts. */
 static void
 register_job (const struct order *o)
 {
@@ -410,7 +434,7 @@
   w->request_id = rq->id;
   if (!w->server->exec->up || now () < w->server->exec->partitioned_until_ms)
     {
-      /* Dark: the caller gives up. */
+      /* No answer is sent; the request times out at the instance. */
       free (w);
       return;
     }
@@ -454,6 +478,7 @@
       }
 }
 
+/* Prints a line if there are violations that have not been reported. */
 static void
 report_violations (void)
 {
@@ -509,6 +534,7 @@
   exit (1);
 }
 
+/* Writes the discovery entry of an executor to the table. */
 static void
 publish_exec (const struct server *s)
 {
@@ -654,7 +680,8 @@
                        "[ADVERTISED-OFFSET]\n");
       return 64;
     }
-  signal (SIGPIPE, SIG_IGN); /* connections may be reset at any time */
+  /* Connections may be reset at any time. */
+  signal (SIGPIPE, SIG_IGN);
   port = atoi (argv[1]);
   n = n_execs = atoi (argv[2]);
   advertised_offset = argc == 5 ? atoi (argv[4]) : 0;
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -1,13 +1,15 @@
 /*
- * fleet-load - hands jobs in at a rate, asks for their states, and tells how
- * long they took.  The last line is "N passed, N failed": a job passes when
- * it was accepted and is shown as completed.
+ * fleet-load - submits jobs at a given rate, polls their states and prints how
+ * long they took.  The last line of output is "N passed, N failed": a job
+ * passes if it was accepted and is reported as completed.
  *
- * With -r a job that is not accepted is handed in again under its id, at the
- * next instance, as a caller does.  One that every instance refused passes
- * too, and "refused ID" is printed: it must never run.  One whose acceptance
- * is not known, or that is accepted, must be completed; "lost ID" tells of one
- * that is not.
+ * With -r a job that is not accepted is submitted again under the same id, to
+ * the next instance, as a caller does.  A job that every instance refused
+ * passes too; the line "refused ID" is printed, and the job must never run.  A
+ * job that was accepted, or whose submission has an unknown outcome, must be
+ * completed, unless all tries of the latter are used up and the job does not
+ * exist.  The line "lost ID" is printed for a job that is not completed in
+ * time.
  */
 #include "httpc.h"
 
@@ -19,19 +21,24 @@
 
 enum
 {
+  /* Interval between two queries for the state of a job. */
   STATE_POLL_MS = 250,
-  RESUBMIT_MS = 400, /* to the next try */
+  /* From a submission that is not accepted to the next one. */
+  RESUBMIT_MS = 400,
+  /* Submissions of one job with -r. */
   TRIES_MAX = 8,
+  /* A job that is not completed by this time after its first submission is
+     counted as failed. */
   GIVE_UP_MS = 30000,
   JOBS_MAX = 100000,
 };
 
 struct load_job
 {
-  int64_t sent_ms;
-  int64_t done_ms;
-  bool accepted;
-  bool outcome_unknown; /* a try may have been accepted */
+  int64_t sent_ms;      /* first submission */
+  int64_t done_ms;      /* completed, failed or given up; 0: not yet */
+  bool accepted;        /* or all tries are used up and one may be accepted */
+  bool outcome_unknown; /* a submission may have been accepted */
   bool failed;
   int tries;
   bool request_pending;
@@ -41,15 +48,15 @@
 static struct httpc *http;
 static uv_loop_t *loop;
 static struct load_job jobs[JOBS_MAX];
-static int n_jobs;
-static int n_unfinished;
-static int n_jobs_wanted;
-static double rate;
+static int n_jobs;        /* submitted so far */
+static int n_unfinished;  /* submitted jobs without a result */
+static int n_jobs_wanted; /* to be submitted in all */
+static double rate;       /* jobs per second */
 static int64_t started_ms;
 static char **addrs;
 static int n_addrs;
 static int first_id;
-static bool resubmit;
+static bool resubmit; /* -r */
 
 static int64_t
 now (void)
@@ -102,7 +109,8 @@
     return;
   if (resubmit && !j->outcome_unknown)
     printf ("refused %016x\n", first_id + (int)(j - jobs));
-  /* What may have been accepted is asked for, and may also not be there. */
+  /* The state of a job that may have been accepted is queried; on_state()
+     takes into account that the job may not exist. */
   if (!resubmit || !j->outcome_unknown)
     finish_job (j, resubmit);
   else
@@ -141,6 +149,7 @@
   jobs[i].tries++;
 }
 
+/* Sends the next request for a job, or gives the job up. */
 static void
 next_request (int i)
 {
--- a/regress/unit/codec_test.c
+++ b/regress/unit/codec_test.c
@@ -1,3 +1,4 @@
+/* Tests of the encoding and decoding of messages, rows and documents. */
 #include "msg.h"
 #include "unit.h"
 
@@ -6,20 +7,22 @@
 
 enum
 {
-  MUTATIONS = 20000, /* damaged copies of each message */
+  /* Number of damaged copies of each message that are decoded. */
+  MUTATIONS = 20000,
 };
 
-static uint32_t rng = 1;
+static uint32_t rng_state = 1;
 
+/* Return: a pseudorandom number from 0 to @below - 1. */
 static uint32_t
 next_random (uint32_t below)
 {
-  rng = rng * 1664525u + 1013904223u;
-  return (rng >> 8) % below;
+  rng_state = rng_state * 1664525u + 1013904223u;
+  return (rng_state >> 8) % below;
 }
 
 static struct pmsg
-sample_call (void)
+sample_message (void)
 {
   struct pmsg m = { .kind = PM_CALL, .boot = 7 };
 
@@ -37,7 +40,7 @@
 static void
 test_round_trip (void)
 {
-  struct pmsg m = sample_call ();
+  struct pmsg m = sample_message ();
   struct pmsg back;
   struct codec_err ce;
   char *buf;
@@ -58,11 +61,12 @@
   free (buf);
 }
 
-/* No damage may crash, leak or be taken for something out of range. */
+/* Decoding a damaged message must not crash, leak memory or return a message
+   whose kind is out of range. */
 static void
 test_damaged_peer_message (void)
 {
-  struct pmsg m = sample_call ();
+  struct pmsg m = sample_message ();
   struct pmsg back;
   struct codec_err ce;
   char *buf;
@@ -71,23 +75,25 @@
   pmsg_pack (&m, &buf, &len);
   for (int i = 0; i < MUTATIONS; i++)
     {
-      char *bad = malloc (len);
-      memcpy (bad, buf, len);
+      char *damaged = malloc (len);
+      memcpy (damaged, buf, len);
       for (uint32_t n = next_random (4) + 1; n > 0; n--)
-        bad[next_random ((uint32_t)len)] = (char)next_random (256);
+        damaged[next_random ((uint32_t)len)] = (char)next_random (256);
       size_t cut = next_random (8) == 0 ? next_random ((uint32_t)len) : len;
-      if (pmsg_unpack (bad, cut, &back, &ce) == 0)
+      if (pmsg_unpack (damaged, cut, &back, &ce) == 0)
         {
           CU_ASSERT (back.kind >= 0 && back.kind < PM_N);
           pmsg_free (&back);
         }
-      free (bad);
+      free (damaged);
     }
   free (buf);
 }
 
+/* Decoding damaged text must not crash or leak memory; an error must name the
+   field. */
 static void
-mutate_text (const struct desc *d, const char *text)
+check_damaged_text (const struct desc *d, const char *text)
 {
   size_t len = strlen (text);
   struct codec_err ce;
@@ -95,17 +101,17 @@
 
   for (int i = 0; i < MUTATIONS; i++)
     {
-      char *bad = malloc (len);
-      memcpy (bad, text, len);
+      char *damaged = malloc (len);
+      memcpy (damaged, text, len);
       for (uint32_t n = next_random (3) + 1; n > 0; n--)
-        bad[next_random ((uint32_t)len)] = (char)(next_random (94) + 32);
-      if (codec_parse (d, bad, len, i % 2 ? CODEC_STRICT : CODEC_LENIENT, s,
-                       &ce)
+        damaged[next_random ((uint32_t)len)] = (char)(next_random (94) + 32);
+      if (codec_parse (d, damaged, len, i % 2 ? CODEC_STRICT : CODEC_LENIENT,
+                       s, &ce)
           == 0)
         codec_free (d, s);
       else
         CU_ASSERT (ce.err < 0 && *ce.path);
-      free (bad);
+      free (damaged);
     }
   free (s);
 }
@@ -113,21 +119,28 @@
 static void
 test_damaged_text (void)
 {
-  mutate_text (&spec_desc,
-               "{\"request_id\":\"r1\",\"queue\":\"q\",\"need\":{\"cores\":1,"
-               "\"mem_mb\":2},\"members\":3,\"spread\":true}");
-  mutate_text (&journal_row_desc,
-               "{\"nonce\":\"n\",\"recs\":[{\"kind\":\"intent\",\"id\":\"a.1."
-               "1\",\"places\":[{\"worker\":\"w\",\"boot\":3}]}]}");
-  mutate_text (&store_rep_desc,
-               "{\"rows\":[{\"key\":\"k\",\"ver\":4,\"value\":\"v\"}]}");
-  mutate_text (&sync_rep_desc,
-               "{\"boot\":1,\"runs\":[{\"id\":\"a/0/0\",\"state\":\"ok\"}]}");
-  mutate_text (&inst_list_desc,
-               "{\"items\":[{\"id\":\"w\",\"kind\":\"worker\",\"domain\":"
-               "\"a\",\"addr\":\"x:1\",\"room\":{\"cores\":4}}]}");
+  check_damaged_text (
+      &spec_desc,
+      "{\"request_id\":\"r1\",\"queue\":\"q\",\"need\":{\"cores\":1,"
+      "\"mem_mb\":2},\"members\":3,\"spread\":true}");
+  check_damaged_text (
+      &journal_row_desc,
+      "{\"nonce\":\"n\",\"recs\":[{\"kind\":\"intent\",\"id\":\"a.1."
+      "1\",\"places\":[{\"worker\":\"w\",\"boot\":3}]}]}");
+  check_damaged_text (
+      &store_rep_desc,
+      "{\"rows\":[{\"key\":\"k\",\"ver\":4,\"value\":\"v\"}]}");
+  check_damaged_text (
+      &sync_rep_desc,
+      "{\"boot\":1,\"runs\":[{\"id\":\"a/0/0\",\"state\":\"ok\"}]}");
+  check_damaged_text (
+      &inst_list_desc,
+      "{\"items\":[{\"id\":\"w\",\"kind\":\"worker\",\"domain\":"
+      "\"a\",\"addr\":\"x:1\",\"room\":{\"cores\":4}}]}");
 }
 
+/* A field that this version does not know is ignored in lenient mode and
+   refused in strict mode. */
 static void
 test_strict_and_lenient (void)
 {
@@ -145,7 +158,10 @@
   CU_ASSERT_STRING_EQUAL (ce.path, "later");
 }
 
-UNIT_MAIN ("codec", { "round trip", test_round_trip },
-           { "damaged peer messages", test_damaged_peer_message },
-           { "damaged text", test_damaged_text },
-           { "unknown fields", test_strict_and_lenient })
+UNIT_MAIN ("codec",
+           { "a decoded message equals the encoded one", test_round_trip },
+           { "damaged peer messages are decoded safely",
+             test_damaged_peer_message },
+           { "damaged text is decoded safely", test_damaged_text },
+           { "unknown fields are refused in strict mode only",
+             test_strict_and_lenient })
--- a/regress/unit/conf_test.c
+++ b/regress/unit/conf_test.c
@@ -1,15 +1,17 @@
+/* Tests of parsing and checking the configuration. */
 #include "conf.h"
 #include "unit.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-static const char good[]
+static const char valid_manifest[]
     = "{\"teams\":[{\"name\":\"red\",\"weight\":2,\"limit\":{\"cores\":10}}],"
       "\"keys\":[{\"id\":\"k\",\"team\":\"red\",\"salt\":\"s\",\"hash\":"
       "\"0000000000000000000000000000000000000000000000000000000000000000\"}],"
       "\"queues\":[{\"name\":\"q\",\"class\":\"normal\",\"max_waiting\":5}]}";
 
+/* Return: the result of conf_parse(). */
 static int
 parse (const char *text, struct codec_err *ce)
 {
@@ -21,8 +23,9 @@
   return err;
 }
 
+/* Checks that @text is refused with @err at @path, unless @path is NULL. */
 static void
-check (const char *text, int err, const char *path)
+check_error (const char *text, int err, const char *path)
 {
   struct codec_err ce;
 
@@ -32,53 +35,55 @@
 }
 
 static void
-test_good (void)
+test_valid_manifest (void)
 {
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL (parse (good, &ce), 0);
+  CU_ASSERT_EQUAL (parse (valid_manifest, &ce), 0);
 }
 
 static void
-test_names_the_place (void)
+test_error_path (void)
 {
-  check ("{\"teams\":[{\"name\":\"a\",\"weight\":1},{\"name\":7}]}",
-         CLB_EFIELD, "teams[1].name");
-  check ("{\"teams\":[{\"name\":\"a\",\"weight\":1,\"limit\":{\"cores\":-1}}]"
-         "}",
-         CLB_ERANGE, "teams[0].limit.cores");
-  check ("{\"teems\":[]}", CLB_EFIELD, "teems");
-  check ("{\"teams\":[{\"name\":\"a\"}]}", CLB_EFIELD, "teams[0].weight");
-  check ("{\"teams\":3}", CLB_EFIELD, "teams");
-  check ("{\"teams\":[{\"name\":\"a/b\",\"weight\":1}]}", CLB_ERANGE,
-         "teams[0].name");
+  check_error ("{\"teams\":[{\"name\":\"a\",\"weight\":1},{\"name\":7}]}",
+               CLB_EFIELD, "teams[1].name");
+  check_error (
+      "{\"teams\":[{\"name\":\"a\",\"weight\":1,\"limit\":{\"cores\":-1}}]"
+      "}",
+      CLB_ERANGE, "teams[0].limit.cores");
+  check_error ("{\"teems\":[]}", CLB_EFIELD, "teems");
+  check_error ("{\"teams\":[{\"name\":\"a\"}]}", CLB_EFIELD,
+               "teams[0].weight");
+  check_error ("{\"teams\":3}", CLB_EFIELD, "teams");
+  check_error ("{\"teams\":[{\"name\":\"a/b\",\"weight\":1}]}", CLB_ERANGE,
+               "teams[0].name");
 }
 
 static void
 test_references (void)
 {
-  check ("{\"teams\":[{\"name\":\"a\",\"weight\":1},{\"name\":\"a\","
-         "\"weight\":1}]}",
-         CLB_EDUP, "teams[1].name");
-  check ("{\"queues\":[{\"name\":\"q\",\"open\":true,\"team\":\"x\","
-         "\"class\":\"normal\",\"max_waiting\":1}]}",
-         CLB_EREF, "queues[0].team");
-  check ("{\"queues\":[{\"name\":\"q\",\"lane\":\"service\","
-         "\"class\":\"normal\",\"max_waiting\":1}]}",
-         CLB_EFIELD, "queues[0].max_wait_ms");
+  check_error ("{\"teams\":[{\"name\":\"a\",\"weight\":1},{\"name\":\"a\","
+               "\"weight\":1}]}",
+               CLB_EDUP, "teams[1].name");
+  check_error ("{\"queues\":[{\"name\":\"q\",\"open\":true,\"team\":\"x\","
+               "\"class\":\"normal\",\"max_waiting\":1}]}",
+               CLB_EREF, "queues[0].team");
+  check_error ("{\"queues\":[{\"name\":\"q\",\"lane\":\"service\","
+               "\"class\":\"normal\",\"max_waiting\":1}]}",
+               CLB_EFIELD, "queues[0].max_wait_ms");
 }
 
 static void
-test_text (void)
+test_unparsable_text (void)
 {
-  check ("", CLB_EPARSE, NULL);
-  check ("{", CLB_EPARSE, NULL);
-  check ("[]", CLB_EFIELD, NULL);
-  check ("{\"teams\":[],\"teams\":[]}", CLB_EPARSE, NULL);
+  check_error ("", CLB_EPARSE, NULL);
+  check_error ("{", CLB_EPARSE, NULL);
+  check_error ("[]", CLB_EFIELD, NULL);
+  check_error ("{\"teams\":[],\"teams\":[]}", CLB_EPARSE, NULL);
 }
 
 static void
-test_key (void)
+test_key_check (void)
 {
   struct conf_key row = { .id = "k", .salt = "s", .kind = KEY_OPERATOR };
   struct conf c = { .keys = &row, .n_keys = 1 };
@@ -93,7 +98,9 @@
   CU_ASSERT_EQUAL (conf_key_check (&c, NULL, &k), CLB_EKEY);
 }
 
-UNIT_MAIN ("conf", { "a good manifest", test_good },
-           { "errors name the place", test_names_the_place },
-           { "references and doubles", test_references },
-           { "damaged text", test_text }, { "keys", test_key })
+UNIT_MAIN ("conf", { "a valid manifest is accepted", test_valid_manifest },
+           { "an error names the field", test_error_path },
+           { "duplicates and unknown or missing references are refused",
+             test_references },
+           { "text that is no manifest is refused", test_unparsable_text },
+           { "only the exact key is accepted", test_key_check })
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -1,10 +1,12 @@
+/* Tests of one fleet instance. */
 #include "fleet.h"
 #include "unit.h"
 
 #include <string.h>
 
+/* Configuration decoder that refuses every text. */
 static int
-no_conf (const char *text, struct fconf **out, struct codec_err *ce)
+refuse_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
   (void)text;
   (void)out;
@@ -12,44 +14,47 @@
   return CLB_EFIELD;
 }
 
+/* Starts an instance at 1000 ms. */
 static void
 start (struct fleet *f, int64_t boot)
 {
-  struct fleet_settings set
+  struct fleet_settings settings
       = { .boot = boot,
           .codec
-          = { .conf = no_conf, .conf_table = "op", .exec_table = "ex" } };
+          = { .conf = refuse_conf, .conf_table = "op", .exec_table = "ex" } };
 
-  clb_copy (set.id, "n1", sizeof set.id);
-  clb_copy (set.mesh_addr, "a", sizeof set.mesh_addr);
-  fleet_init (f, &set, 1000);
+  clb_copy (settings.id, "n1", sizeof settings.id);
+  clb_copy (settings.mesh_addr, "a", sizeof settings.mesh_addr);
+  fleet_init (f, &settings, 1000);
   fleet_tick (f, 1000, 1000);
 }
 
-/* The number of its next call to the table. */
+/* Return: the token of the instance's next call to the table, 0 if the next
+   output is no such call. */
 static uint64_t
-call_no (struct fleet *f)
+next_store_token (struct fleet *f)
 {
   struct out *o = fleet_next_out (f);
-  uint64_t no = o && o->kind == OUT_STORE ? o->u.store.token : 0;
+  uint64_t token = o && o->kind == OUT_STORE ? o->u.store.token : 0;
 
   if (o)
     out_free (o);
-  return no;
+  return token;
 }
 
-/* A reply that was sent to a process may reach the next one on the same
-   address, through another instance. */
+/* A reply to an earlier process may be delivered, through another instance, to
+   the next process on the same address.  Their tokens must differ, or the next
+   process would take the reply for one of its own. */
 static void
-test_lives_share_no_numbers (void)
+test_store_tokens_of_restarted_process (void)
 {
   struct fleet first, second;
   uint64_t a, b;
 
   start (&first, 1796352007000);
   start (&second, 1796352007741);
-  a = call_no (&first);
-  b = call_no (&second);
+  a = next_store_token (&first);
+  b = next_store_token (&second);
   CU_ASSERT_NOT_EQUAL (a, 0);
   CU_ASSERT_NOT_EQUAL (b, 0);
   CU_ASSERT (b - a > 1000000);
@@ -58,9 +63,10 @@
   fleet_fini (&second);
 }
 
-/* The rank that a leader tells whoever greets it now. */
+/* Return: the rank that a leader sends in reply to a hello of instance @from,
+   or -1 without a reply. */
 static int64_t
-rank_told (struct fleet *f, int64_t now_ms, const char *from)
+rank_sent (struct fleet *f, int64_t now_ms, const char *from)
 {
   struct mesh_msg hello = { .kind = MESH_HELLO, .millicores = 120 };
   struct out *o;
@@ -78,9 +84,10 @@
   return rank;
 }
 
-/* The first to greet a new leader is not the strongest for that. */
+/* A recently elected leader has not received hellos of all instances, so it
+   must not rank the first sender as the strongest. */
 static void
-test_young_leader_ranks_nobody (void)
+test_recently_elected_leader_sends_no_rank (void)
 {
   struct fleet f;
 
@@ -88,13 +95,15 @@
   f.leader.state = LEADER_LEADING;
   f.leader.renewed_ms = 1000;
   f.fsched = fsched_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.fsched);
-  CU_ASSERT_EQUAL (rank_told (&f, 1100, "n2"), 0);
-  CU_ASSERT_EQUAL (rank_told (&f, 2600, "n2"), 1);
+  CU_ASSERT_EQUAL (rank_sent (&f, 1100, "n2"), 0);
+  CU_ASSERT_EQUAL (rank_sent (&f, 2600, "n2"), 1);
   fleet_fini (&f);
 }
 
+/* A message of a new leader without a rank (-1) must not replace the rank that
+   an earlier leader sent. */
 static void
-test_earlier_rank_stands (void)
+test_missing_rank_keeps_last_rank (void)
 {
   struct leader l;
   struct outq out = TAILQ_HEAD_INITIALIZER (out);
@@ -108,6 +117,9 @@
 }
 
 UNIT_MAIN ("fleet",
-           { "two lives share no numbers", test_lives_share_no_numbers },
-           { "a young leader ranks nobody", test_young_leader_ranks_nobody },
-           { "an earlier rank stands", test_earlier_rank_stands })
+           { "a restarted process uses other store tokens",
+             test_store_tokens_of_restarted_process },
+           { "a recently elected leader sends no rank",
+             test_recently_elected_leader_sends_no_rank },
+           { "a message without a rank keeps the last rank",
+             test_missing_rank_keeps_last_rank })
--- a/regress/unit/hist_test.c
+++ b/regress/unit/hist_test.c
@@ -1,9 +1,11 @@
+/* Tests of histograms and their output as metrics. */
 #include "hist.h"
 #include "unit.h"
 
 #include <stdlib.h>
 #include <string.h>
 
+/* Return: the output of hist_print(), to be freed. */
 static char *
 printed (const struct hist *h, const char *label, const char *value)
 {
@@ -54,8 +56,9 @@
   free (text);
 }
 
+/* A duration is negative if the clock was set back; it must count as 0. */
 static void
-test_clock_that_fell (void)
+test_negative_value (void)
 {
   struct hist h = { 0 };
   char *text;
@@ -67,5 +70,7 @@
   free (text);
 }
 
-UNIT_MAIN ("hist", { "buckets", test_buckets }, { "labels", test_labels },
-           { "a clock that fell", test_clock_that_fell })
+UNIT_MAIN ("hist",
+           { "values are counted in cumulative buckets", test_buckets },
+           { "a label is printed on each line", test_labels },
+           { "a negative value counts as 0", test_negative_value })
--- a/regress/unit/place_test.c
+++ b/regress/unit/place_test.c
@@ -1,3 +1,4 @@
+/* Tests of picking workers for a task. */
 #include "place.h"
 #include "unit.h"
 
@@ -6,8 +7,9 @@
 
 static struct pool pool;
 
+/* Adds a worker that is live and listed. */
 static struct worker *
-add (const char *id, const char *rack, int64_t cores, int64_t accels)
+add_worker (const char *id, const char *rack, int64_t cores, int64_t accels)
 {
   struct inst in
       = { .kind = INST_WORKER,
@@ -21,6 +23,10 @@
   return w;
 }
 
+/* Picks workers into @out.  @avoid is a worker that is picked only if no other
+   will do, or empty.
+
+   Return: WHY_BEST_FIT or the reason why no workers were picked. */
 static int
 pick (const struct spec *spec, const char *avoid, struct worker **out)
 {
@@ -30,33 +36,33 @@
 }
 
 static void
-test_tightest (void)
+test_best_fit (void)
 {
   struct spec spec = { .members = 1, .need = { .cores = 3 } };
-  struct worker *got[1];
+  struct worker *picked[1];
 
   pool_init (&pool);
-  add ("big", "r", 16, 0);
-  add ("small", "r", 4, 0);
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_BEST_FIT);
-  CU_ASSERT_STRING_EQUAL (got[0]->inst.id, "small");
-  CU_ASSERT_EQUAL (got[0]->used.cores, 3);
-  CU_ASSERT_EQUAL (pick (&spec, "big", got), WHY_BEST_FIT);
-  CU_ASSERT_STRING_EQUAL (got[0]->inst.id, "big");
+  add_worker ("big", "r", 16, 0);
+  add_worker ("small", "r", 4, 0);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_BEST_FIT);
+  CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "small");
+  CU_ASSERT_EQUAL (picked[0]->used.cores, 3);
+  CU_ASSERT_EQUAL (pick (&spec, "big", picked), WHY_BEST_FIT);
+  CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "big");
   pool_clear (&pool);
 }
 
 static void
-test_accelerators_kept (void)
+test_accelerators_kept_free (void)
 {
   struct spec spec = { .members = 1, .need = { .cores = 4 } };
-  struct worker *got[1];
+  struct worker *picked[1];
 
   pool_init (&pool);
-  add ("accel", "r", 4, 1);
-  add ("plain", "r", 16, 0);
-  pick (&spec, "", got);
-  CU_ASSERT_STRING_EQUAL (got[0]->inst.id, "plain");
+  add_worker ("accel", "r", 4, 1);
+  add_worker ("plain", "r", 16, 0);
+  pick (&spec, "", picked);
+  CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "plain");
   pool_clear (&pool);
 }
 
@@ -64,18 +70,18 @@
 test_gang_all_or_none (void)
 {
   struct spec spec = { .members = 3, .need = { .cores = 8 } };
-  struct worker *got[3];
+  struct worker *picked[3];
 
   pool_init (&pool);
-  struct worker *a = add ("a", "r1", 16, 0);
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_WORKER_FITS);
+  struct worker *a = add_worker ("a", "r1", 16, 0);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_WORKER_FITS);
   CU_ASSERT_EQUAL (a->used.cores, 0);
-  struct worker *b = add ("b", "r2", 8, 0);
+  struct worker *b = add_worker ("b", "r2", 8, 0);
   b->used.cores = 1;
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
   CU_ASSERT_EQUAL (a->used.cores, 0);
   b->used.cores = 0;
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_BEST_FIT);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_BEST_FIT);
   pool_clear (&pool);
 }
 
@@ -86,45 +92,50 @@
       = { .members = 2, .spread = true, .need = { .cores = 1 } };
   struct spec near
       = { .members = 2, .same_rack = true, .need = { .cores = 8 } };
-  struct worker *got[2];
+  struct worker *picked[2];
 
   pool_init (&pool);
-  add ("a", "r1", 8, 0);
-  add ("b", "r1", 8, 0);
-  add ("c", "r2", 8, 0);
-  pick (&spread, "", got);
-  CU_ASSERT_STRING_NOT_EQUAL (got[0]->inst.rack, got[1]->inst.rack);
+  add_worker ("a", "r1", 8, 0);
+  add_worker ("b", "r1", 8, 0);
+  add_worker ("c", "r2", 8, 0);
+  pick (&spread, "", picked);
+  CU_ASSERT_STRING_NOT_EQUAL (picked[0]->inst.rack, picked[1]->inst.rack);
   pool_clear (&pool);
   pool_init (&pool);
-  add ("a", "r1", 8, 0);
-  add ("b", "r2", 8, 0);
-  add ("c", "r2", 8, 0);
-  CU_ASSERT_EQUAL (pick (&near, "", got), WHY_BEST_FIT);
-  CU_ASSERT_STRING_EQUAL (got[0]->inst.rack, got[1]->inst.rack);
+  add_worker ("a", "r1", 8, 0);
+  add_worker ("b", "r2", 8, 0);
+  add_worker ("c", "r2", 8, 0);
+  CU_ASSERT_EQUAL (pick (&near, "", picked), WHY_BEST_FIT);
+  CU_ASSERT_STRING_EQUAL (picked[0]->inst.rack, picked[1]->inst.rack);
   pool_clear (&pool);
 }
 
 static void
-test_unusable (void)
+test_unusable_worker (void)
 {
   struct spec spec = { .members = 1, .need = { .cores = 1 } };
-  struct worker *got[1];
+  struct worker *picked[1];
 
   pool_init (&pool);
-  struct worker *w = add ("a", "r", 8, 0);
+  struct worker *w = add_worker ("a", "r", 8, 0);
   w->leaving = true;
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
   w->leaving = false;
   w->quarantine_until_ms = 5;
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
   w->quarantine_until_ms = 0;
   w->state = WORKER_UNREACHABLE;
-  CU_ASSERT_EQUAL (pick (&spec, "", got), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
   pool_clear (&pool);
 }
 
-UNIT_MAIN ("place", { "tightest worker", test_tightest },
-           { "accelerators kept free", test_accelerators_kept },
-           { "gangs whole or not", test_gang_all_or_none },
-           { "spread and same rack", test_spread_and_rack },
-           { "leaving, quarantined, silent", test_unusable })
+UNIT_MAIN ("place",
+           { "the worker with the least free capacity is picked",
+             test_best_fit },
+           { "a task without need of accelerators leaves them free",
+             test_accelerators_kept_free },
+           { "a gang gets all its workers or none", test_gang_all_or_none },
+           { "members are spread over racks or kept in one",
+             test_spread_and_rack },
+           { "leaving, quarantined or unreachable workers are not picked",
+             test_unusable_worker })
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -1,5 +1,5 @@
-/* The adapter's decoders: what they take, what they refuse, and that nothing
-   that comes over the wire harms them. */
+/* Tests of the decoders of the fleet's platform: which documents they accept,
+   which they refuse, and that damaged documents are decoded safely. */
 #include "platform.h"
 #include "unit.h"
 
@@ -8,14 +8,15 @@
 
 enum
 {
+  /* Number of damaged copies of each document that are decoded. */
   FUZZ_ROUNDS = 20000,
 };
 
-static const char entry[]
+static const char entry_json[]
     = "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"a\","
       "\"state\":\"ready\",\"capacity\":{\"cpu\":16000,\"mem_mb\":32768},"
       "\"labels\":[\"kind\",\"r1-3\"],\"sequence\":4,\"born\":7}";
-static const char config[]
+static const char config_json[]
     = "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"prefix\":"
       "\"/p/\",\"service\":\"s\",\"priority\":1,\"attempts\":3,"
       "\"slack_factor\":2.2,\"advice\":{\"decide_ms\":310.0,\"each_ms\":4.4,"
@@ -23,11 +24,11 @@
       "\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k1\",\"k2\"],\"weight\":"
       "38,"
       "\"cap\":{\"cpu\":424162}}]}";
-static const char job[]
+static const char job_json[]
     = "{\"spec\":\"x\",\"steps\":[{\"task_count\":4,\"cpu\":500,\"mem_mb\":"
       "256,"
       "\"estimate_ms\":900},{\"task_count\":2,\"after\":[0],\"gang\":true}]}";
-static const char hold[]
+static const char poll_json[]
     = "{\"clock_ms\":5,\"born\":9,\"running\":[[\"00000000000000ab.0.1.2\",3,"
       "\"c\",41,7]],\"finished\":[[58,\"00000000000000ab.0.1.9\",1,\"done\","
       "\"\"],[59,\"not a "
@@ -39,7 +40,7 @@
 {
   struct exec_report rep;
 
-  CU_ASSERT_EQUAL (pf_codec.exec ("i-1", entry, &rep), 0);
+  CU_ASSERT_EQUAL (pf_codec.exec ("i-1", entry_json, &rep), 0);
   CU_ASSERT_STRING_EQUAL (rep.addr, "10.0.0.9:80");
   CU_ASSERT_STRING_EQUAL (rep.rack, "r1-3");
   CU_ASSERT_STRING_EQUAL (rep.labels, ",kind,r1-3,");
@@ -48,7 +49,7 @@
 }
 
 static void
-test_bad_entries (void)
+test_refused_entries (void)
 {
   static const char *const bad[] = {
     "",
@@ -76,7 +77,7 @@
   struct codec_err ce;
   const struct fconf_queue *q;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.conf (config, &c, &ce), 0);
+  CU_ASSERT_EQUAL_FATAL (pf_codec.conf (config_json, &c, &ce), 0);
   q = fconf_queue_for (c, "H", "/p/00000000000000ab");
   CU_ASSERT_PTR_NOT_NULL (q);
   if (!q)
@@ -101,13 +102,15 @@
   struct job_spec spec;
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.job (job, strlen (job), &spec, &ce), 0);
+  CU_ASSERT_EQUAL_FATAL (
+      pf_codec.job (job_json, strlen (job_json), &spec, &ce), 0);
   CU_ASSERT_EQUAL (spec.n_steps, 2);
   CU_ASSERT_EQUAL (spec.steps[0].need.millicores, 500);
   CU_ASSERT_EQUAL (spec.steps[1].after, 1);
   CU_ASSERT_TRUE (spec.steps[1].gang);
   CU_ASSERT_EQUAL (job_check (&spec, &ce), 0);
-  spec.steps[1].after = 2; /* itself */
+  /* Bit 1: the step would wait for itself. */
+  spec.steps[1].after = 2;
   CU_ASSERT_EQUAL (job_check (&spec, &ce), CLB_EREF);
   codec_free (&job_spec_desc, &spec);
 }
@@ -139,18 +142,19 @@
 }
 
 static void
-test_lists (void)
+test_poll_lists (void)
 {
   struct order_result res;
 
-  pf_order_decode (ORDER_POLL, HTTPC_OK, 200, hold, strlen (hold), &res);
+  pf_order_decode (ORDER_POLL, HTTPC_OK, 200, poll_json, strlen (poll_json),
+                   &res);
   CU_ASSERT_EQUAL (res.outcome, ORDER_DONE);
   CU_ASSERT_EQUAL (res.clock_ms, 5);
   CU_ASSERT_EQUAL (res.boot_start_ms, 9);
   CU_ASSERT_EQUAL_FATAL (res.n_runs, 1);
   CU_ASSERT_EQUAL (res.runs[0].percent, 41);
   CU_ASSERT_EQUAL (res.runs[0].task.index, 2);
-  /* Rows that make no sense are left out, the others hold. */
+  /* Invalid rows are left out, the valid ones are kept. */
   CU_ASSERT_EQUAL_FATAL (res.n_ends, 1);
   CU_ASSERT_EQUAL (res.ends[0].seq, 58);
   order_result_clear (&res);
@@ -207,18 +211,20 @@
   CU_ASSERT_TRUE (pf_task_parse ("5c0e7a21d94b36f8.0.1.17x", &t) < 0);
 }
 
-static uint64_t rng = 88172645463325252ULL;
+static uint64_t rng_state = 88172645463325252ULL;
 
 static uint64_t
 next_random (void)
 {
-  rng ^= rng << 13;
-  rng ^= rng >> 7;
-  rng ^= rng << 17;
-  return rng;
+  rng_state ^= rng_state << 13;
+  rng_state ^= rng_state >> 7;
+  rng_state ^= rng_state << 17;
+  return rng_state;
 }
 
-/* A document with some bytes changed, cut or doubled. */
+/* Copies a document with some bytes changed or its end cut off.
+
+   Return: length of the copy. */
 static size_t
 damage (const char *from, char *to, size_t size)
 {
@@ -253,28 +259,31 @@
       struct job_spec spec;
       struct order_result res;
       size_t len;
-      damage (entry, text, sizeof text);
+      damage (entry_json, text, sizeof text);
       pf_codec.exec ("i-1", text, &rep);
-      damage (config, text, sizeof text);
+      damage (config_json, text, sizeof text);
       if (!pf_codec.conf (text, &conf, &ce))
         fconf_free (conf);
-      len = damage (job, text, sizeof text);
+      len = damage (job_json, text, sizeof text);
       if (!pf_codec.job (text, len, &spec, &ce))
         {
           job_check (&spec, &ce);
           codec_free (&job_spec_desc, &spec);
         }
-      len = damage (hold, text, sizeof text);
+      len = damage (poll_json, text, sizeof text);
       pf_order_decode (ORDER_POLL, HTTPC_OK, 200, text, len, &res);
       order_result_clear (&res);
     }
-  CU_PASS ("nothing crashed");
+  CU_PASS ("no decoder crashed");
 }
 
-UNIT_MAIN ("platform", { "executor's entry", test_entry },
-           { "entries that name no executor", test_bad_entries },
-           { "configuration", test_config }, { "job", test_job },
-           { "jobs that are refused", test_refused_jobs },
-           { "lists of an executor", test_lists },
-           { "outcomes of orders", test_outcomes },
-           { "names of tasks", test_task_names }, { "fuzz", test_fuzz })
+UNIT_MAIN ("platform", { "a discovery entry is decoded", test_entry },
+           { "invalid discovery entries are refused", test_refused_entries },
+           { "a configuration is decoded", test_config },
+           { "a job is decoded", test_job },
+           { "invalid jobs are refused", test_refused_jobs },
+           { "the reply to a poll is decoded without its invalid rows",
+             test_poll_lists },
+           { "the reply to an order gives its outcome", test_outcomes },
+           { "task names are parsed and printed", test_task_names },
+           { "damaged documents are decoded safely", test_fuzz })
--- a/regress/unit/unit.h
+++ b/regress/unit/unit.h
@@ -1,4 +1,5 @@
-/* Common end of every CUnit program: runs its suite, tells the count. */
+/* UNIT_MAIN() defines the main function of a CUnit program: it runs one suite
+   of tests and prints how many passed and failed. */
 #ifndef UNIT_H
 #define UNIT_H
 
