--- a/regress/fleet/store.lua
+++ b/regress/fleet/store.lua
@@ -9,6 +9,7 @@
   return calls
 end
 
+-- Return: how many of the calls were answered with this status.
 local function count(calls, status)
   local n = 0
   for _, c in ipairs(calls) do if answer(c) == status then n = n + 1 end end
--- a/regress/fleet/takeover.lua
+++ b/regress/fleet/takeover.lua
@@ -7,6 +7,7 @@
   end
 end
 
+-- Checks at instance query_at that these jobs are completed.
 local function all_completed(first, last, query_at)
   for n = first, last do
     local s = state(query_at, id(n))
@@ -14,6 +15,7 @@
   end
 end
 
+-- Return: an instance other than l.
 local function follower(l) return (l + 1) % 3 end
 
 scenario("running tasks are kept when the leader is killed", function()
@@ -44,7 +46,7 @@
   all_completed(1, 6, follower(l))
 end)
 
-scenario("a leader without the table leads on through another instance",
+scenario("a leader without the table continues through another instance",
   function()
   start_fleet{}
   submit_jobs(1, 6)
@@ -64,7 +66,7 @@
   expect(leader() == l, "the leader has changed after the partition")
 end)
 
-scenario("a leader whose calls the table refuses leads on through another",
+scenario("a leader refused by the table continues through another instance",
   function()
   start_fleet{}
   run(600)
--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -91,12 +91,12 @@
 end_run (struct fsim *s, struct fexec *e, int i, int how)
 {
   struct frun *r = &e->runs[i];
-  struct ftask_stats *m = find_task_stats (s, &r->task);
+  struct ftask_stats *stats = find_task_stats (s, &r->task);
   struct end_row *end = &e->ends[e->n_ends];
 
   remember_run (e, &r->task, r->run_id);
-  if (m)
-    m->n_running--;
+  if (stats)
+    stats->n_running--;
   /* After a fault the leader's orders to stop the member may have been lost as
      well (walk.lua, seed 184: the stop order was lost). */
   if (how == RUN_END_GANG_INCOMPLETE
@@ -179,7 +179,7 @@
 
 static void
 check_start (struct fsim *s, struct fexec *e, const struct order *o,
-             struct fjob *j, struct ftask_stats *m)
+             struct fjob *j, struct ftask_stats *stats)
 {
   struct job_need used = { 0 };
 
@@ -193,19 +193,19 @@
     fsim_violation (s, "LIMIT %s: %lld millicores used of %lld", e->id,
                     (long long)used.millicores,
                     (long long)e->capacity.millicores);
-  if (m->n_running > 1)
+  if (stats->n_running > 1)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already running",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->end_acked)
+  if (stats->end_acked)
     fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already done",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->n_failed >= j->spec.attempts)
+  if (stats->n_failed >= j->spec.attempts)
     fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d runs have failed",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id,
-                    m->n_failed);
+                    stats->n_failed);
   if (j->refused)
     fsim_violation (s, "REFUSED %s: started although refused", o->task.job);
 }
@@ -214,10 +214,10 @@
 begin_run (struct fsim *s, struct fexec *e, const struct order *o)
 {
   struct fjob *j = fsim_find_job (s, o->task.job);
-  struct ftask_stats *m = find_task_stats (s, &o->task);
+  struct ftask_stats *stats = find_task_stats (s, &o->task);
   struct frun *r = &e->runs[e->n_runs];
 
-  if (!j || !m)
+  if (!j || !stats)
     {
       fsim_violation (s, "UNASKED %s: job or task unknown", o->task.job);
       return;
@@ -234,11 +234,11 @@
     r->end_ms = s->now_ms + 50;
   if (e->hangs_runs)
     r->end_ms = INT64_MAX;
-  m->n_running++;
-  m->n_starts++;
+  stats->n_running++;
+  stats->n_starts++;
   if (j->spec.steps[o->task.step].gang && r->how == RUN_END_DONE)
     join_gang (s, r, &j->spec.steps[o->task.step]);
-  check_start (s, e, o, j, m);
+  check_start (s, e, o, j, stats);
 }
 
 static int
@@ -263,12 +263,12 @@
 static void
 extend_lease (struct fsim *s, struct fexec *e, int64_t deadline_ms)
 {
-  int64_t until = e->boot_start_ms + deadline_ms;
+  int64_t until_ms = e->boot_start_ms + deadline_ms;
 
-  if (until > s->now_ms + LEASE_MAX_MS)
-    until = s->now_ms + LEASE_MAX_MS;
-  if (until > e->lease_until_ms)
-    e->lease_until_ms = until;
+  if (until_ms > s->now_ms + LEASE_MAX_MS)
+    until_ms = s->now_ms + LEASE_MAX_MS;
+  if (until_ms > e->lease_until_ms)
+    e->lease_until_ms = until_ms;
 }
 
 static void
@@ -286,26 +286,26 @@
 }
 
 static void
-forget_ends (struct fsim *s, struct fexec *e, int64_t recorded)
+remove_acked_ends (struct fsim *s, struct fexec *e, int64_t recorded_seq)
 {
   int kept = 0;
 
   for (int i = 0; i < e->n_ends; i++)
     {
       const struct end_row *end = &e->ends[i];
-      struct ftask_stats *m = find_task_stats (s, &end->task);
-      if (end->seq > recorded)
+      struct ftask_stats *stats = find_task_stats (s, &end->task);
+      if (end->seq > recorded_seq)
         {
           e->ends[kept++] = *end;
           continue;
         }
-      if (m && end->how == RUN_END_DONE)
+      if (stats && end->how == RUN_END_DONE)
         {
-          m->done = true;
-          m->end_acked = true;
+          stats->done = true;
+          stats->end_acked = true;
         }
-      if (m && end->how == RUN_END_FAILED)
-        m->n_failed++;
+      if (stats && end->how == RUN_END_FAILED)
+        stats->n_failed++;
     }
   e->n_ends = kept;
 }
@@ -399,7 +399,7 @@
   if (o->kind != ORDER_POLL)
     return true;
   if (first)
-    forget_ends (s, e, o->recorded_end_seq);
+    remove_acked_ends (s, e, o->recorded_end_seq);
   if (e->n_ends == 0 && !waited)
     return false;
   fill_lists (s, e, res);
@@ -467,11 +467,11 @@
     }
   if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_share)
     {
-      struct delivery *late = delivery_new (s, i, o);
-      late->boot_start_ms = e->boot_start_ms;
+      struct delivery *delayed = delivery_new (s, i, o);
+      delayed->boot_start_ms = e->boot_start_ms;
       e->last_fault_ms = s->now_ms;
       fsim_schedule (s, 2000 + (int64_t)(fsim_random (s) * 10000),
-                     deliver_delayed_order, late);
+                     deliver_delayed_order, delayed);
       d->res.outcome = ORDER_LOST;
       fsim_schedule (s, o->timeout_ms, deliver_result, d);
       return;
@@ -560,9 +560,9 @@
   e->up = false;
   for (int i = 0; i < e->n_runs; i++)
     {
-      struct ftask_stats *m = find_task_stats (s, &e->runs[i].task);
-      if (m)
-        m->n_running--;
+      struct ftask_stats *stats = find_task_stats (s, &e->runs[i].task);
+      if (stats)
+        stats->n_running--;
     }
   e->n_runs = 0;
   e->n_ends = 0;
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -259,12 +259,12 @@
 /**
  * fsim_request() - Send a caller's request to an instance.
  * @verb: enum fleet_verb
- * @id: path of the request
+ * @path: path of the request
  * @key: API key
  *
  * Return: index in fsim::calls; the answer is stored there when it arrives.
  */
-size_t fsim_request (struct fsim *s, int instance, int verb, const char *id,
+size_t fsim_request (struct fsim *s, int instance, int verb, const char *path,
                      const char *body, const char *key);
 /**
  * fsim_can_reach() - Whether neither instance @i nor executor @e is
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -136,16 +136,17 @@
 read_exec (const char *id, const char *text, struct exec_report *out)
 {
   int draining;
-  long long cores, mem;
+  long long millicores, mem;
 
   memset (out, 0, sizeof *out);
-  if (sscanf (text, "%95s %d %lld %lld", out->addr, &draining, &cores, &mem)
+  if (sscanf (text, "%95s %d %lld %lld", out->addr, &draining, &millicores,
+              &mem)
       != 4)
     return CLB_EPARSE;
   clb_copy (out->id, id, sizeof out->id);
   clb_copy (out->addr, id, sizeof out->addr);
   clb_copy (out->service, "svc", sizeof out->service);
-  out->capacity.millicores = cores;
+  out->capacity.millicores = millicores;
   out->capacity.mem_mb = mem;
   out->draining = draining;
   return 0;
@@ -175,15 +176,15 @@
       struct fconf_queue q = { .timeout_ms = 3000 };
       struct fconf_tenant t = { 0 };
       char key[64] = "";
-      long long n, prio, attempts, target, cores;
+      long long n, priority, attempts, target, millicores;
       if (sscanf (line, "version %lld", &n) == 1)
         c->version = n;
       else if (sscanf (line, "queue %47s %lld %lld %lf %lld %lf %lf", q.name,
-                       &prio, &attempts, &q.slack, &target, &q.advice.base_ms,
-                       &q.advice.per_exec_ms)
+                       &priority, &attempts, &q.slack, &target,
+                       &q.advice.base_ms, &q.advice.per_exec_ms)
                == 7)
         {
-          q.priority = prio;
+          q.priority = priority;
           q.attempts = attempts;
           q.target_ms = target;
           q.advice.valid_ms = 2000;
@@ -194,10 +195,10 @@
           c->queues[c->n_queues++] = q;
         }
       else if (sscanf (line, "tenant %47s %lf %lld %63s", t.name, &t.weight,
-                       &cores, key)
+                       &millicores, key)
                >= 3)
         {
-          t.limit.millicores = cores;
+          t.limit.millicores = millicores;
           t.keys = calloc (1, sizeof *t.keys);
           if (*key)
             clb_copy (t.keys[t.n_keys++].key, key, sizeof t.keys->key);
@@ -460,7 +461,7 @@
 }
 
 size_t
-fsim_request (struct fsim *s, int instance, int verb, const char *id,
+fsim_request (struct fsim *s, int instance, int verb, const char *path,
               const char *body, const char *key)
 {
   struct fleet_request rq = { 0 };
@@ -475,7 +476,7 @@
   rq.call = c->call_id;
   rq.verb = verb;
   rq.host = "h";
-  rq.path = id;
+  rq.path = path;
   rq.key = key;
   rq.timeout_ms = 3000;
   rq.body = body;
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -288,27 +288,27 @@
 {
   struct fexec *e = sim->exec[luaL_checkinteger (l, 1)];
   const char *what = luaL_checkstring (l, 2);
-  double x = luaL_optnumber (l, 3, 0);
+  double value = luaL_optnumber (l, 3, 0);
 
   if (strcmp (what, "crash") == 0)
     fexec_crash (sim, e);
   else if (strcmp (what, "reboot") == 0)
     fexec_reboot (sim, e);
   else if (strcmp (what, "partition") == 0)
-    e->partitioned_until_ms = sim->now_ms + (int64_t)x;
+    e->partitioned_until_ms = sim->now_ms + (int64_t)value;
   else if (strcmp (what, "lose-results") == 0)
-    e->reply_lost_share = x;
+    e->reply_lost_share = value;
   else if (strcmp (what, "delay-orders") == 0)
-    e->delayed_share = x;
+    e->delayed_share = value;
   else if (strcmp (what, "fail-runs") == 0)
-    e->fails_runs = x > 0;
+    e->fails_runs = value > 0;
   else if (strcmp (what, "refuse-connections") == 0)
-    e->refuses_connections = x > 0;
+    e->refuses_connections = value > 0;
   else if (strcmp (what, "hang-runs") == 0)
-    e->hangs_runs = x > 0;
+    e->hangs_runs = value > 0;
   else if (strcmp (what, "drain") == 0)
     {
-      e->draining = x > 0;
+      e->draining = value > 0;
       fexec_update_listing (sim, e);
     }
   return 0;
@@ -324,17 +324,17 @@
 verb_store (lua_State *l)
 {
   const char *what = luaL_checkstring (l, 1);
-  double x = luaL_optnumber (l, 2, 0);
+  double value = luaL_optnumber (l, 2, 0);
   struct ftable *t = &sim->table;
 
   if (strcmp (what, "down") == 0)
-    t->down_until_ms = sim->now_ms + (int64_t)x;
+    t->down_until_ms = sim->now_ms + (int64_t)value;
   else if (strcmp (what, "slow") == 0)
-    t->slow_factor = (int64_t)x;
+    t->slow_factor = (int64_t)value;
   else if (strcmp (what, "lose-replies") == 0)
-    t->reply_lost_share = x;
+    t->reply_lost_share = value;
   else if (strcmp (what, "delay-writes") == 0)
-    t->delayed_share = x;
+    t->delayed_share = value;
   else if (strcmp (what, "compact") == 0)
     t->compacted_ver = t->ver;
   return 0;
@@ -410,23 +410,23 @@
 verb_scenario (lua_State *l)
 {
   const char *name = luaL_checkstring (l, 1);
-  int bad = 0;
+  int is_failed = 0;
 
   lua_pushvalue (l, 2);
   if (lua_pcall (l, 0, 0, 0))
     {
       printf ("FAIL %s: %s\n", name, lua_tostring (l, -1));
       lua_pop (l, 1);
-      bad = 1;
+      is_failed = 1;
     }
   else if (sim && sim->violations)
     {
       printf ("FAIL %s: %d violations, %s (seed %d)\n", name, sim->violations,
               sim->first_violation, (int)seed);
-      bad = 1;
+      is_failed = 1;
     }
-  failed += bad;
-  passed += !bad;
+  failed += is_failed;
+  passed += !is_failed;
   return 0;
 }
 
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -283,43 +283,43 @@
 static void
 on_table (void *arg, const struct httpd_req *rq)
 {
-  struct pending *w = calloc (1, sizeof *w);
+  struct pending *p = calloc (1, sizeof *p);
 
-  w->server = arg;
-  w->request_id = rq->id;
-  if (read_table_op (rq, &w->op))
+  p->server = arg;
+  p->request_id = rq->id;
+  if (read_table_op (rq, &p->op))
     {
       answer (&table, rq->id, 400, json_object ());
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  w->deadline_ms = now () + w->op.wait_ms;
+  p->deadline_ms = now () + p->op.wait_ms;
   if (now () < sim->table.down_until_ms)
     {
       answer (&table, rq->id, 503, json_object ());
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  if (w->op.kind == STORE_TXN
+  if (p->op.kind == STORE_TXN
       && fsim_random (sim) < sim->table.reply_lost_share)
     {
       struct store_rep rep = { 0 };
       /* The write is executed but never answered. */
-      ftable_apply (&sim->table, &w->op, &rep);
+      ftable_apply (&sim->table, &p->op, &rep);
       codec_free (&store_rep_desc, &rep);
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  if (!try_table_op (rq->id, &w->op, w->deadline_ms))
+  if (!try_table_op (rq->id, &p->op, p->deadline_ms))
     {
-      TAILQ_INSERT_TAIL (&pending_list, w, link);
+      TAILQ_INSERT_TAIL (&pending_list, p, link);
       return;
     }
-  codec_free (&store_op_desc, &w->op);
-  free (w);
+  codec_free (&store_op_desc, &p->op);
+  free (p);
 }
 
 /* The executors and the advice service. */
@@ -427,24 +427,24 @@
 static void
 on_exec (void *arg, const struct httpd_req *rq)
 {
-  struct pending *w = calloc (1, sizeof *w);
+  struct pending *p = calloc (1, sizeof *p);
 
   sim->now_ms = now ();
-  w->server = arg;
-  w->request_id = rq->id;
-  if (!w->server->exec->up || now () < w->server->exec->partitioned_until_ms)
+  p->server = arg;
+  p->request_id = rq->id;
+  if (!p->server->exec->up || now () < p->server->exec->partitioned_until_ms)
     {
       /* No answer is sent; the request times out at the instance. */
-      free (w);
+      free (p);
       return;
     }
-  read_order (rq, &w->order);
-  register_job (&w->order);
-  w->deadline_ms = now () + w->order.wait_ms;
-  if (!try_order (w->server, rq->id, &w->order, true, w->order.wait_ms == 0))
-    TAILQ_INSERT_TAIL (&pending_list, w, link);
+  read_order (rq, &p->order);
+  register_job (&p->order);
+  p->deadline_ms = now () + p->order.wait_ms;
+  if (!try_order (p->server, rq->id, &p->order, true, p->order.wait_ms == 0))
+    TAILQ_INSERT_TAIL (&pending_list, p, link);
   else
-    free (w);
+    free (p);
 }
 
 static void
@@ -467,14 +467,14 @@
 static void
 on_disconnect (void *arg, uint64_t request_id)
 {
-  struct pending *w, *next;
+  struct pending *p, *next;
 
-  TAILQ_FOREACH_SAFE (w, &pending_list, link, next)
-    if (w->server == arg && w->request_id == request_id)
+  TAILQ_FOREACH_SAFE (p, &pending_list, link, next)
+    if (p->server == arg && p->request_id == request_id)
       {
-        TAILQ_REMOVE (&pending_list, w, link);
-        codec_free (&store_op_desc, &w->op);
-        free (w);
+        TAILQ_REMOVE (&pending_list, p, link);
+        codec_free (&store_op_desc, &p->op);
+        free (p);
       }
 }
 
@@ -494,24 +494,24 @@
 static void
 on_timer (uv_timer_t *t)
 {
-  struct pending *w, *next;
+  struct pending *p, *next;
 
   (void)t;
   sim->now_ms = now ();
   fexec_tick (sim);
   report_violations ();
-  TAILQ_FOREACH_SAFE (w, &pending_list, link, next)
+  TAILQ_FOREACH_SAFE (p, &pending_list, link, next)
     {
-      bool over = now () >= w->deadline_ms;
+      bool over = now () >= p->deadline_ms;
       bool done
-          = w->server->exec
-                ? try_order (w->server, w->request_id, &w->order, false, over)
-                : try_table_op (w->request_id, &w->op, w->deadline_ms);
+          = p->server->exec
+                ? try_order (p->server, p->request_id, &p->order, false, over)
+                : try_table_op (p->request_id, &p->op, p->deadline_ms);
       if (!done)
         continue;
-      TAILQ_REMOVE (&pending_list, w, link);
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      TAILQ_REMOVE (&pending_list, p, link);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
     }
 }
 
@@ -584,18 +584,18 @@
 }
 
 static void
-inject_table_fault (const char *what, double x)
+inject_table_fault (const char *what, double value)
 {
   if (strcmp (what, "down") == 0)
-    sim->table.down_until_ms = now () + (int64_t)x;
+    sim->table.down_until_ms = now () + (int64_t)value;
   else if (strcmp (what, "lost") == 0)
-    sim->table.reply_lost_share = x;
+    sim->table.reply_lost_share = value;
   else if (strcmp (what, "compact") == 0)
     sim->table.compacted_ver = sim->table.ver;
 }
 
 static void
-inject_exec_fault (int k, const char *what, double x)
+inject_exec_fault (int k, const char *what, double value)
 {
   struct fexec *e;
 
@@ -611,9 +611,9 @@
       publish_exec (&execs[k]);
     }
   else if (strcmp (what, "cut") == 0)
-    e->partitioned_until_ms = now () + (int64_t)x;
+    e->partitioned_until_ms = now () + (int64_t)value;
   else if (strcmp (what, "fails") == 0)
-    e->fails_runs = x > 0;
+    e->fails_runs = value > 0;
 }
 
 static void
@@ -621,13 +621,13 @@
 {
   char what[16] = "";
   char path[256] = "";
-  double x = 0;
+  double value = 0;
   int k = -1;
 
-  if (sscanf (line, "table %15s %lf", what, &x) >= 1)
-    inject_table_fault (what, x);
-  else if (sscanf (line, "exec %d %15s %lf", &k, what, &x) >= 2)
-    inject_exec_fault (k, what, x);
+  if (sscanf (line, "table %15s %lf", what, &value) >= 1)
+    inject_table_fault (what, value);
+  else if (sscanf (line, "exec %d %15s %lf", &k, what, &value) >= 2)
+    inject_exec_fault (k, what, value);
   else if (sscanf (line, "config %255s", path) == 1)
     {
       clb_auto char *text = read_file (path);
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -33,6 +33,7 @@
   JOBS_MAX = 100000,
 };
 
+/* struct load_job - a job and the result of its requests */
 struct load_job
 {
   int64_t sent_ms;      /* first submission */
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -64,7 +64,7 @@
 }
 
 /* Return: the rank that a leader sends in reply to a hello of instance @from,
-   or -1 without a reply. */
+   0 if it sends none, -1 if it does not reply. */
 static int64_t
 rank_sent (struct fleet *f, int64_t now_ms, const char *from)
 {
