--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -1,16 +1,16 @@
 /*
  * The simulated executors and the advice service.
  *
- * An executor refuses what the platform's contract says, except that it also
- * runs a task that exceeds its capacity.  At each start it checks the
- * scheduler, and reports a violation if:
- *   TWICE    the task runs already, or a successful end was acknowledged
- *   LIMIT    the running tasks exceed the executor's capacity
- *   BUDGET   the task has failed as often as the queue allows
- *   REFUSED  the job's submission was refused
- *   UNASKED  the job or task does not exist
- * At an end it reports GANG if a member of a gang waited for the other members
- * until its wait time was over, without a recent fault.
+ * An executor refuses the orders that the platform's contract lets it refuse,
+ * with one exception: it starts a task that exceeds its free capacity.  At
+ * each start of a task it reports a violation by the scheduler if: TWICE the
+ * task is running already, or the leader has acknowledged a successful end of
+ * the task LIMIT    the running tasks exceed the executor's capacity BUDGET
+ * the task has failed as often as the queue allows REFUSED  the job's
+ * submission was refused UNASKED  the job or task does not exist At the end of
+ * a run it reports GANG if the run was a member of a gang that was still
+ * incomplete when the member's wait time was over, unless a fault was injected
+ * recently.
  */
 #include "fsim.h"
 
@@ -20,31 +20,33 @@
 
 enum
 {
-  /* From a stop order to the end of the run. */
+  /* Time from a stop order to the end of the run. */
   STOP_DELAY_MS = 100,
   /* A member of a gang waits for the other members for this time. */
   GANG_WAIT_MS = 3000,
-  /* A gang that is incomplete within this time after a fault is no
-     violation. */
+  /* An incomplete gang is no violation within this time after a fault. */
   RECENT_FAULT_MS = 6000,
   /* A lease ends no later than this time after the order that extends it. */
   LEASE_MAX_MS = 6000,
+  /* Time for which an answer of the advice service is valid. */
   ADVICE_VALID_MS = 2000,
 };
 
-/* struct delivery - an order that is on its way, or whose result is */
+/* struct delivery - an order of an instance and the executor's result, until
+   the result is delivered */
 struct delivery
 {
-  int inst;
+  int inst; /* index of the instance */
   uint64_t incarnation;
   struct order order;
   char exec[CLB_ID_MAX];
   struct order_result res;
-  /* A poll is answered by then, also without ends. */
+  /* A poll is answered at this time at the latest, also without ends. */
   int64_t poll_deadline_ms;
-  /* Start of the boot that received the order; 0: it has not arrived. */
+  /* fexec::boot_start_ms of the boot that the order is for; 0: the order has
+     not arrived at the executor. */
   int64_t boot_start_ms;
-  /* The result is lost. */
+  /* The result is not delivered to the instance. */
   bool drop_result;
 };
 
@@ -61,13 +63,13 @@
 find_task_stats (struct fsim *s, const struct task_ref *t)
 {
   struct fjob *j = fsim_find_job (s, t->job);
-  int at = 0;
+  int first_of_step = 0;
 
   if (!j || t->step >= (int64_t)j->spec.n_steps)
     return NULL;
   for (int i = 0; i < t->step; i++)
-    at += (int)j->spec.steps[i].tasks;
-  return &j->stats[at + t->index];
+    first_of_step += (int)j->spec.steps[i].tasks;
+  return &j->stats[first_of_step + t->index];
 }
 
 static bool
@@ -78,7 +80,7 @@
 }
 
 static void
-remember_run (struct fexec *e, const struct task_ref *task, int64_t run_id)
+add_past_run (struct fexec *e, const struct task_ref *task, int64_t run_id)
 {
   e->past_runs = realloc (e->past_runs,
                           (size_t)(e->n_past_runs + 1) * sizeof *e->past_runs);
@@ -94,11 +96,11 @@
   struct ftask_stats *stats = find_task_stats (s, &r->task);
   struct end_row *end = &e->ends[e->n_ends];
 
-  remember_run (e, &r->task, r->run_id);
+  add_past_run (e, &r->task, r->run_id);
   if (stats)
     stats->n_running--;
-  /* After a fault the leader's orders to stop the member may have been lost as
-     well (walk.lua, seed 184: the stop order was lost). */
+  /* After a fault a member may wait in vain because the leader's stop order
+     for it was lost as well (walk.lua, seed 184). */
   if (how == RUN_END_GANG_INCOMPLETE
       && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
     fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s: gang incomplete",
@@ -127,17 +129,18 @@
           if (s->now_ms >= e->lease_until_ms)
             end_run (s, e, i, RUN_END_LAPSED);
           else if (s->now_ms >= r->end_ms)
-            end_run (s, e, i, r->stopping ? RUN_END_STOPPED : r->how);
+            end_run (s, e, i, r->stopping ? RUN_END_STOPPED : r->run_end);
         }
     }
 }
 
-/* Calls @each, if not NULL, for each started member of run @run_id of a gang.
+/* Calls @each, unless it is NULL, for each member of a gang that has started
+   in run @run_id.
 
    Return: number of these members. */
 static int
-gang_members (struct fsim *s, const struct task_ref *t, int64_t run_id,
-              void (*each) (struct fsim *s, struct frun *r))
+for_each_gang_member (struct fsim *s, const struct task_ref *t, int64_t run_id,
+                      void (*each) (struct fsim *s, struct frun *r))
 {
   int n = 0;
 
@@ -155,28 +158,31 @@
   return n;
 }
 
+/* Starts the work of a gang's member, after all members have started. */
 static void
-start_gang_member (struct fsim *s, struct frun *r)
+start_gang_member_work (struct fsim *s, struct frun *r)
 {
   struct fjob *j = fsim_find_job (s, r->task.job);
 
   r->awaits_gang = false;
   r->end_ms = s->now_ms + j->task_ms[r->task.step];
-  r->how = RUN_END_DONE;
+  r->run_end = RUN_END_DONE;
 }
 
-/* The members of a gang begin their work when the last of them has started.  A
-   member whose gang is incomplete after GANG_WAIT_MS ends. */
+/* Makes @r wait for the other members of its gang.  The members begin their
+   work when the last of them has started.  The run of a member ends if its
+   gang is still incomplete after GANG_WAIT_MS. */
 static void
 join_gang (struct fsim *s, struct frun *r, const struct job_step *step)
 {
   r->awaits_gang = true;
   r->end_ms = s->now_ms + GANG_WAIT_MS;
-  r->how = RUN_END_GANG_INCOMPLETE;
-  if (gang_members (s, &r->task, r->run_id, NULL) == step->tasks)
-    gang_members (s, &r->task, r->run_id, start_gang_member);
+  r->run_end = RUN_END_GANG_INCOMPLETE;
+  if (for_each_gang_member (s, &r->task, r->run_id, NULL) == step->tasks)
+    for_each_gang_member (s, &r->task, r->run_id, start_gang_member_work);
 }
 
+/* Reports the violations that the start of a task shows. */
 static void
 check_start (struct fsim *s, struct fexec *e, const struct order *o,
              struct fjob *j, struct ftask_stats *stats)
@@ -227,20 +233,23 @@
                       .run_id = o->run_id,
                       .start_ms = s->now_ms,
                       .end_ms = s->now_ms + j->task_ms[o->task.step],
-                      .how = j->always_fails || e->fails_runs ? RUN_END_FAILED
-                                                              : RUN_END_DONE,
+                      .run_end = j->always_fails || e->fails_runs
+                                     ? RUN_END_FAILED
+                                     : RUN_END_DONE,
                       .need = j->spec.steps[o->task.step].need };
-  if (r->how == RUN_END_FAILED)
+  if (r->run_end == RUN_END_FAILED)
     r->end_ms = s->now_ms + 50;
   if (e->hangs_runs)
     r->end_ms = INT64_MAX;
   stats->n_running++;
   stats->n_starts++;
-  if (j->spec.steps[o->task.step].gang && r->how == RUN_END_DONE)
+  if (j->spec.steps[o->task.step].gang && r->run_end == RUN_END_DONE)
     join_gang (s, r, &j->spec.steps[o->task.step]);
   check_start (s, e, o, j, stats);
 }
 
+/* Return: -1 if the order was executed, otherwise the reason of the refusal
+   (REFUSED_...). */
 static int
 apply_start (struct fsim *s, struct fexec *e, const struct order *o)
 {
@@ -260,6 +269,8 @@
   return -1;
 }
 
+/* Extends the lease to @deadline_ms after the start of the boot, but to no
+   more than LEASE_MAX_MS from now. */
 static void
 extend_lease (struct fsim *s, struct fexec *e, int64_t deadline_ms)
 {
@@ -274,7 +285,7 @@
 static void
 apply_stop (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  remember_run (e, &o->task, o->run_id);
+  add_past_run (e, &o->task, o->run_id);
   for (int i = 0; i < e->n_runs; i++)
     if (same_task (&e->runs[i].task, &o->task)
         && e->runs[i].run_id == o->run_id)
@@ -285,6 +296,8 @@
       }
 }
 
+/* Removes the ends up to number @recorded_seq, which the leader has recorded,
+   and counts them in the statistics of their tasks. */
 static void
 remove_acked_ends (struct fsim *s, struct fexec *e, int64_t recorded_seq)
 {
@@ -310,8 +323,9 @@
   e->n_ends = kept;
 }
 
+/* Fills the lists of runs and ends in the result of a poll. */
 static void
-fill_lists (struct fsim *s, struct fexec *e, struct order_result *res)
+fill_poll_lists (struct fsim *s, struct fexec *e, struct order_result *res)
 {
   res->runs = calloc ((size_t)e->n_runs + 1, sizeof *res->runs);
   res->ends = calloc ((size_t)e->n_ends + 1, sizeof *res->ends);
@@ -354,10 +368,13 @@
   free (d);
 }
 
+/* Sends the result to the instance, unless the configured faults lose it; then
+   the instance learns after the order's time limit that no answer arrived. */
 static void
 send_result (struct fsim *s, struct delivery *d, struct fexec *e)
 {
-  if (!fsim_can_reach (s, d->inst, e) || fsim_random (s) < e->reply_lost_share)
+  if (!fsim_can_reach (s, d->inst, e)
+      || fsim_random (s) < e->lost_result_share)
     {
       e->last_fault_ms = s->now_ms;
       order_result_clear (&d->res);
@@ -402,7 +419,7 @@
     remove_acked_ends (s, e, o->recorded_end_seq);
   if (e->n_ends == 0 && !waited)
     return false;
-  fill_lists (s, e, res);
+  fill_poll_lists (s, e, res);
   return true;
 }
 
@@ -413,7 +430,8 @@
   struct fexec *e = find_exec (s, d->exec);
   bool first;
 
-  /* A poll that waits is lost if the executor has crashed or rebooted. */
+  /* An order to an earlier boot is lost; so is a waiting poll if the executor
+     has crashed or rebooted. */
   if (!e->up || !fsim_can_reach (s, d->inst, e)
       || (d->boot_start_ms && d->boot_start_ms != e->boot_start_ms))
     {
@@ -448,8 +466,10 @@
 {
   struct delivery *d = arg;
 
-  /* deliver_order() drops the order if another boot has begun. */
+  /* The instance already has the result ORDER_LOST. */
   d->drop_result = true;
+  /* deliver_order() loses the order if the executor has crashed or rebooted:
+     then fexec::boot_start_ms differs from that of the delivery. */
   deliver_order (s, d);
 }
 
@@ -465,7 +485,7 @@
       fsim_schedule (s, FSIM_LINK_MS, deliver_result, d);
       return;
     }
-  if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_share)
+  if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_order_share)
     {
       struct delivery *delayed = delivery_new (s, i, o);
       delayed->boot_start_ms = e->boot_start_ms;
@@ -479,8 +499,8 @@
   fsim_schedule (s, FSIM_LINK_MS, deliver_order, d);
 }
 
-/* Whether the advice service permits @exec for the step.  A hash makes the
-   answer the same for each query. */
+/* Return: true if the advice service permits executor @exec for the step.  The
+   answer depends on a hash only, so it is the same for each query. */
 static bool
 is_permitted (const struct fsim *s, const char *job, int64_t step,
               const char *exec)
@@ -498,8 +518,8 @@
 }
 
 void
-fexec_permitted (struct fsim *s, const struct order *o,
-                 struct order_result *res)
+fexec_answer_advice (struct fsim *s, const struct order *o,
+                     struct order_result *res)
 {
   res->outcome = ORDER_DONE;
   res->valid_ms = ADVICE_VALID_MS;
@@ -526,9 +546,9 @@
                          ? in->advice_busy_until_ms
                          : s->now_ms;
 
-  s->advice_calls++;
+  s->n_advice_queries++;
   in->advice_busy_until_ms = begin_ms + (int64_t)cost_ms;
-  fexec_permitted (s, o, &d->res);
+  fexec_answer_advice (s, o, &d->res);
   fsim_schedule (s, in->advice_busy_until_ms - s->now_ms + 2 * FSIM_LINK_MS,
                  deliver_result, d);
 }
@@ -545,8 +565,9 @@
   ftable_put (s, key, e->up && e->listed ? value : NULL);
 }
 
+/* Deletes the discovery entry unless the executor is up again. */
 static void
-unlist (struct fsim *s, void *arg)
+remove_listing (struct fsim *s, void *arg)
 {
   struct fexec *e = arg;
 
@@ -569,8 +590,9 @@
   e->last_end_seq = 0;
   e->n_past_runs = 0;
   e->fencing_token = 0;
-  /* The platform removes the entry of a crashed executor after 4500 ms. */
-  fsim_schedule (s, 4500, unlist, e);
+  /* The platform removes the discovery entry of a crashed executor after
+     4500 ms. */
+  fsim_schedule (s, 4500, remove_listing, e);
 }
 
 void
@@ -579,7 +601,7 @@
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  /* 0 would mean that the start of the boot is unknown. */
+  /* Add 1 because a boot start of 0 would mean that it is unknown. */
   e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
   fexec_update_listing (s, e);
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -17,38 +17,40 @@
   FSIM_EXECS_MAX = 512,
   /* Latency of a message in one direction, between any two processes. */
   FSIM_LINK_MS = 2,
-  /* The table executes one write after another; each takes a third of this
-     time, multiplied by ftable::slow_factor. */
-  FSIM_STORE_MS = 3,
-  /* Number of past changes that a feed can return. */
+  /* Time in which the table executes three writes.  Writes are executed one
+     after another, so each takes a third of this time (1 ms), multiplied by
+     ftable::slow_factor. */
+  FSIM_THREE_WRITES_MS = 3,
+  /* Number of past changes that a feed of the table can return. */
   FSIM_HISTORY_MAX = 100000,
 };
 
 struct fsim;
 
-/** struct fsim_event - a callback that is due at a simulated time */
+/** struct fsim_event - a function that is called at a simulated time */
 struct fsim_event
 {
-  int64_t at_ms;
-  uint64_t seq; /* events of the same time are executed in this order */
+  int64_t due_ms;
+  uint64_t seq; /* events that are due at the same time are called in the
+                   order of this number */
   void (*fn) (struct fsim *s, void *arg);
   void *arg;
 };
 
-/** struct ftable_row - a row of the table service */
+/** struct ftable_row - a row of the simulated table service */
 struct ftable_row
 {
   RB_ENTRY (ftable_row) by_key;
   char *key;
   char *value;
-  int64_t ver; /* table version of the last write of this row */
+  int64_t ver; /* ftable::ver after the last write of this row */
 };
 RB_HEAD (ftable_row_tree, ftable_row);
 
-/** struct ftable_change - an entry of the table's change history */
+/** struct ftable_change - a past write of a row of the simulated table */
 struct ftable_change
 {
-  int64_t ver;
+  int64_t ver; /* ftable::ver after the write */
   char *key;
 };
 
@@ -56,22 +58,24 @@
 struct ftable
 {
   struct ftable_row_tree rows;
-  int64_t ver; /* number of writes so far */
+  int64_t ver; /* version of the table: number of writes so far */
+  /* All past writes, oldest first. */
   struct ftable_change *changes;
   size_t n_changes;
-  /* A feed cannot return changes up to this version. */
+  /* A feed that begins before this version fails. */
   int64_t compacted_ver;
+  /* The table refuses all calls until this time. */
   int64_t down_until_ms;
-  /* Latencies are multiplied by this factor; 0 counts as 1. */
+  /* The table's latencies are multiplied by this factor; 0 counts as 1. */
   int64_t slow_factor;
   /* Share (0 to 1) of writes that are executed but not answered. */
-  double reply_lost_share;
+  double lost_reply_share;
   /* Share (0 to 1) of writes that are not answered and are executed 1 to 6
      seconds later. */
-  double delayed_share;
-  /* The table is executing writes until then. */
+  double delayed_write_share;
+  /* The table is executing earlier writes until this time. */
   int64_t busy_until_ms;
-  uint64_t n_calls; /* calls of all kinds from instances */
+  uint64_t n_calls; /* calls of all kinds that instances have sent */
 };
 
 /** struct frun - a run of a task on an executor */
@@ -81,9 +85,10 @@
   int64_t run_id;
   int64_t start_ms;
   int64_t end_ms;
-  int how;          /* enum run_end: how the run ends at end_ms */
-  bool stopping;    /* a stop order was received */
-  bool awaits_gang; /* other members of the gang have not started yet */
+  /* enum run_end: the result with which the run ends at end_ms. */
+  int run_end;
+  bool stopping;    /* true after a stop order for the run */
+  bool awaits_gang; /* true until all members of the run's gang have started */
   struct job_need need;
 };
 
@@ -98,36 +103,39 @@
 struct fexec
 {
   char id[CLB_ID_MAX];
-  int index;
+  int index; /* index in fsim::exec */
   bool up;
-  bool listed; /* while up, it has an entry in the discovery table */
-  bool draining;
+  bool listed;   /* the executor has a discovery entry while it is up */
+  bool draining; /* the discovery entry says that the executor drains */
+  /* Start of the present or last boot, in simulated time. */
   int64_t boot_start_ms;
-  /* No instance reaches the executor until then. */
+  /* No instance reaches the executor until this time. */
   int64_t partitioned_until_ms;
+  /* All runs of the executor end when this time is reached. */
   int64_t lease_until_ms;
-  /* The highest fencing token that an order of this boot has had. */
+  /* The highest fencing token of all orders that this boot has received. */
   int64_t fencing_token;
-  /* Share (0 to 1) of orders whose answer is lost. */
-  double reply_lost_share;
+  /* Share (0 to 1) of executed orders whose result is lost. */
+  double lost_result_share;
   /* Share (0 to 1) of start and stop orders that are not answered and are
      executed 2 to 12 seconds later. */
-  double delayed_share;
-  /* Every run that starts here fails. */
+  double delayed_order_share;
+  /* Every run that starts on this executor fails. */
   bool fails_runs;
-  /* Runs that start here never end by themselves. */
+  /* Runs that start on this executor never end by themselves. */
   bool hangs_runs;
-  /* Time when an order was last delayed or its answer was last lost. */
+  /* Time when an order was last delayed or a result was last lost. */
   int64_t last_fault_ms;
-  /* Connections to the executor fail at once; nothing is sent. */
+  /* Connections to the executor fail at once; no order is sent to it. */
   bool refuses_connections;
   struct job_need capacity;
   struct frun runs[256];
   int n_runs;
+  /* Ends of runs that the leader has not acknowledged. */
   struct end_row ends[4096];
   int n_ends;
-  int64_t last_end_seq;
-  /* Runs that were stopped or ended here in this boot. */
+  int64_t last_end_seq; /* number of the latest end in this boot */
+  /* Runs of this boot that have ended or for which a stop was ordered. */
   struct frun_ref *past_runs;
   int n_past_runs;
 };
@@ -141,36 +149,36 @@
   int64_t task_ms[JOB_STEPS_MAX]; /* run time of a task, by step */
   bool always_fails;              /* every run of its tasks fails */
   bool accepted;
-  bool refused; /* every submission of the job was refused */
-  int64_t sent_ms;
-  int64_t done_ms; /* time when the last task was done */
-  int last_state;  /* last state that a caller was given, or -1 */
-  /* One element per task, in the order of steps and indexes. */
+  bool refused;         /* every submission of the job was refused */
+  int64_t submitted_ms; /* time of the last submission */
+  int64_t done_ms;      /* time when the last task was done */
+  int last_state;       /* last state that a caller was given, or -1 */
+  /* One element per task, in the order of steps and task indexes. */
   struct ftask_stats *stats;
   int n_stats;
 };
 RB_HEAD (fjob_tree, fjob);
 
-/** struct ftask_stats - what all executors together have seen of a task */
+/** struct ftask_stats - runs of a task, counted over all executors */
 struct ftask_stats
 {
-  int n_running;  /* runs that are in progress */
-  bool done;      /* a run was successful and the leader has recorded it */
+  int n_running; /* runs that are in progress */
+  bool done;     /* a run was successful and the leader acknowledged its end */
   bool end_acked; /* the leader acknowledged the end of a successful run */
-  int n_failed;   /* failed runs whose end the leader acknowledged */
-  int n_starts;
+  int n_failed;   /* failed runs whose ends the leader acknowledged */
+  int n_starts;   /* runs that were started */
 };
 
 /** struct fsim_call - a caller's request to an instance */
 struct fsim_call
 {
   uint64_t call_id;
-  int instance;
-  int verb;
+  int instance; /* index of the instance that got the request */
+  int verb;     /* enum fleet_verb */
   char id[JOB_ID_SIZE];
-  int status;       /* HTTP status; 0: no answer yet */
-  int64_t retry_ms; /* how long the caller is asked to wait */
-  char *body;
+  int status;       /* HTTP status of the answer; 0: no answer has arrived */
+  int64_t retry_ms; /* how long the caller is asked to wait, in ms */
+  char *body;       /* body of the answer; NULL: none */
   int64_t answered_ms;
 };
 
@@ -179,20 +187,22 @@
 {
   struct fleet fleet;
   bool up;
-  bool frozen;
+  bool frozen; /* the process makes no progress until frozen_until_ms */
   int64_t frozen_until_ms;
-  /* The table does not answer the instance's calls until then. */
+  /* The table does not answer the instance's calls until this time. */
   int64_t store_partitioned_until_ms;
-  /* The table refuses the instance's calls until then. */
+  /* The table refuses the instance's calls until this time. */
   int64_t store_refused_until_ms;
-  /* The instance reaches no other instance and no executor until then. */
+  /* The instance reaches no other instance and no executor until this time.
+   */
   int64_t partitioned_until_ms;
-  /* The advice service answers the instance's earlier queries until then. */
+  /* The advice service is working on the instance's earlier queries until
+     this time. */
   int64_t advice_busy_until_ms;
-  /* How far the instance's wall clock is ahead of the simulated time. */
+  /* Added to the simulated wall clock to give the instance's wall clock. */
   int64_t clock_offset_ms;
-  /* Counts starts and ends of the process.  A message for another incarnation
-     is dropped. */
+  /* Number of starts and ends of the process.  A message that was sent to
+     another incarnation of the process is dropped. */
   uint64_t incarnation;
   uint64_t ticks;
 };
@@ -200,12 +210,13 @@
 /** struct fsim - a simulation: its clock, processes and results */
 struct fsim
 {
-  int64_t now_ms;
-  uint64_t seq; /* of the last event */
-  uint64_t rng; /* state of the random generator */
-  struct fsim_event *heap;
-  size_t n_heap;
-  size_t cap_heap;
+  int64_t now_ms;          /* simulated time */
+  uint64_t last_event_seq; /* fsim_event::seq of the latest scheduled event */
+  uint64_t rng_state;      /* state of the random generator */
+  /* Scheduled events: a binary heap, earliest event first. */
+  struct fsim_event *events;
+  size_t n_events;
+  size_t cap_events;
   struct ftable table;
   struct fsim_instance *inst[FSIM_INSTANCES_MAX];
   int n_inst;
@@ -214,13 +225,14 @@
   /* Share (0 to 1) of executors that the advice service permits for a step. */
   double permitted_share;
   struct fjob_tree jobs;
+  /* All requests of callers so far. */
   struct fsim_call *calls;
   size_t n_calls;
-  int64_t advice_calls;
-  int violations;
-  char first_violation[256]; /* empty if there is none */
-  bool verbose;
-  bool shutting_down; /* fsim_free() was called: periodic events end */
+  int64_t n_advice_queries; /* queries that the advice service has received */
+  int n_violations;
+  char first_violation[256]; /* empty if no violation was reported */
+  bool verbose;              /* print the log lines of the instances */
+  bool shutting_down;        /* fsim_free() was called: timers end */
 };
 
 RB_PROTOTYPE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
@@ -230,18 +242,28 @@
 
 /* sim.c */
 /**
- * fsim_new() - Create a simulation and start its processes.
- * @capacity: of each executor
+ * fsim_new() - Create a simulation and start its instances and executors.
+ * @seed: seed of the random generator
+ * @instances: number of instances
+ * @execs: number of executors
+ * @capacity: capacity of each executor
  */
 struct fsim *fsim_new (uint64_t seed, int instances, int execs,
                        const struct job_need *capacity);
 void fsim_free (struct fsim *s);
-/** fsim_schedule() - Call @fn with @arg after @after_ms of simulated time. */
+/** fsim_schedule() - Call @fn with @arg in an event that is due in @after_ms.
+ */
 void fsim_schedule (struct fsim *s, int64_t after_ms,
                     void (*fn) (struct fsim *s, void *arg), void *arg);
-/** fsim_run() - Execute the events of the next @for_ms of simulated time. */
+/**
+ * fsim_run() - Advance the simulated time by @for_ms and execute the events
+ * that are due meanwhile.
+ */
 void fsim_run (struct fsim *s, int64_t for_ms);
-/** fsim_random() - Return: a number from 0 up to, but not including, 1. */
+/**
+ * fsim_random() - Return: a pseudorandom number from 0 up to, but not
+ * including, 1.
+ */
 double fsim_random (struct fsim *s);
 /** fsim_violation() - Count a violation and keep the text of the first. */
 void fsim_violation (struct fsim *s, const char *fmt, ...)
@@ -252,82 +274,92 @@
 void fsim_kill (struct fsim *s, int i);
 /** fsim_process_outputs() - Execute the pending outputs of instance @i. */
 void fsim_process_outputs (struct fsim *s, int i);
-/** fsim_find_job() - Return: the job, or NULL. */
+/** fsim_find_job() - Return: the job with this id, or NULL. */
 struct fjob *fsim_find_job (struct fsim *s, const char *id);
-/** fsim_leader() - Return: number of the instance that leads, or -1. */
+/** fsim_leader() - Return: index of the leading instance, -1 if none leads. */
 int fsim_leader (const struct fsim *s);
 /**
  * fsim_request() - Send a caller's request to an instance.
+ * @instance: index of the instance
  * @verb: enum fleet_verb
  * @path: path of the request
+ * @body: body of the request, or NULL
  * @key: API key
  *
- * Return: index in fsim::calls; the answer is stored there when it arrives.
+ * Return: index of the request in fsim::calls, where its answer is stored when
+ * it arrives.
  */
 size_t fsim_request (struct fsim *s, int instance, int verb, const char *path,
                      const char *body, const char *key);
 /**
- * fsim_can_reach() - Whether neither instance @i nor executor @e is
+ * fsim_can_reach() - Return: true if neither instance @i nor executor @e is
  * partitioned.
  */
 bool fsim_can_reach (const struct fsim *s, int i, const struct fexec *e);
 
 /* table.c */
 /**
- * ftable_send() - Send a call of instance @i to the table, with the faults
- * that are configured; the reply arrives as an event.
+ * ftable_send() - Send a call of instance @i to the table, which injects the
+ * configured faults.  The reply is delivered by a later event.
+ * @token: identifies the call; the reply to the instance has the same token
  */
 void ftable_send (struct fsim *s, int i, uint64_t token,
                   const struct store_op *op);
 /**
- * ftable_apply() - Execute @op at once, without faults.  A feed without
- * changes returns no rows instead of waiting for one.
+ * ftable_apply() - Execute @op at once, without faults.  A feed that finds no
+ * changes returns no rows instead of waiting for a change.
  */
 void ftable_apply (struct ftable *t, const struct store_op *op,
                    struct store_rep *rep);
-/** ftable_put() - Write a row directly; a NULL @value deletes it. */
+/** ftable_put() - Write a row at once; a NULL @value deletes the row. */
 void ftable_put (struct fsim *s, const char *key, const char *value);
 void ftable_free (struct ftable *t);
 
 /* execs.c */
 /**
  * fexec_apply() - Execute order @o on executor @e.
- * @first: whether this is the first call for @o, when the ends that it
- *         acknowledges are removed
- * @waited: whether the wait time of a poll is over
+ * @first: true in the first call for @o; only this call removes the ends that
+ *         a poll acknowledges
+ * @waited: true if the wait time of a poll is over
+ * @res: is given the result
  *
- * Return: whether @res is complete.  False only for a poll while the executor
- * has no ends to report: the caller of this function calls it again until the
+ * Return: true if @res is complete.  False only for a poll while the executor
+ * has no ends to report; this function must then be called again, until the
  * poll's wait time is over.
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
                   bool first, bool waited, struct order_result *res);
 /**
- * fexec_permitted() - Answer a query for advice: which of its executors may
- * run the step.
+ * fexec_answer_advice() - Answer @o, a query for advice: which of the
+ * executors that it names may run the step.
  */
-void fexec_permitted (struct fsim *s, const struct order *o,
-                      struct order_result *res);
+void fexec_answer_advice (struct fsim *s, const struct order *o,
+                          struct order_result *res);
 /**
- * fexec_send_order() - Send @o from instance @i to its executor, with the
- * faults that are configured; the result arrives as an event.
+ * fexec_send_order() - Send @o from instance @i to the executor that @o names,
+ * with that executor's configured faults.  A later event delivers the result.
  */
 void fexec_send_order (struct fsim *s, int i, const struct order *o);
 /**
  * fexec_send_advice_query() - Send a query from instance @i to the advice
- * service; the result arrives as an event.
+ * service.  A later event delivers the result.
  */
 void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
 /** fexec_update_listing() - Write or delete the executor's discovery entry. */
 void fexec_update_listing (struct fsim *s, struct fexec *e);
 /**
- * fexec_crash() - End the executor's boot with all its runs and reports.  The
- * discovery entry is deleted later.
+ * fexec_crash() - End the executor's boot, with all its runs and the ends that
+ * it has not reported.  A later event deletes its discovery entry.
  */
 void fexec_crash (struct fsim *s, struct fexec *e);
-/** fexec_reboot() - Begin a new boot; one that is up crashes first. */
+/**
+ * fexec_reboot() - Begin a new boot of the executor.  An executor that is up
+ * crashes first.
+ */
 void fexec_reboot (struct fsim *s, struct fexec *e);
-/** fexec_tick() - End the runs of all executors whose time or lease is over.
+/**
+ * fexec_tick() - End each run whose end time has come or whose executor's
+ * lease is over, on all executors.
  */
 void fexec_tick (struct fsim *s);
 
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -1,4 +1,5 @@
-/* Events, instances, messages between instances, and callers' requests. */
+/* The simulation's events, instances, messages between instances, and callers'
+   requests. */
 #include "fsim.h"
 
 #include <stdarg.h>
@@ -8,8 +9,9 @@
 
 enum
 {
+  /* Interval between two calls of fleet_tick() for an instance. */
   INSTANCE_TICK_MS = 10,
-  /* Wall clock at simulated time 0. */
+  /* Time of the wall clock when the simulated time is 0. */
   WALL_CLOCK_START_MS = 1000000,
 };
 
@@ -24,10 +26,10 @@
 double
 fsim_random (struct fsim *s)
 {
-  s->rng ^= s->rng << 13;
-  s->rng ^= s->rng >> 7;
-  s->rng ^= s->rng << 17;
-  return (double)(s->rng >> 11) / (double)(1ULL << 53);
+  s->rng_state ^= s->rng_state << 13;
+  s->rng_state ^= s->rng_state >> 7;
+  s->rng_state ^= s->rng_state << 17;
+  return (double)(s->rng_state >> 11) / (double)(1ULL << 53);
 }
 
 void
@@ -39,17 +41,17 @@
   va_start (ap, fmt);
   vsnprintf (text, sizeof text, fmt, ap);
   va_end (ap);
-  if (s->violations++ == 0)
+  if (s->n_violations++ == 0)
     snprintf (s->first_violation, sizeof s->first_violation, "at %lld: %s",
               (long long)s->now_ms, text);
 }
 
-/* The events form a binary heap, earliest event first. */
+/* fsim::events is a binary heap with the earliest event first. */
 
 static bool
 event_before (const struct fsim_event *a, const struct fsim_event *b)
 {
-  return a->at_ms < b->at_ms || (a->at_ms == b->at_ms && a->seq < b->seq);
+  return a->due_ms < b->due_ms || (a->due_ms == b->due_ms && a->seq < b->seq);
 }
 
 static void
@@ -65,36 +67,37 @@
 fsim_schedule (struct fsim *s, int64_t after_ms,
                void (*fn) (struct fsim *s, void *arg), void *arg)
 {
-  size_t i = s->n_heap++;
+  size_t i = s->n_events++;
 
-  if (s->n_heap > s->cap_heap)
+  if (s->n_events > s->cap_events)
     {
-      s->cap_heap = 2 * s->cap_heap + 256;
-      s->heap = realloc (s->heap, s->cap_heap * sizeof *s->heap);
+      s->cap_events = 2 * s->cap_events + 256;
+      s->events = realloc (s->events, s->cap_events * sizeof *s->events);
     }
-  s->heap[i] = (struct fsim_event){ s->now_ms + (after_ms > 0 ? after_ms : 0),
-                                    ++s->seq, fn, arg };
-  for (; i > 0 && event_before (&s->heap[i], &s->heap[(i - 1) / 2]);
+  s->events[i]
+      = (struct fsim_event){ s->now_ms + (after_ms > 0 ? after_ms : 0),
+                             ++s->last_event_seq, fn, arg };
+  for (; i > 0 && event_before (&s->events[i], &s->events[(i - 1) / 2]);
        i = (i - 1) / 2)
-    event_swap (&s->heap[i], &s->heap[(i - 1) / 2]);
+    event_swap (&s->events[i], &s->events[(i - 1) / 2]);
 }
 
 static struct fsim_event
 pop_event (struct fsim *s)
 {
-  struct fsim_event top = s->heap[0];
+  struct fsim_event top = s->events[0];
   size_t i = 0;
 
-  s->heap[0] = s->heap[--s->n_heap];
+  s->events[0] = s->events[--s->n_events];
   for (;;)
     {
       size_t least = i;
-      for (size_t k = 2 * i + 1; k <= 2 * i + 2 && k < s->n_heap; k++)
-        if (event_before (&s->heap[k], &s->heap[least]))
+      for (size_t k = 2 * i + 1; k <= 2 * i + 2 && k < s->n_events; k++)
+        if (event_before (&s->events[k], &s->events[least]))
           least = k;
       if (least == i)
         return top;
-      event_swap (&s->heap[i], &s->heap[least]);
+      event_swap (&s->events[i], &s->events[least]);
       i = least;
     }
 }
@@ -104,10 +107,10 @@
 {
   int64_t until = s->now_ms + for_ms;
 
-  while (s->n_heap && s->heap[0].at_ms <= until)
+  while (s->n_events && s->events[0].due_ms <= until)
     {
       struct fsim_event e = pop_event (s);
-      s->now_ms = e.at_ms;
+      s->now_ms = e.due_ms;
       e.fn (s, e.arg);
     }
   s->now_ms = until;
@@ -129,8 +132,8 @@
          && e->partitioned_until_ms <= s->now_ms;
 }
 
-/* Documents of the simulation are lines of words instead of the platform's
-   JSON. */
+/* Functions of struct fleet_codec.  In the simulation, documents are lines of
+   words instead of the platform's JSON. */
 
 static int
 read_exec (const char *id, const char *text, struct exec_report *out)
@@ -159,9 +162,12 @@
   return codec_parse (&job_spec_desc, text, len, CODEC_STRICT, out, ce);
 }
 
-/* A configuration consists of the lines "version N",
-   "queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE PER_EXEC" (target, base and
-   per executor in ms) and "tenant NAME WEIGHT MILLICORES [KEY]". */
+/* Reads a configuration, which consists of lines of these forms:
+     version N
+     queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE PER_EXEC
+     tenant NAME WEIGHT MILLICORES [KEY]
+   TARGET, BASE and PER_EXEC are in ms; BASE is the cost of a query for
+   advice, PER_EXEC the additional cost for each executor in the query. */
 static int
 read_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
@@ -239,13 +245,17 @@
 
 /* Instances and the messages between them. */
 
+/* struct mesh_delivery - a message from one instance to another */
 struct mesh_delivery
 {
-  int to;
+  /* Index of the receiving instance. */
+  int receiver;
+  /* The message is dropped if the receiver has another incarnation. */
   uint64_t incarnation;
   struct mesh_msg *msg;
 };
 
+/* Return: index of the instance with this address, or -1. */
 static int
 find_instance (const struct fsim *s, const char *addr)
 {
@@ -255,46 +265,52 @@
   return -1;
 }
 
+/* Passes a message to its receiver and frees the delivery.  A frozen receiver
+   gets the message when its freeze is over. */
 static void
-deliver_mesh (struct fsim *s, void *arg)
+deliver_mesh_msg (struct fsim *s, void *arg)
 {
   struct mesh_delivery *d = arg;
-  struct fsim_instance *in = s->inst[d->to];
+  struct fsim_instance *in = s->inst[d->receiver];
 
   if (in->up && in->incarnation == d->incarnation
       && in->frozen_until_ms > s->now_ms)
     {
-      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_mesh, d);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_mesh_msg,
+                     d);
       return;
     }
   if (in->up && in->incarnation == d->incarnation
       && in->partitioned_until_ms <= s->now_ms)
     {
       fleet_mesh_msg (&in->fleet, s->now_ms, d->msg);
-      fsim_process_outputs (s, d->to);
+      fsim_process_outputs (s, d->receiver);
     }
   mesh_free (d->msg);
   free (d);
 }
 
+/* Sends @m to the instance with the address @addr.  The function takes
+   ownership of @m. */
 static void
-send_mesh (struct fsim *s, int from, const char *addr, struct mesh_msg *m)
+send_mesh_msg (struct fsim *s, int from, const char *addr, struct mesh_msg *m)
 {
-  int to = find_instance (s, addr);
+  int receiver = find_instance (s, addr);
   struct mesh_delivery *d;
 
-  if (to < 0 || s->inst[from]->partitioned_until_ms > s->now_ms)
+  if (receiver < 0 || s->inst[from]->partitioned_until_ms > s->now_ms)
     {
       mesh_free (m);
       return;
     }
   d = calloc (1, sizeof *d);
-  d->to = to;
-  d->incarnation = s->inst[to]->incarnation;
+  d->receiver = receiver;
+  d->incarnation = s->inst[receiver]->incarnation;
   d->msg = m;
-  fsim_schedule (s, FSIM_LINK_MS, deliver_mesh, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_mesh_msg, d);
 }
 
+/* Stores the answer to a caller's request in fsim::calls. */
 static void
 record_answer (struct fsim *s, const struct out *o)
 {
@@ -323,7 +339,7 @@
           ftable_send (s, i, o->u.store.token, &o->u.store.op);
           break;
         case OUT_MESH:
-          send_mesh (s, i, o->u.mesh.addr, o->u.mesh.msg);
+          send_mesh_msg (s, i, o->u.mesh.addr, o->u.mesh.msg);
           o->u.mesh.msg = NULL;
           break;
         case OUT_ORDER:
@@ -343,16 +359,18 @@
     }
 }
 
-struct tick
+/* struct instance_timer - argument of the timer of an instance; the timer ends
+   with the incarnation that started it */
+struct instance_timer
 {
-  int inst;
+  int inst; /* index of the instance */
   uint64_t incarnation;
 };
 
 static void
-on_tick (struct fsim *s, void *arg)
+on_instance_timer (struct fsim *s, void *arg)
 {
-  struct tick *t = arg;
+  struct instance_timer *t = arg;
   struct fsim_instance *in = s->inst[t->inst];
 
   if (!in->up || in->incarnation != t->incarnation)
@@ -368,14 +386,14 @@
                   WALL_CLOCK_START_MS + s->now_ms + in->clock_offset_ms);
       fsim_process_outputs (s, t->inst);
     }
-  fsim_schedule (s, INSTANCE_TICK_MS, on_tick, t);
+  fsim_schedule (s, INSTANCE_TICK_MS, on_instance_timer, t);
 }
 
 void
 fsim_start (struct fsim *s, int i)
 {
   struct fsim_instance *in = s->inst[i];
-  struct tick *t = calloc (1, sizeof *t);
+  struct instance_timer *t = calloc (1, sizeof *t);
   struct fleet_settings settings = { .boot = WALL_CLOCK_START_MS + s->now_ms,
                                      .revoke_ms = 5000,
                                      .codec = { .conf = read_conf,
@@ -396,7 +414,7 @@
   in->incarnation++;
   t->inst = i;
   t->incarnation = in->incarnation;
-  fsim_schedule (s, 1 + i, on_tick, t);
+  fsim_schedule (s, 1 + i, on_instance_timer, t);
 }
 
 void
@@ -410,13 +428,13 @@
 }
 
 static void
-exec_timer (struct fsim *s, void *arg)
+on_exec_timer (struct fsim *s, void *arg)
 {
   (void)arg;
   if (s->shutting_down)
     return;
   fexec_tick (s);
-  fsim_schedule (s, 5, exec_timer, NULL);
+  fsim_schedule (s, 5, on_exec_timer, NULL);
 }
 
 struct fsim *
@@ -425,7 +443,7 @@
 {
   struct fsim *s = calloc (1, sizeof *s);
 
-  s->rng = seed * 2654435761u + 88172645463325252ULL;
+  s->rng_state = seed * 2654435761u + 88172645463325252ULL;
   s->permitted_share = 0.5;
   RB_INIT (&s->jobs);
   RB_INIT (&s->table.rows);
@@ -445,7 +463,7 @@
       s->inst[i] = calloc (1, sizeof *s->inst[i]);
       fsim_start (s, i);
     }
-  fsim_schedule (s, 5, exec_timer, NULL);
+  fsim_schedule (s, 5, on_exec_timer, NULL);
   return s;
 }
 
@@ -498,12 +516,13 @@
 
   for (int i = 0; i < s->n_inst; i++)
     fsim_kill (s, i);
-  /* Messages that are outstanding find no receiver and are freed. */
+  /* Executing the remaining events frees the outstanding messages: none is
+     delivered, as no instance is up. */
   s->shutting_down = true;
-  while (s->n_heap)
+  while (s->n_events)
     {
       struct fsim_event e = pop_event (s);
-      s->now_ms = e.at_ms;
+      s->now_ms = e.due_ms;
       e.fn (s, e.arg);
     }
   for (int i = 0; i < s->n_inst; i++)
@@ -524,6 +543,6 @@
       free (s->exec[i]);
     }
   ftable_free (&s->table);
-  free (s->heap);
+  free (s->events);
   free (s);
 }
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -7,14 +7,14 @@
 /* struct request - a call of an instance and its reply */
 struct request
 {
-  int inst;
+  int inst; /* index of the calling instance */
   uint64_t incarnation;
   uint64_t token;
   struct store_op op;
   struct store_rep rep;
-  /* A feed is answered by then, also without changes. */
+  /* A feed is answered at this time at the latest, also without changes. */
   int64_t feed_deadline_ms;
-  /* The reply is lost. */
+  /* The call is executed, but its reply is lost. */
   bool drop_reply;
 };
 
@@ -75,7 +75,7 @@
 }
 
 static void
-do_txn (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_txn (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   for (size_t i = 0; i < op->n_conds; i++)
     {
@@ -100,7 +100,7 @@
 }
 
 static void
-do_list (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_list (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   size_t len = strlen (op->key);
   struct ftable_row k = { .key = op->after ? op->after : op->key };
@@ -121,16 +121,17 @@
     }
 }
 
+/* Return: true if @key is of the table with the name @table, in any part. */
 static bool
-in_table (const char *key, const char *table)
+key_is_in_table (const char *key, const char *table)
 {
   size_t n = strlen (table);
 
   return strncmp (key, table, n) == 0 && (key[n] == '/' || key[n] == ':');
 }
 
-/* Return: index of the first change after version @since, or the number of
-   changes. */
+/* Return: index of the first change after version @since; the number of
+   changes if there is none. */
 static size_t
 first_change_after (const struct ftable *t, int64_t since)
 {
@@ -149,7 +150,7 @@
 }
 
 static void
-do_feed (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_feed (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   rep->ver = t->ver;
   if (op->since < t->compacted_ver)
@@ -158,7 +159,7 @@
       return;
     }
   for (size_t i = first_change_after (t, op->since); i < t->n_changes; i++)
-    if (in_table (t->changes[i].key, op->key))
+    if (key_is_in_table (t->changes[i].key, op->key))
       add_row (rep, t->changes[i].key, find_row (t, t->changes[i].key));
 }
 
@@ -171,10 +172,10 @@
   switch (op->kind)
     {
     case STORE_TXN:
-      do_txn (t, op, rep);
+      apply_txn (t, op, rep);
       break;
     case STORE_FEED:
-      do_feed (t, op, rep);
+      apply_feed (t, op, rep);
       break;
     case STORE_GET:
       r = find_row (t, op->key);
@@ -185,11 +186,13 @@
         rep->err = CLB_ENOTFOUND;
       break;
     default:
-      do_list (t, op, rep);
+      apply_list (t, op, rep);
       break;
     }
 }
 
+/* Passes the reply to the instance and frees the request.  A frozen instance
+   gets the reply when its freeze is over. */
 static void
 deliver_reply (struct fsim *s, void *arg)
 {
@@ -212,6 +215,7 @@
   free (q);
 }
 
+/* Schedules a reply with error @err that is delivered in @after_ms. */
 static void
 fail_request (struct fsim *s, struct request *q, int err, int64_t after_ms)
 {
@@ -230,26 +234,28 @@
     fsim_schedule (s, FSIM_LINK_MS, deliver_reply, q);
 }
 
+/* Executes a call.  A feed without changes is tried again every 5 ms until its
+   deadline. */
 static void
-execute (struct fsim *s, void *arg)
+execute_request (struct fsim *s, void *arg)
 {
   struct request *q = arg;
 
   ftable_apply (&s->table, &q->op, &q->rep);
   if (q->op.kind == STORE_FEED && q->rep.err == 0 && q->rep.n_rows == 0
       && s->now_ms < q->feed_deadline_ms)
-    fsim_schedule (s, 5, execute, q);
+    fsim_schedule (s, 5, execute_request, q);
   else
     send_reply (s, q);
 }
 
-/* Executes a delayed write; no reply is sent. */
+/* Executes a delayed write without sending a reply. */
 static void
-execute_delayed (struct fsim *s, void *arg)
+execute_delayed_write (struct fsim *s, void *arg)
 {
   struct request *q = arg;
 
-  do_txn (&s->table, &q->op, &q->rep);
+  apply_txn (&s->table, &q->op, &q->rep);
   codec_free (&store_op_desc, &q->op);
   codec_free (&store_rep_desc, &q->rep);
   free (q);
@@ -301,14 +307,14 @@
       fail_request (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
       return;
     }
-  if (write && fsim_random (s) < t->delayed_share)
+  if (write && fsim_random (s) < t->delayed_write_share)
     {
       fsim_schedule (s, 1000 + (int64_t)(fsim_random (s) * 5000),
-                     execute_delayed, request_new (s, i, token, op));
+                     execute_delayed_write, request_new (s, i, token, op));
       fail_request (s, q, CLB_EUNKNOWN, 700);
       return;
     }
-  q->drop_reply = write && fsim_random (s) < t->reply_lost_share;
+  q->drop_reply = write && fsim_random (s) < t->lost_reply_share;
   q->feed_deadline_ms = s->now_ms + op->wait_ms;
   if (write)
     {
@@ -316,11 +322,11 @@
           = s->now_ms > t->busy_until_ms ? s->now_ms : t->busy_until_ms;
       t->busy_until_ms
           = begin_ms
-            + FSIM_STORE_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
+            + FSIM_THREE_WRITES_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
       delay_ms += t->busy_until_ms - s->now_ms;
     }
   delay_ms += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
-  fsim_schedule (s, delay_ms, execute, q);
+  fsim_schedule (s, delay_ms, execute_request, q);
 }
 
 void
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -19,13 +19,13 @@
 static struct fsim *sim;
 static uint64_t seed = 1;
 static bool verbose;
-static int passed;
-static int failed;
+static int n_passed;
+static int n_failed;
 
-/* Return: field @name of the table at stack index @at as an integer; @fallback
-   if the field is nil. */
+/* Return: field @name of the Lua table at stack index @at as an integer;
+   @fallback if the field is nil. */
 static int64_t
-field (lua_State *l, int at, const char *name, int64_t fallback)
+int_field (lua_State *l, int at, const char *name, int64_t fallback)
 {
   int64_t v;
 
@@ -43,19 +43,21 @@
 static int
 verb_fleet (lua_State *l)
 {
-  struct job_need capacity = { .millicores = 1000 * field (l, 1, "cores", 16),
-                               .mem_mb = field (l, 1, "mem", 32000) };
+  struct job_need capacity
+      = { .millicores = 1000 * int_field (l, 1, "cores", 16),
+          .mem_mb = int_field (l, 1, "mem", 32000) };
 
   if (sim)
     fsim_free (sim);
-  sim = fsim_new (seed, (int)field (l, 1, "instances", 3),
-                  (int)field (l, 1, "execs", 6), &capacity);
+  sim = fsim_new (seed, (int)int_field (l, 1, "instances", 3),
+                  (int)int_field (l, 1, "execs", 6), &capacity);
   sim->verbose = verbose;
-  sim->permitted_share = (double)field (l, 1, "permitted_percent", 100) / 100;
+  sim->permitted_share
+      = (double)int_field (l, 1, "permitted_percent", 100) / 100;
   return 0;
 }
 
-/* config(text): writes the fleet's configuration to the table */
+/* config(text): writes the text to the table as the fleet's configuration */
 static int
 verb_config (lua_State *l)
 {
@@ -63,7 +65,8 @@
   return 0;
 }
 
-/* run(ms): executes the events of this simulated time */
+/* run(ms): advances the simulated time by ms and executes the events that are
+   due meanwhile */
 static int
 verb_run (lua_State *l)
 {
@@ -71,7 +74,7 @@
   return 0;
 }
 
-/* now(): simulated time in ms */
+/* now(): returns the simulated time in ms */
 static int
 verb_now (lua_State *l)
 {
@@ -79,7 +82,8 @@
   return 1;
 }
 
-/* random(): number from 0 up to, but not including, 1 */
+/* random(): returns a pseudorandom number from 0 up to, but not including, 1
+ */
 static int
 verb_random (lua_State *l)
 {
@@ -87,22 +91,22 @@
   return 1;
 }
 
-/* Reads a step of a job from the table at the top of the stack. */
+/* Reads step @i of the job from the Lua table at the top of the stack. */
 static void
 read_step (lua_State *l, struct fjob *j, size_t i)
 {
   struct job_step *s = &j->spec.steps[i];
 
-  s->tasks = field (l, -1, "tasks", 1);
-  s->need.millicores = field (l, -1, "cpu", 1000);
-  s->need.mem_mb = field (l, -1, "mem", 100);
-  s->gang = field (l, -1, "gang", 0);
-  s->checkpoints = field (l, -1, "checkpoints", 0);
-  s->max_per_exec = field (l, -1, "max_per_exec", 0);
-  if (field (l, -1, "after", -1) >= 0)
-    s->after = UINT64_C (1) << field (l, -1, "after", 0);
-  j->task_ms[i] = field (l, -1, "ms", 500);
-  s->estimate_ms = field (l, -1, "estimate", j->task_ms[i]);
+  s->tasks = int_field (l, -1, "tasks", 1);
+  s->need.millicores = int_field (l, -1, "cpu", 1000);
+  s->need.mem_mb = int_field (l, -1, "mem", 100);
+  s->gang = int_field (l, -1, "gang", 0);
+  s->checkpoints = int_field (l, -1, "checkpoints", 0);
+  s->max_per_exec = int_field (l, -1, "max_per_exec", 0);
+  if (int_field (l, -1, "after", -1) >= 0)
+    s->after = UINT64_C (1) << int_field (l, -1, "after", 0);
+  j->task_ms[i] = int_field (l, -1, "ms", 500);
+  s->estimate_ms = int_field (l, -1, "estimate", j->task_ms[i]);
 }
 
 /* job{id=, queue=, steps={...}, attempts=, always_fails=, advice_base_us=,
@@ -120,13 +124,14 @@
   lua_getfield (l, 1, "queue");
   clb_copy (j->spec.queue, luaL_optstring (l, -1, "q"), CLB_NAME_MAX);
   lua_pop (l, 1);
-  /* Cost of a query for advice; a script passes the values that
-     regress/fleet/lib.lua has in its configuration. */
-  j->spec.advice.base_ms = (double)field (l, 1, "advice_base_us", 0) / 1000;
+  /* Cost of a query for advice.  A script passes the values that the queue has
+     in the configuration in regress/fleet/lib.lua. */
+  j->spec.advice.base_ms
+      = (double)int_field (l, 1, "advice_base_us", 0) / 1000;
   j->spec.advice.per_exec_ms
-      = (double)field (l, 1, "advice_per_exec_us", 0) / 1000;
-  j->always_fails = field (l, 1, "always_fails", 0);
-  j->spec.attempts = field (l, 1, "attempts", 3);
+      = (double)int_field (l, 1, "advice_per_exec_us", 0) / 1000;
+  j->always_fails = int_field (l, 1, "always_fails", 0);
+  j->spec.attempts = int_field (l, 1, "attempts", 3);
   j->last_state = -1;
   lua_getfield (l, 1, "steps");
   j->spec.n_steps = lua_rawlen (l, -1);
@@ -145,8 +150,8 @@
   return 0;
 }
 
-/* submit(instance, id [, key]): submits a job; returns the call's number for
-   answer() */
+/* submit(instance, id [, key]): submits a job to the instance; returns the
+   number of the request, for answer() */
 static int
 verb_submit (lua_State *l)
 {
@@ -161,7 +166,7 @@
   clb_copy (submitted.service, "-", sizeof submitted.service);
   snprintf (path, sizeof path, "/%s/%s", j->spec.queue, j->id);
   body = codec_text (&job_spec_desc, &submitted);
-  j->sent_ms = sim->now_ms;
+  j->submitted_ms = sim->now_ms;
   lua_pushinteger (l, (lua_Integer)fsim_request (sim, inst, FLEET_SUBMIT, path,
                                                  body,
                                                  luaL_optstring (l, 3, "k")));
@@ -169,8 +174,8 @@
   return 1;
 }
 
-/* request(instance, id [, "cancel"]): queries the state of a job or cancels
-   it; returns the call's number */
+/* request(instance, id [, "cancel"]): queries the state of the job or cancels
+   the job; returns the number of the request, for answer() */
 static int
 verb_request (lua_State *l)
 {
@@ -187,8 +192,8 @@
   return 1;
 }
 
-/* waiting(instance, queue [, key]): queries the number of waiting jobs of a
-   queue; returns the call's number */
+/* waiting(instance, queue [, key]): queries how many jobs wait in the queue;
+   returns the number of the request, for answer() */
 static int
 verb_waiting (lua_State *l)
 {
@@ -201,8 +206,10 @@
   return 1;
 }
 
-/* answer(call): HTTP status or 0 before the answer, body, time in ms after
-   which the caller may retry */
+/* answer(n): returns three values of the answer to request n:
+   the HTTP status, 0 if no answer has arrived;
+   the body, which may be empty;
+   the time in ms after which the caller may retry */
 static int
 verb_answer (lua_State *l)
 {
@@ -214,30 +221,34 @@
   return 3;
 }
 
-/* task(id [, step [, index]]): number of starts, number of acknowledged
-   failures, whether the task is done */
+/* task(id [, step [, index]]): returns three values of a task of the job:
+   the number of starts;
+   the number of failed runs whose ends the leader acknowledged;
+   true if a successful end was acknowledged, otherwise false */
 static int
 verb_task (lua_State *l)
 {
   struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 1));
-  int at = (int)luaL_optinteger (l, 3, 0);
+  int stats_index = (int)luaL_optinteger (l, 3, 0);
 
   for (int i = 0; i < luaL_optinteger (l, 2, 0); i++)
-    at += (int)j->spec.steps[i].tasks;
-  lua_pushinteger (l, j->stats[at].n_starts);
-  lua_pushinteger (l, j->stats[at].n_failed);
-  lua_pushboolean (l, j->stats[at].done);
+    stats_index += (int)j->spec.steps[i].tasks;
+  lua_pushinteger (l, j->stats[stats_index].n_starts);
+  lua_pushinteger (l, j->stats[stats_index].n_failed);
+  lua_pushboolean (l, j->stats[stats_index].done);
   return 3;
 }
 
-/* instance(i, what [, ms]): changes the state of an instance.  What is one of:
+/* instance(i, what [, ms]): changes the state of instance i.  The argument
+   "what" is one of:
    kill             ends the process at once
-   start            starts a new process
-   stop             stops the process in order
+   start            starts a new process if none is up
+   stop             orders the process to stop
    freeze           the process makes no progress for ms
-   clock            sets the wall clock ms ahead of the simulated time
-   partition        no message to or from instances and executors passes for ms
-   partition-store  no call to the table is answered for ms
+   clock            sets the instance's wall clock ahead of the others by ms
+   partition        no message between the instance and other instances or
+                    executors arrives for ms
+   partition-store  the instance's calls to the table get no answer for ms
    refuse-store     the table refuses the instance's calls for ms */
 static int
 verb_instance (lua_State *l)
@@ -272,17 +283,18 @@
   return 0;
 }
 
-/* exec(i, what [, value]): changes the state of an executor.  What is one of:
-   crash               ends the boot, with all runs
-   reboot              begins a new boot
-   partition           no order or result passes for this many ms
-   lose-results        this share of results is lost
-   delay-orders        this share of start and stop orders is executed seconds
-                       later, unanswered
-   fail-runs           every run that starts fails (0 or 1)
-   refuse-connections  connections fail at once (0 or 1)
-   hang-runs           runs that start never end by themselves (0 or 1)
-   drain               its discovery entry says that it drains (0 or 1) */
+/* exec(i, what [, value]): changes the state of executor i.  The argument
+   "what" is one of: crash               ends the boot, with all runs reboot
+   begins a new boot partition           orders and results do not arrive for
+   value ms lose-results        the share value (0 to 1) of results is lost
+   delay-orders        the share value (0 to 1) of start and stop orders is not
+                       answered, and is executed 2 to 12 seconds later
+   fail-runs           with value 1, every run that starts fails; 0 ends this
+   refuse-connections  with value 1, connections fail at once; 0 ends this
+   hang-runs           with value 1, runs that start never end by themselves;
+                       0 ends this
+   drain               with value 1, the discovery entry says that the executor
+                       drains; 0 ends this */
 static int
 verb_exec (lua_State *l)
 {
@@ -297,9 +309,9 @@
   else if (strcmp (what, "partition") == 0)
     e->partitioned_until_ms = sim->now_ms + (int64_t)value;
   else if (strcmp (what, "lose-results") == 0)
-    e->reply_lost_share = value;
+    e->lost_result_share = value;
   else if (strcmp (what, "delay-orders") == 0)
-    e->delayed_share = value;
+    e->delayed_order_share = value;
   else if (strcmp (what, "fail-runs") == 0)
     e->fails_runs = value > 0;
   else if (strcmp (what, "refuse-connections") == 0)
@@ -314,12 +326,14 @@
   return 0;
 }
 
-/* store(what [, value]): changes the state of the table.  What is one of:
-   down          refuses all calls for this many ms
-   slow          multiplies latencies by this factor
-   lose-replies  this share of writes is executed but not answered
-   delay-writes  this share of writes is executed seconds later, unanswered
-   compact       a feed cannot return the changes up to now any more */
+/* store(what [, value]): changes the state of the table service.  The argument
+   "what" is one of:
+   down          the table refuses all calls for value ms
+   slow          the table's latencies are multiplied by value
+   lose-replies  the share value (0 to 1) of writes is executed but not
+   answered delay-writes  the share value (0 to 1) of writes is not answered,
+   and is executed 1 to 6 seconds later compact       a feed that begins before
+   the present version fails from now on */
 static int
 verb_store (lua_State *l)
 {
@@ -332,15 +346,15 @@
   else if (strcmp (what, "slow") == 0)
     t->slow_factor = (int64_t)value;
   else if (strcmp (what, "lose-replies") == 0)
-    t->reply_lost_share = value;
+    t->lost_reply_share = value;
   else if (strcmp (what, "delay-writes") == 0)
-    t->delayed_share = value;
+    t->delayed_write_share = value;
   else if (strcmp (what, "compact") == 0)
     t->compacted_ver = t->ver;
   return 0;
 }
 
-/* leader(): number of the instance that leads, or -1 */
+/* leader(): returns the index of the leading instance, -1 if none leads */
 static int
 verb_leader (lua_State *l)
 {
@@ -348,7 +362,8 @@
   return 1;
 }
 
-/* running([i]): number of running tasks, on executor i or on all */
+/* running([i]): returns the number of running tasks on executor i; on all
+   executors if i is missing */
 static int
 verb_running (lua_State *l)
 {
@@ -361,17 +376,18 @@
   return 1;
 }
 
-/* calls(): number of calls to the table, number of queries for advice */
+/* calls(): returns two values, the number of calls to the table and the number
+   of queries for advice */
 static int
 verb_calls (lua_State *l)
 {
   lua_pushinteger (l, (lua_Integer)sim->table.n_calls);
-  lua_pushinteger (l, sim->advice_calls);
+  lua_pushinteger (l, sim->n_advice_queries);
   return 2;
 }
 
-/* proxied(): number of calls to the table that were sent through another
-   instance */
+/* proxied(): returns the number of calls to the table that instances have sent
+   through another instance */
 static int
 verb_proxied (lua_State *l)
 {
@@ -383,17 +399,18 @@
   return 1;
 }
 
-/* violations(): number of violations, text of the first */
+/* violations(): returns two values, the number of violations and the text of
+   the first, which is empty if there is none */
 static int
 verb_violations (lua_State *l)
 {
-  lua_pushinteger (l, sim->violations);
+  lua_pushinteger (l, sim->n_violations);
   lua_pushstring (l, sim->first_violation);
   return 2;
 }
 
-/* expect(condition [, message]): fails the scenario unless the condition holds
- */
+/* expect(condition [, message]): fails the scenario with the message if the
+   condition is false or nil */
 static int
 verb_expect (lua_State *l)
 {
@@ -404,8 +421,8 @@
   return 0;
 }
 
-/* scenario(name, function): executes the function; the scenario passes if no
-   expectation failed and no violation was reported */
+/* scenario(name, function): calls the function.  The scenario passes if the
+   function raises no error and the last simulation reported no violation. */
 static int
 verb_scenario (lua_State *l)
 {
@@ -419,14 +436,14 @@
       lua_pop (l, 1);
       is_failed = 1;
     }
-  else if (sim && sim->violations)
+  else if (sim && sim->n_violations)
     {
-      printf ("FAIL %s: %d violations, %s (seed %d)\n", name, sim->violations,
-              sim->first_violation, (int)seed);
+      printf ("FAIL %s: %d violations, %s (seed %d)\n", name,
+              sim->n_violations, sim->first_violation, (int)seed);
       is_failed = 1;
     }
-  failed += is_failed;
-  passed += !is_failed;
+  n_failed += is_failed;
+  n_passed += !is_failed;
   return 0;
 }
 
@@ -478,12 +495,12 @@
       if (luaL_dofile (l, argv[optind]))
         {
           printf ("FAIL %s: %s\n", argv[optind], lua_tostring (l, -1));
-          failed++;
+          n_failed++;
         }
       lua_close (l);
     }
   if (sim)
     fsim_free (sim);
-  printf ("%d passed, %d failed\n", passed, failed);
-  return failed ? 1 : 0;
+  printf ("%d passed, %d failed\n", n_passed, n_failed);
+  return n_failed ? 1 : 0;
 }
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -303,7 +303,7 @@
       return;
     }
   if (p->op.kind == STORE_TXN
-      && fsim_random (sim) < sim->table.reply_lost_share)
+      && fsim_random (sim) < sim->table.lost_reply_share)
     {
       struct store_rep rep = { 0 };
       /* The write is executed but never answered. */
@@ -484,11 +484,11 @@
 {
   static int reported;
 
-  if (sim->violations == reported)
+  if (sim->n_violations == reported)
     return;
-  printf ("violation %d, first %s\n", sim->violations, sim->first_violation);
+  printf ("violation %d, first %s\n", sim->n_violations, sim->first_violation);
   fflush (stdout);
-  reported = sim->violations;
+  reported = sim->n_violations;
 }
 
 static void
@@ -589,7 +589,7 @@
   if (strcmp (what, "down") == 0)
     sim->table.down_until_ms = now () + (int64_t)value;
   else if (strcmp (what, "lost") == 0)
-    sim->table.reply_lost_share = value;
+    sim->table.lost_reply_share = value;
   else if (strcmp (what, "compact") == 0)
     sim->table.compacted_ver = sim->table.ver;
 }
