--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -2,15 +2,20 @@
  * The simulated executors and the advice service.
  *
  * An executor refuses the orders that the platform's contract lets it refuse,
- * with one exception: it starts a task that exceeds its free capacity.  At
- * each start of a task it reports a violation by the scheduler if: TWICE the
- * task is running already, or the leader has acknowledged a successful end of
- * the task LIMIT    the running tasks exceed the executor's capacity BUDGET
- * the task has failed as often as the queue allows REFUSED  the job's
- * submission was refused UNASKED  the job or task does not exist At the end of
- * a run it reports GANG if the run was a member of a gang that was still
- * incomplete when the member's wait time was over, unless a fault was injected
- * recently.
+ * with one exception: it starts a task that exceeds its free capacity.
+ *
+ * At each start of a task the executor reports a violation by the scheduler
+ * if:
+ *   TWICE    the task is running already, or the leader has acknowledged a
+ *            successful end of the task
+ *   LIMIT    the running tasks exceed the executor's capacity
+ *   BUDGET   the task has failed as often as the queue allows
+ *   REFUSED  the job's submission was refused
+ *   UNASKED  the job or task does not exist
+ *
+ * At the end of a run the executor reports GANG if the run was a member of a
+ * gang that was still incomplete when the member's wait time was over, unless
+ * a fault was injected recently.
  */
 #include "fsim.h"
 
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -284,17 +284,19 @@
 }
 
 /* exec(i, what [, value]): changes the state of executor i.  The argument
-   "what" is one of: crash               ends the boot, with all runs reboot
-   begins a new boot partition           orders and results do not arrive for
-   value ms lose-results        the share value (0 to 1) of results is lost
+   "what" is one of:
+   crash               ends the boot, with all runs
+   reboot              begins a new boot
+   partition           orders and results do not arrive for value ms
+   lose-results        the share value (0 to 1) of results is lost
    delay-orders        the share value (0 to 1) of start and stop orders is not
                        answered, and is executed 2 to 12 seconds later
    fail-runs           with value 1, every run that starts fails; 0 ends this
    refuse-connections  with value 1, connections fail at once; 0 ends this
    hang-runs           with value 1, runs that start never end by themselves;
                        0 ends this
-   drain               with value 1, the discovery entry says that the executor
-                       drains; 0 ends this */
+   drain               with value 1, the discovery entry says that the
+                       executor drains; 0 ends this */
 static int
 verb_exec (lua_State *l)
 {
@@ -331,9 +333,11 @@
    down          the table refuses all calls for value ms
    slow          the table's latencies are multiplied by value
    lose-replies  the share value (0 to 1) of writes is executed but not
-   answered delay-writes  the share value (0 to 1) of writes is not answered,
-   and is executed 1 to 6 seconds later compact       a feed that begins before
-   the present version fails from now on */
+                 answered
+   delay-writes  the share value (0 to 1) of writes is not answered, and is
+                 executed 1 to 6 seconds later
+   compact       a feed that begins before the present version fails from now
+                 on */
 static int
 verb_store (lua_State *l)
 {
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -2,24 +2,29 @@
  * fleet-standin - serves a stand-in of the fleet's platform on the loopback
  * interface: the table service, the executors and the advice service.
  *
- * It serves the HTTP interfaces that platform/ calls from the table and the
- * executors of the simulation (regress/fsim), in real time.  The table listens
- * on PORT, executor K on PORT + 1 + K, and the advice service on the port
- * after that of the last executor.
+ * usage: fleet-standin PORT EXECUTORS CONFIG [ADVERTISED-OFFSET]
  *
- * A line "violation ..." is printed when the executors have detected further
- * violations (see regress/fsim/execs.c).  Commands are read from standard
- * input, one per line:
- *   table down MS       the table refuses all calls for this time
- *   table lost SHARE    this share (0 to 1) of writes is executed but not
+ * The program serves the HTTP interfaces that platform/ calls.  Behind them
+ * are the table and the executors of the simulation (regress/fsim), run in
+ * real time.  The table listens on PORT, executor K on PORT + 1 + K, and the
+ * advice service on the port after that of the last executor.
+ *
+ * The program prints a line "violation ..." when the executors have detected
+ * further violations (see regress/fsim/execs.c).  It reads commands from
+ * standard input, one per line (MS is a time in ms):
+ *   table down MS       the table refuses all calls for MS
+ *   table lost SHARE    SHARE (0 to 1) of the writes is executed but not
  *                       answered
- *   table compact       a feed cannot return the changes up to now any more
+ *   table compact       a feed that begins before the present version fails
+ *                       from now on
  *   exec K crash        ends the boot of executor K, with all runs
- *   exec K reborn       begins a new boot
- *   exec K cut MS       the executor does not answer for this time
- *   exec K fails 0|1    whether every run that starts fails
- *   config FILE         replaces the fleet's configuration
- *   started FILE        writes the ids of all jobs that have started to FILE
+ *   exec K reborn       begins a new boot of executor K
+ *   exec K cut MS       executor K does not answer for MS
+ *   exec K fails 0|1    with 1, every run that starts on executor K fails;
+ *                       0 ends this
+ *   config FILE         replaces the fleet's configuration by that in FILE
+ *   started FILE        writes the ids of all jobs of which a task was started
+ *                       to FILE
  */
 #include "fsim.h"
 #include "httpd.h"
@@ -35,10 +40,10 @@
 
 enum
 {
-  /* Interval at which pending feeds and polls are tried again. */
+  /* Interval at which unanswered feeds and polls are tried again. */
   PENDING_RETRY_MS = 5,
   ADVICE_MS = 2,
-  /* Limit for the body of a request, in bytes. */
+  /* Largest accepted body of a request, in bytes. */
   BODY_MAX = 4 << 20,
 };
 
@@ -46,44 +51,48 @@
 struct server
 {
   struct httpd *http;
-  struct fexec *exec; /* NULL: the table or the advice service */
+  /* Executor that is served; NULL for the table and the advice service. */
+  struct fexec *exec;
   char addr[CLB_ADDR_MAX];
 };
 
-/* struct pending - a feed or poll that may be answered later */
-struct pending
+/* struct pending_request - a feed that waits for changes of the table, or a
+   poll that waits for ends of an executor's runs */
+struct pending_request
 {
-  TAILQ_ENTRY (pending) link;
+  TAILQ_ENTRY (pending_request) link;
   struct server *server;
   uint64_t request_id;
+  /* Time at which the request is answered at the latest. */
   int64_t deadline_ms;
-  struct store_op op;
-  struct order order;
+  struct store_op op; /* the feed, unless server->exec is set */
+  struct order order; /* the poll, if server->exec is set */
 };
 
-static TAILQ_HEAD (, pending)
-    pending_list = TAILQ_HEAD_INITIALIZER (pending_list);
+static TAILQ_HEAD (, pending_request)
+    pending_requests = TAILQ_HEAD_INITIALIZER (pending_requests);
 static struct fsim *sim;
-static struct server table;
-static struct server *execs;
+static struct server table_server;
+static struct server *exec_servers;
 static int n_execs;
-/* Added to the port in an executor's discovery entry. */
+/* Added to an executor's port to give the port in its discovery entry. */
 static int advertised_offset;
-static struct server advice;
-static int64_t started_ms;
+static struct server advice_server;
+static int64_t start_ms;
 
-/* Return: ms since the start of the stand-in. */
+/* Return: time in ms since the start of the stand-in. */
 static int64_t
 now (void)
 {
   struct timespec ts;
 
   clock_gettime (CLOCK_MONOTONIC, &ts);
-  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - started_ms;
+  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - start_ms;
 }
 
+/* Answers a request with @json.  The function takes ownership of @json. */
 static void
-answer (struct server *s, uint64_t request_id, int status, json_t *json)
+answer_json (struct server *s, uint64_t request_id, int status, json_t *json)
 {
   clb_auto char *text = json_dumps (json, JSON_COMPACT);
 
@@ -92,11 +101,12 @@
   json_decref (json);
 }
 
-/* The table service. */
+/* Functions of the table service. */
 
-/* Return: the key of a row in the simulated table, "TABLE[:PART]/KEY". */
+/* Return: the key of a row in the simulated table, "TABLE[:PART]/KEY", to be
+   freed. */
 static char *
-key_text (const json_t *row)
+row_key (const json_t *row)
 {
   const char *part = json_string_value (json_object_get (row, "part"));
   char *text;
@@ -110,9 +120,9 @@
   return text;
 }
 
-/* Decodes base64. */
+/* Return: the decoded base64 text, to be freed. */
 static char *
-decode (const char *text)
+decode_base64 (const char *text)
 {
   size_t len = strlen (text);
   char *out = calloc (1, len + 4);
@@ -151,7 +161,7 @@
 }
 
 static void
-answer_rep (uint64_t request_id, const struct store_rep *rep)
+answer_table_call (uint64_t request_id, const struct store_rep *rep)
 {
   json_t *rows = json_array ();
   int status = rep->err == CLB_ECONFLICT   ? 412
@@ -160,14 +170,14 @@
 
   for (size_t i = 0; i < rep->n_rows; i++)
     json_array_append_new (rows, row_json (&rep->rows[i]));
-  answer (&table, request_id, status,
-          json_pack ("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more",
-                     rep->more, "ver", (json_int_t)rep->ver, "now_ms",
-                     (json_int_t)now ()));
+  answer_json (&table_server, request_id, status,
+               json_pack ("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more",
+                          rep->more, "ver", (json_int_t)rep->ver, "now_ms",
+                          (json_int_t)now ()));
 }
 
-/* Copies the decoded parameter @name of the query string; empty if it is
-   missing. */
+/* Copies parameter @name of the query string of @path, decoded, to @out; an
+   empty string if there is no such parameter. */
 static void
 query_param (const char *path, const char *name, char *out, size_t size)
 {
@@ -191,7 +201,9 @@
   out[n] = '\0';
 }
 
-/* Return: 0, or -1 for a transaction without rows to write. */
+/* Reads a call to the table from its HTTP request.
+
+   Return: 0; -1 if the call is a transaction without rows to write. */
 static int
 read_table_op (const struct httpd_req *rq, struct store_op *op)
 {
@@ -206,15 +218,15 @@
       body = json_loadb (rq->body, rq->body_len, 0, &je);
       json_array_foreach (json_object_get (body, "expect"), i, row)
         {
-          clb_auto char *key = key_text (row);
+          clb_auto char *key = row_key (row);
           store_cond (op, key,
                       json_integer_value (json_object_get (row, "ver")));
         }
       json_array_foreach (json_object_get (body, "puts"), i, row)
         {
-          clb_auto char *key = key_text (row);
-          clb_auto char *value
-              = decode (json_string_value (json_object_get (row, "value")));
+          clb_auto char *key = row_key (row);
+          clb_auto char *value = decode_base64 (
+              json_string_value (json_object_get (row, "value")));
           store_put (op, key, value);
         }
       op->kind = STORE_TXN;
@@ -240,29 +252,32 @@
   return 0;
 }
 
-/* The platform's list includes the row that the request names as its start;
-   the simulated table leaves that row out, so it is inserted here. */
+/* Inserts the row at which a list begins.  The platform's list includes the
+   row that the request names as its start; the simulated table omits that row.
+ */
 static void
 add_start_row (const struct store_op *op, struct store_rep *rep)
 {
-  struct store_op one = { .kind = STORE_GET, .key = op->after };
-  struct store_rep got = { 0 };
+  struct store_op get_op = { .kind = STORE_GET, .key = op->after };
+  struct store_rep get_rep = { 0 };
 
   if (op->kind != STORE_LIST || !op->after)
     return;
-  ftable_apply (&sim->table, &one, &got);
-  if (got.n_rows)
+  ftable_apply (&sim->table, &get_op, &get_rep);
+  if (get_rep.n_rows)
     {
       rep->rows = realloc (rep->rows, (rep->n_rows + 1) * sizeof *rep->rows);
       memmove (rep->rows + 1, rep->rows, rep->n_rows * sizeof *rep->rows);
-      rep->rows[0] = got.rows[0];
+      rep->rows[0] = get_rep.rows[0];
       rep->n_rows++;
     }
-  free (got.rows);
+  free (get_rep.rows);
 }
 
-/* Return: whether the call was answered.  A feed without changes is not
-   answered before @until_ms. */
+/* Executes a call to the table and answers it, except a feed that finds no
+   changes before @deadline_ms.
+
+   Return: true if the call was answered. */
 static bool
 try_table_op (uint64_t request_id, const struct store_op *op,
               int64_t deadline_ms)
@@ -275,7 +290,7 @@
   must_wait = op->kind == STORE_FEED && !rep.err && !rep.n_rows
               && now () < deadline_ms;
   if (!must_wait)
-    answer_rep (request_id, &rep);
+    answer_table_call (request_id, &rep);
   codec_free (&store_rep_desc, &rep);
   return !must_wait;
 }
@@ -283,13 +298,13 @@
 static void
 on_table (void *arg, const struct httpd_req *rq)
 {
-  struct pending *p = calloc (1, sizeof *p);
+  struct pending_request *p = calloc (1, sizeof *p);
 
   p->server = arg;
   p->request_id = rq->id;
   if (read_table_op (rq, &p->op))
     {
-      answer (&table, rq->id, 400, json_object ());
+      answer_json (&table_server, rq->id, 400, json_object ());
       codec_free (&store_op_desc, &p->op);
       free (p);
       return;
@@ -297,7 +312,7 @@
   p->deadline_ms = now () + p->op.wait_ms;
   if (now () < sim->table.down_until_ms)
     {
-      answer (&table, rq->id, 503, json_object ());
+      answer_json (&table_server, rq->id, 503, json_object ());
       codec_free (&store_op_desc, &p->op);
       free (p);
       return;
@@ -306,7 +321,7 @@
       && fsim_random (sim) < sim->table.lost_reply_share)
     {
       struct store_rep rep = { 0 };
-      /* The write is executed but never answered. */
+      /* Inject the fault: execute the write without answering it. */
       ftable_apply (&sim->table, &p->op, &rep);
       codec_free (&store_rep_desc, &rep);
       codec_free (&store_op_desc, &p->op);
@@ -315,14 +330,14 @@
     }
   if (!try_table_op (rq->id, &p->op, p->deadline_ms))
     {
-      TAILQ_INSERT_TAIL (&pending_list, p, link);
+      TAILQ_INSERT_TAIL (&pending_requests, p, link);
       return;
     }
   codec_free (&store_op_desc, &p->op);
   free (p);
 }
 
-/* The executors and the advice service. */
+/* Functions of the executors and the advice service. */
 
 static json_t *
 result_json (const struct order_result *res)
@@ -359,7 +374,7 @@
 }
 
 static int64_t
-number (const json_t *body, const char *name)
+int_member (const json_t *body, const char *name)
 {
   return json_integer_value (json_object_get (body, name));
 }
@@ -376,15 +391,18 @@
                                                       : ORDER_POLL;
   if (task)
     pf_task_parse (task, &o->task);
-  o->run_id = number (body, "run");
-  o->fencing_token = number (body, "fencing_token");
-  o->lease_deadline_ms = number (body, "deadline_ms");
-  o->recorded_end_seq = number (body, "last_seen");
-  o->wait_ms = number (body, "wait_ms");
+  o->run_id = int_member (body, "run");
+  o->fencing_token = int_member (body, "fencing_token");
+  o->lease_deadline_ms = int_member (body, "deadline_ms");
+  o->recorded_end_seq = int_member (body, "last_seen");
+  o->wait_ms = int_member (body, "wait_ms");
 }
 
-/* Return: whether the order was answered.  A poll is not answered before its
-   wait time is over (@waited) or the executor has ends to report. */
+/* Executes an order and answers it, except a poll whose wait time is not over
+   (@waited is false) while the executor has no ends to report.
+   @first: true in the first call for the order
+
+   Return: true if the order was answered. */
 static bool
 try_order (struct server *s, uint64_t request_id, const struct order *o,
            bool first, bool waited)
@@ -393,16 +411,16 @@
   bool done = fexec_apply (sim, s->exec, o, first, waited, &res);
 
   if (done)
-    answer (s, request_id, res.outcome == ORDER_DONE ? 200 : 409,
-            result_json (&res));
+    answer_json (s, request_id, res.outcome == ORDER_DONE ? 200 : 409,
+                 result_json (&res));
   order_result_clear (&res);
   return done;
 }
 
-/* The stand-in does not see jobs when they are submitted, so it registers a
-   job when the first of its tasks starts.  As the job's size is not known, it
-   is given four steps with the maximum number of tasks, and unlimited
-   attempts. */
+/* Registers the job of a start order in the simulation.  The stand-in is not
+   told of submissions, so it registers a job when the first of its tasks
+   starts.  The stand-in does not know the job's size and registers four steps
+   with the maximum number of tasks, and unlimited attempts. */
 static void
 register_job (const struct order *o)
 {
@@ -427,14 +445,14 @@
 static void
 on_exec (void *arg, const struct httpd_req *rq)
 {
-  struct pending *p = calloc (1, sizeof *p);
+  struct pending_request *p = calloc (1, sizeof *p);
 
   sim->now_ms = now ();
   p->server = arg;
   p->request_id = rq->id;
   if (!p->server->exec->up || now () < p->server->exec->partitioned_until_ms)
     {
-      /* No answer is sent; the request times out at the instance. */
+      /* The order gets no answer, so it times out at the instance. */
       free (p);
       return;
     }
@@ -442,7 +460,7 @@
   register_job (&p->order);
   p->deadline_ms = now () + p->order.wait_ms;
   if (!try_order (p->server, rq->id, &p->order, true, p->order.wait_ms == 0))
-    TAILQ_INSERT_TAIL (&pending_list, p, link);
+    TAILQ_INSERT_TAIL (&pending_requests, p, link);
   else
     free (p);
 }
@@ -460,25 +478,26 @@
   json_array_foreach (json_object_get (body, "workers"), i, name)
     json_array_append_new (
         permitted, json_pack ("[s,s]", json_string_value (name), "ticket"));
-  answer (s, rq->id, 200,
-          json_pack ("{s:o, s:i}", "good", permitted, "valid_ms", 2000));
+  answer_json (s, rq->id, 200,
+               json_pack ("{s:o, s:i}", "good", permitted, "valid_ms", 2000));
 }
 
+/* Drops the pending request of a closed connection. */
 static void
 on_disconnect (void *arg, uint64_t request_id)
 {
-  struct pending *p, *next;
+  struct pending_request *p, *next;
 
-  TAILQ_FOREACH_SAFE (p, &pending_list, link, next)
+  TAILQ_FOREACH_SAFE (p, &pending_requests, link, next)
     if (p->server == arg && p->request_id == request_id)
       {
-        TAILQ_REMOVE (&pending_list, p, link);
+        TAILQ_REMOVE (&pending_requests, p, link);
         codec_free (&store_op_desc, &p->op);
         free (p);
       }
 }
 
-/* Prints a line if there are violations that have not been reported. */
+/* Prints a line if further violations were detected since the last line. */
 static void
 report_violations (void)
 {
@@ -494,30 +513,31 @@
 static void
 on_timer (uv_timer_t *t)
 {
-  struct pending *p, *next;
+  struct pending_request *p, *next;
 
   (void)t;
   sim->now_ms = now ();
   fexec_tick (sim);
   report_violations ();
-  TAILQ_FOREACH_SAFE (p, &pending_list, link, next)
+  TAILQ_FOREACH_SAFE (p, &pending_requests, link, next)
     {
-      bool over = now () >= p->deadline_ms;
-      bool done
-          = p->server->exec
-                ? try_order (p->server, p->request_id, &p->order, false, over)
-                : try_table_op (p->request_id, &p->op, p->deadline_ms);
+      bool deadline_passed = now () >= p->deadline_ms;
+      bool done = p->server->exec
+                      ? try_order (p->server, p->request_id, &p->order, false,
+                                   deadline_passed)
+                      : try_table_op (p->request_id, &p->op, p->deadline_ms);
       if (!done)
         continue;
-      TAILQ_REMOVE (&pending_list, p, link);
+      TAILQ_REMOVE (&pending_requests, p, link);
       codec_free (&store_op_desc, &p->op);
       free (p);
     }
 }
 
+/* Listens on @port of the loopback interface; exits on an error. */
 static void
-serve (struct server *s, int port,
-       void (*on_request) (void *arg, const struct httpd_req *rq))
+start_server (struct server *s, int port,
+              void (*on_request) (void *arg, const struct httpd_req *rq))
 {
   struct httpd_conf conf = { .addr = s->addr,
                              .body_max = BODY_MAX,
@@ -555,6 +575,8 @@
   ftable_put (sim, key, text);
 }
 
+/* Return: the contents of the file, to be freed.  Exits if the file is empty
+   or cannot be read. */
 static char *
 read_file (const char *path)
 {
@@ -570,6 +592,7 @@
   return text;
 }
 
+/* Writes the ids of all jobs of which a task was started, one per line. */
 static void
 write_started (const char *path)
 {
@@ -584,50 +607,50 @@
 }
 
 static void
-inject_table_fault (const char *what, double value)
+inject_table_fault (const char *fault, double value)
 {
-  if (strcmp (what, "down") == 0)
+  if (strcmp (fault, "down") == 0)
     sim->table.down_until_ms = now () + (int64_t)value;
-  else if (strcmp (what, "lost") == 0)
+  else if (strcmp (fault, "lost") == 0)
     sim->table.lost_reply_share = value;
-  else if (strcmp (what, "compact") == 0)
+  else if (strcmp (fault, "compact") == 0)
     sim->table.compacted_ver = sim->table.ver;
 }
 
 static void
-inject_exec_fault (int k, const char *what, double value)
+inject_exec_fault (int exec_index, const char *fault, double value)
 {
   struct fexec *e;
 
-  if (k < 0 || k >= n_execs)
+  if (exec_index < 0 || exec_index >= n_execs)
     return;
-  e = execs[k].exec;
+  e = exec_servers[exec_index].exec;
   sim->now_ms = now ();
-  if (strcmp (what, "crash") == 0)
+  if (strcmp (fault, "crash") == 0)
     fexec_crash (sim, e);
-  else if (strcmp (what, "reborn") == 0)
+  else if (strcmp (fault, "reborn") == 0)
     {
       fexec_reboot (sim, e);
-      publish_exec (&execs[k]);
+      publish_exec (&exec_servers[exec_index]);
     }
-  else if (strcmp (what, "cut") == 0)
+  else if (strcmp (fault, "cut") == 0)
     e->partitioned_until_ms = now () + (int64_t)value;
-  else if (strcmp (what, "fails") == 0)
+  else if (strcmp (fault, "fails") == 0)
     e->fails_runs = value > 0;
 }
 
 static void
 run_command (const char *line)
 {
-  char what[16] = "";
+  char fault[16] = "";
   char path[256] = "";
   double value = 0;
-  int k = -1;
+  int exec_index = -1;
 
-  if (sscanf (line, "table %15s %lf", what, &value) >= 1)
-    inject_table_fault (what, value);
-  else if (sscanf (line, "exec %d %15s %lf", &k, what, &value) >= 2)
-    inject_exec_fault (k, what, value);
+  if (sscanf (line, "table %15s %lf", fault, &value) >= 1)
+    inject_table_fault (fault, value);
+  else if (sscanf (line, "exec %d %15s %lf", &exec_index, fault, &value) >= 2)
+    inject_exec_fault (exec_index, fault, value);
   else if (sscanf (line, "config %255s", path) == 1)
     {
       clb_auto char *text = read_file (path);
@@ -680,22 +703,23 @@
                        "[ADVERTISED-OFFSET]\n");
       return 64;
     }
-  /* Connections may be reset at any time. */
+  /* Writing to a connection that the peer has closed must not end the process.
+   */
   signal (SIGPIPE, SIG_IGN);
   port = atoi (argv[1]);
   n = n_execs = atoi (argv[2]);
   advertised_offset = argc == 5 ? atoi (argv[4]) : 0;
-  started_ms = now ();
+  start_ms = now ();
   sim = fsim_new (1, 0, n, &capacity);
-  serve (&table, port, on_table);
-  execs = calloc ((size_t)n, sizeof *execs);
+  start_server (&table_server, port, on_table);
+  exec_servers = calloc ((size_t)n, sizeof *exec_servers);
   for (int i = 0; i < n; i++)
     {
-      execs[i].exec = sim->exec[i];
-      serve (&execs[i], port + 1 + i, on_exec);
-      publish_exec (&execs[i]);
+      exec_servers[i].exec = sim->exec[i];
+      start_server (&exec_servers[i], port + 1 + i, on_exec);
+      publish_exec (&exec_servers[i]);
     }
-  serve (&advice, port + 1 + n, on_advice);
+  start_server (&advice_server, port + 1 + n, on_advice);
   ftable_put (sim, "op/config", read_file (argv[3]));
   uv_timer_init (uv_default_loop (), &timer);
   uv_timer_start (&timer, on_timer, PENDING_RETRY_MS, PENDING_RETRY_MS);
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -1,15 +1,22 @@
 /*
  * fleet-load - submits jobs at a given rate, polls their states and prints how
- * long they took.  The last line of output is "N passed, N failed": a job
- * passes if it was accepted and is reported as completed.
+ * long it took until they were reported as completed.
  *
- * With -r a job that is not accepted is submitted again under the same id, to
- * the next instance, as a caller does.  A job that every instance refused
- * passes too; the line "refused ID" is printed, and the job must never run.  A
- * job that was accepted, or whose submission has an unknown outcome, must be
- * completed, unless all tries of the latter are used up and the job does not
- * exist.  The line "lost ID" is printed for a job that is not completed in
- * time.
+ * usage: fleet-load [-r] JOBS RATE FIRST-ID IP:PORT...
+ *
+ * The last line of output is "N passed, N failed".  A job passes if it was
+ * accepted and is reported as completed.
+ *
+ * With -r the program also tests what retries do.  If a submission is not
+ * accepted, the program submits the job again, under the same id, to the next
+ * instance, until TRIES_MAX submissions were sent.  The results are:
+ * - A job passes if every submission was refused.  The program prints a line
+ *   "refused ID".  The job must never run.
+ * - A job that was accepted must be completed.
+ * - A job must also be completed if the outcome of a submission is unknown. It
+ *   passes too if all tries are used up and the job does not exist.
+ * - The program prints a line "lost ID" for a job that is not completed in
+ *   time.
  */
 #include "httpc.h"
 
@@ -21,43 +28,49 @@
 
 enum
 {
-  /* Interval between two queries for the state of a job. */
+  /* Interval between two queries for the state of the same job. */
   STATE_POLL_MS = 250,
-  /* From a submission that is not accepted to the next one. */
+  /* With -r: time from the failure of a submission to the next submission of
+     the job. */
   RESUBMIT_MS = 400,
-  /* Submissions of one job with -r. */
+  /* With -r: largest number of submissions of one job. */
   TRIES_MAX = 8,
-  /* A job that is not completed by this time after its first submission is
-     counted as failed. */
+  /* A job fails if it is not completed within this time of its first
+     submission. */
   GIVE_UP_MS = 30000,
   JOBS_MAX = 100000,
 };
 
-/* struct load_job - a job and the result of its requests */
+/* struct load_job - a job and what is known of it from answers */
 struct load_job
 {
-  int64_t sent_ms;      /* first submission */
-  int64_t done_ms;      /* completed, failed or given up; 0: not yet */
-  bool accepted;        /* or all tries are used up and one may be accepted */
-  bool outcome_unknown; /* a submission may have been accepted */
+  int64_t first_sent_ms; /* time of the first submission */
+  int64_t finished_ms;   /* time when the job passed or failed; 0: not yet */
+  /* True if the next request queries the job's state instead of submitting the
+     job: a submission was accepted, or all tries are used up and one of them
+     may have been accepted. */
+  bool polls_state;
+  /* True if a submission ended without a clear answer, so that it may have
+     been accepted. */
+  bool outcome_unknown;
   bool failed;
-  int tries;
-  bool request_pending;
-  int64_t next_request_ms;
+  int n_tries;             /* submissions so far */
+  bool request_pending;    /* a request is waiting for its answer */
+  int64_t next_request_ms; /* time of the next request */
 };
 
 static struct httpc *http;
 static uv_loop_t *loop;
 static struct load_job jobs[JOBS_MAX];
-static int n_jobs;        /* submitted so far */
-static int n_unfinished;  /* submitted jobs without a result */
-static int n_jobs_wanted; /* to be submitted in all */
-static double rate;       /* jobs per second */
+static int n_jobs;           /* number of jobs submitted so far */
+static int n_unfinished;     /* number of submitted jobs without a result */
+static int n_jobs_to_submit; /* number of jobs to submit in all */
+static double jobs_per_s;    /* rate of first submissions */
 static int64_t started_ms;
 static char **addrs;
 static int n_addrs;
-static int first_id;
-static bool resubmit; /* -r */
+static int first_id;  /* job i has the id first_id + i */
+static bool resubmit; /* option -r: submit jobs again that are not accepted */
 
 static int64_t
 now (void)
@@ -72,21 +85,24 @@
 finish_job (struct load_job *j, bool passed)
 {
   j->failed = !passed;
-  j->done_ms = now ();
+  j->finished_ms = now ();
   n_unfinished--;
 }
 
+/* Handles the answer to a query for the state of a job.
+   @result: enum httpc_result */
 static void
-on_state (void *arg, int end, int status, const char *body, size_t len)
+on_state_answer (void *arg, int result, int status, const char *body,
+                 size_t len)
 {
   struct load_job *j = arg;
 
   (void)len;
   j->request_pending = false;
   j->next_request_ms = now () + STATE_POLL_MS;
-  if (end == HTTPC_OK && status == 410 && j->tries >= TRIES_MAX)
+  if (result == HTTPC_OK && status == 410 && j->n_tries >= TRIES_MAX)
     finish_job (j, true);
-  if (end != HTTPC_OK || status != 200 || !body)
+  if (result != HTTPC_OK || status != 200 || !body)
     return;
   if (strstr (body, "completed"))
     finish_job (j, true);
@@ -94,33 +110,38 @@
     finish_job (j, false);
 }
 
+/* Handles the answer to a submission.
+   @result: enum httpc_result */
 static void
-on_submitted (void *arg, int end, int status, const char *body, size_t len)
+on_submit_answer (void *arg, int result, int status, const char *body,
+                  size_t len)
 {
   struct load_job *j = arg;
 
   (void)body;
   (void)len;
   j->request_pending = false;
-  j->accepted = end == HTTPC_OK && status == 200;
-  j->next_request_ms = now () + (j->accepted ? STATE_POLL_MS : RESUBMIT_MS);
-  if (end != HTTPC_OK || status != 503)
+  j->polls_state = result == HTTPC_OK && status == 200;
+  j->next_request_ms = now () + (j->polls_state ? STATE_POLL_MS : RESUBMIT_MS);
+  if (result != HTTPC_OK || status != 503)
     j->outcome_unknown = true;
-  if (j->accepted || (resubmit && j->tries < TRIES_MAX))
+  if (j->polls_state || (resubmit && j->n_tries < TRIES_MAX))
     return;
   if (resubmit && !j->outcome_unknown)
     printf ("refused %016x\n", first_id + (int)(j - jobs));
-  /* The state of a job that may have been accepted is queried; on_state()
-     takes into account that the job may not exist. */
+  /* If a submission may have been accepted, query the job's state.  The job
+     may not exist; on_state_answer() lets such a job pass. */
   if (!resubmit || !j->outcome_unknown)
     finish_job (j, resubmit);
   else
-    j->accepted = true;
+    j->polls_state = true;
 }
 
+/* Sends a request for job @i to an instance; each submission of the job goes
+   to the next instance. */
 static void
-send_to (int i, const char *method, const char *body,
-         void (*on_end) (void *, int, int, const char *, size_t))
+send_request (int i, const char *method, const char *body,
+              void (*on_end) (void *, int, int, const char *, size_t))
 {
   char url[160];
   struct httpc_req rq = { .method = method,
@@ -135,7 +156,7 @@
                           .on_end = on_end };
 
   snprintf (url, sizeof url, "http://%s/q/%016x",
-            addrs[(i + jobs[i].tries) % n_addrs], first_id + i);
+            addrs[(i + jobs[i].n_tries) % n_addrs], first_id + i);
   jobs[i].request_pending = true;
   httpc_send (http, &rq);
 }
@@ -143,49 +164,50 @@
 static void
 submit (int i)
 {
-  send_to (i, "POST",
-           "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
-           "\"mem_mb\":100,\"estimate_ms\":300}]}",
-           on_submitted);
-  jobs[i].tries++;
+  send_request (i, "POST",
+                "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
+                "\"mem_mb\":100,\"estimate_ms\":300}]}",
+                on_submit_answer);
+  jobs[i].n_tries++;
 }
 
-/* Sends the next request for a job, or gives the job up. */
+/* Sends the next request for job @i.  The job fails instead if its time is
+   over. */
 static void
-next_request (int i)
+send_next_request (int i)
 {
   struct load_job *j = &jobs[i];
 
-  if (now () - j->sent_ms > GIVE_UP_MS)
+  if (now () - j->first_sent_ms > GIVE_UP_MS)
     {
       if (resubmit)
-        printf ("lost %016x accepted %d\n", first_id + i, j->accepted);
+        printf ("lost %016x accepted %d\n", first_id + i, j->polls_state);
       finish_job (j, false);
     }
-  else if (!j->accepted)
+  else if (!j->polls_state)
     submit (i);
   else
-    send_to (i, "GET", NULL, on_state);
+    send_request (i, "GET", NULL, on_state_answer);
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
-  int64_t at = now ();
+  int64_t now_ms = now ();
 
-  while (n_jobs < n_jobs_wanted
-         && n_jobs < (int)((double)(at - started_ms) * rate / 1000))
+  while (n_jobs < n_jobs_to_submit
+         && n_jobs < (int)((double)(now_ms - started_ms) * jobs_per_s / 1000))
     {
-      jobs[n_jobs].sent_ms = at;
+      jobs[n_jobs].first_sent_ms = now_ms;
       n_unfinished++;
       submit (n_jobs);
       n_jobs++;
     }
   for (int i = 0; i < n_jobs; i++)
-    if (!jobs[i].done_ms && !jobs[i].request_pending
-        && at >= jobs[i].next_request_ms)
-      next_request (i);
-  if (n_jobs == n_jobs_wanted && n_unfinished == 0)
+    if (!jobs[i].finished_ms && !jobs[i].request_pending
+        && now_ms >= jobs[i].next_request_ms)
+      send_next_request (i);
+  if (n_jobs == n_jobs_to_submit && n_unfinished == 0)
     {
       uv_timer_stop (t);
       uv_stop (loop);
@@ -217,8 +239,8 @@
                "usage: fleet-load [-r] JOBS RATE FIRST-ID IP:PORT...\n");
       return 64;
     }
-  n_jobs_wanted = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
-  rate = atof (argv[2]);
+  n_jobs_to_submit = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
+  jobs_per_s = atof (argv[2]);
   first_id = atoi (argv[3]);
   addrs = argv + 4;
   n_addrs = argc - 4;
@@ -231,7 +253,7 @@
   uv_run (loop, UV_RUN_DEFAULT);
   for (int i = 0; i < n_jobs; i++)
     if (!jobs[i].failed)
-      durations_ms[passed++] = jobs[i].done_ms - jobs[i].sent_ms;
+      durations_ms[passed++] = jobs[i].finished_ms - jobs[i].first_sent_ms;
   qsort (durations_ms, (size_t)passed, sizeof *durations_ms, compare_ms);
   if (passed)
     printf ("shown as completed after p50 %lld ms, p99 %lld ms\n",
--- a/regress/unit/codec_test.c
+++ b/regress/unit/codec_test.c
@@ -1,4 +1,4 @@
-/* Tests of the encoding and decoding of messages, rows and documents. */
+/* Tests that encode and decode messages, rows and documents. */
 #include "msg.h"
 #include "unit.h"
 
@@ -7,13 +7,13 @@
 
 enum
 {
-  /* Number of damaged copies of each message that are decoded. */
-  MUTATIONS = 20000,
+  /* Number of damaged copies of each message or text that are decoded. */
+  N_DAMAGED_COPIES = 20000,
 };
 
 static uint32_t rng_state = 1;
 
-/* Return: a pseudorandom number from 0 to @below - 1. */
+/* Return: a pseudorandom number from 0 up to, but not including, @below. */
 static uint32_t
 next_random (uint32_t below)
 {
@@ -21,6 +21,7 @@
   return (rng_state >> 8) % below;
 }
 
+/* Return: a sample message: an acquire call from instance a1 for team red. */
 static struct pmsg
 sample_message (void)
 {
@@ -41,23 +42,23 @@
 test_round_trip (void)
 {
   struct pmsg m = sample_message ();
-  struct pmsg back;
+  struct pmsg decoded;
   struct codec_err ce;
   char *buf;
   size_t len;
 
   CU_ASSERT_EQUAL (pmsg_pack (&m, &buf, &len), 0);
-  CU_ASSERT_EQUAL (pmsg_unpack (buf, len, &back, &ce), 0);
-  CU_ASSERT_EQUAL (back.kind, PM_CALL);
-  CU_ASSERT_EQUAL (back.boot, 7);
-  CU_ASSERT_STRING_EQUAL (back.from, "a1");
-  CU_ASSERT_EQUAL (back.u.call.seq, 99);
-  CU_ASSERT_EQUAL (back.u.call.verb, CALL_ACQUIRE);
-  CU_ASSERT_STRING_EQUAL (back.u.call.id, "a.a1-7-99");
-  CU_ASSERT_STRING_EQUAL (back.u.call.team, "red");
-  CU_ASSERT_EQUAL (back.u.call.spec.need.cores, 4);
-  CU_ASSERT_EQUAL (back.u.call.spec.members, 2);
-  CU_ASSERT (back.u.call.idempotent);
+  CU_ASSERT_EQUAL (pmsg_unpack (buf, len, &decoded, &ce), 0);
+  CU_ASSERT_EQUAL (decoded.kind, PM_CALL);
+  CU_ASSERT_EQUAL (decoded.boot, 7);
+  CU_ASSERT_STRING_EQUAL (decoded.from, "a1");
+  CU_ASSERT_EQUAL (decoded.u.call.seq, 99);
+  CU_ASSERT_EQUAL (decoded.u.call.verb, CALL_ACQUIRE);
+  CU_ASSERT_STRING_EQUAL (decoded.u.call.id, "a.a1-7-99");
+  CU_ASSERT_STRING_EQUAL (decoded.u.call.team, "red");
+  CU_ASSERT_EQUAL (decoded.u.call.spec.need.cores, 4);
+  CU_ASSERT_EQUAL (decoded.u.call.spec.members, 2);
+  CU_ASSERT (decoded.u.call.idempotent);
   free (buf);
 }
 
@@ -67,53 +68,53 @@
 test_damaged_peer_message (void)
 {
   struct pmsg m = sample_message ();
-  struct pmsg back;
+  struct pmsg decoded;
   struct codec_err ce;
   char *buf;
   size_t len;
 
   pmsg_pack (&m, &buf, &len);
-  for (int i = 0; i < MUTATIONS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
       char *damaged = malloc (len);
       memcpy (damaged, buf, len);
       for (uint32_t n = next_random (4) + 1; n > 0; n--)
         damaged[next_random ((uint32_t)len)] = (char)next_random (256);
       size_t cut = next_random (8) == 0 ? next_random ((uint32_t)len) : len;
-      if (pmsg_unpack (damaged, cut, &back, &ce) == 0)
+      if (pmsg_unpack (damaged, cut, &decoded, &ce) == 0)
         {
-          CU_ASSERT (back.kind >= 0 && back.kind < PM_N);
-          pmsg_free (&back);
+          CU_ASSERT (decoded.kind >= 0 && decoded.kind < PM_N);
+          pmsg_free (&decoded);
         }
       free (damaged);
     }
   free (buf);
 }
 
-/* Decoding damaged text must not crash or leak memory; an error must name the
-   field. */
+/* Checks that decoding damaged copies of @text does not crash or leak memory,
+   and that a decoding error names the field. */
 static void
 check_damaged_text (const struct desc *d, const char *text)
 {
   size_t len = strlen (text);
   struct codec_err ce;
-  void *s = calloc (1, d->size);
+  void *decoded = calloc (1, d->size);
 
-  for (int i = 0; i < MUTATIONS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
       char *damaged = malloc (len);
       memcpy (damaged, text, len);
       for (uint32_t n = next_random (3) + 1; n > 0; n--)
         damaged[next_random ((uint32_t)len)] = (char)(next_random (94) + 32);
       if (codec_parse (d, damaged, len, i % 2 ? CODEC_STRICT : CODEC_LENIENT,
-                       s, &ce)
+                       decoded, &ce)
           == 0)
-        codec_free (d, s);
+        codec_free (d, decoded);
       else
         CU_ASSERT (ce.err < 0 && *ce.path);
       free (damaged);
     }
-  free (s);
+  free (decoded);
 }
 
 static void
--- a/regress/unit/conf_test.c
+++ b/regress/unit/conf_test.c
@@ -11,7 +11,7 @@
       "\"0000000000000000000000000000000000000000000000000000000000000000\"}],"
       "\"queues\":[{\"name\":\"q\",\"class\":\"normal\",\"max_waiting\":5}]}";
 
-/* Return: the result of conf_parse(). */
+/* Return: the result of conf_parse() for @text. */
 static int
 parse (const char *text, struct codec_err *ce)
 {
@@ -23,7 +23,8 @@
   return err;
 }
 
-/* Checks that @text is refused with @err at @path, unless @path is NULL. */
+/* Checks that @text is refused with error @err and, unless @path is NULL, that
+   the error names the field @path. */
 static void
 check_error (const char *text, int err, const char *path)
 {
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -1,10 +1,10 @@
-/* Tests of one fleet instance. */
+/* Tests of a single instance of the fleet's scheduler. */
 #include "fleet.h"
 #include "unit.h"
 
 #include <string.h>
 
-/* Configuration decoder that refuses every text. */
+/* Decodes a configuration, but refuses every text. */
 static int
 refuse_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
@@ -14,9 +14,10 @@
   return CLB_EFIELD;
 }
 
-/* Starts an instance at 1000 ms. */
+/* Initializes @f as a new process with boot number @boot and calls its first
+   tick, at 1000 ms. */
 static void
-start (struct fleet *f, int64_t boot)
+start_instance (struct fleet *f, int64_t boot)
 {
   struct fleet_settings settings
       = { .boot = boot,
@@ -29,8 +30,10 @@
   fleet_tick (f, 1000, 1000);
 }
 
-/* Return: the token of the instance's next call to the table, 0 if the next
-   output is no such call. */
+/* Takes the next output of an instance.
+
+   Return: the token of the output if it is a call to the table, otherwise 0.
+ */
 static uint64_t
 next_store_token (struct fleet *f)
 {
@@ -42,29 +45,31 @@
   return token;
 }
 
-/* A reply to an earlier process may be delivered, through another instance, to
-   the next process on the same address.  Their tokens must differ, or the next
-   process would take the reply for one of its own. */
+/* Another instance may pass a table reply for a process to the next process on
+   the same address.  The tokens of the two processes must differ, or the next
+   process takes the reply for an answer to one of its own calls. */
 static void
 test_store_tokens_of_restarted_process (void)
 {
   struct fleet first, second;
-  uint64_t a, b;
-
-  start (&first, 1796352007000);
-  start (&second, 1796352007741);
-  a = next_store_token (&first);
-  b = next_store_token (&second);
-  CU_ASSERT_NOT_EQUAL (a, 0);
-  CU_ASSERT_NOT_EQUAL (b, 0);
-  CU_ASSERT (b - a > 1000000);
-  CU_ASSERT (b < INT64_MAX);
+  uint64_t first_token, second_token;
+
+  start_instance (&first, 1796352007000);
+  start_instance (&second, 1796352007741);
+  first_token = next_store_token (&first);
+  second_token = next_store_token (&second);
+  CU_ASSERT_NOT_EQUAL (first_token, 0);
+  CU_ASSERT_NOT_EQUAL (second_token, 0);
+  CU_ASSERT (second_token - first_token > 1000000);
+  CU_ASSERT (second_token < INT64_MAX);
   fleet_fini (&first);
   fleet_fini (&second);
 }
 
-/* Return: the rank that a leader sends in reply to a hello of instance @from,
-   0 if it sends none, -1 if it does not reply. */
+/* Passes a hello of instance @from to the leader @f.
+
+   Return: the rank in the leader's reply; 0 if the reply contains no rank, -1
+   if the leader does not reply. */
 static int64_t
 rank_sent (struct fleet *f, int64_t now_ms, const char *from)
 {
@@ -84,14 +89,14 @@
   return rank;
 }
 
-/* A recently elected leader has not received hellos of all instances, so it
-   must not rank the first sender as the strongest. */
+/* A recently elected leader has not received the hellos of all instances yet.
+   It must not rank the first sender of a hello as the strongest instance. */
 static void
 test_recently_elected_leader_sends_no_rank (void)
 {
   struct fleet f;
 
-  start (&f, 1796352007000);
+  start_instance (&f, 1796352007000);
   f.leader.state = LEADER_LEADING;
   f.leader.renewed_ms = 1000;
   f.fsched = fsched_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.fsched);
@@ -100,8 +105,8 @@
   fleet_fini (&f);
 }
 
-/* A message of a new leader without a rank (-1) must not replace the rank that
-   an earlier leader sent. */
+/* A new leader may send a message without a rank (-1).  It must not replace
+   the rank that an earlier leader sent. */
 static void
 test_missing_rank_keeps_last_rank (void)
 {
--- a/regress/unit/hist_test.c
+++ b/regress/unit/hist_test.c
@@ -1,4 +1,4 @@
-/* Tests of histograms and their output as metrics. */
+/* Tests of histograms and of their output as metrics. */
 #include "hist.h"
 #include "unit.h"
 
@@ -7,7 +7,7 @@
 
 /* Return: the output of hist_print(), to be freed. */
 static char *
-printed (const struct hist *h, const char *label, const char *value)
+print_to_text (const struct hist *h, const char *label, const char *value)
 {
   char *text = NULL;
   size_t len = 0;
@@ -29,7 +29,7 @@
   hist_add (&h, 2);
   hist_add (&h, 700);
   hist_add (&h, 1000000);
-  text = printed (&h, NULL, NULL);
+  text = print_to_text (&h, NULL, NULL);
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_ms_bucket{le=\"1\"} 2\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_ms_bucket{le=\"2\"} 3\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_ms_bucket{le=\"500\"} 3\n"));
@@ -48,7 +48,7 @@
   char *text;
 
   hist_add (&h, 3);
-  text = printed (&h, "kind", "hold");
+  text = print_to_text (&h, "kind", "hold");
   CU_ASSERT_PTR_NOT_NULL (
       strstr (text, "citronlb_x_ms_bucket{kind=\"hold\",le=\"5\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (
@@ -56,7 +56,8 @@
   free (text);
 }
 
-/* A duration is negative if the clock was set back; it must count as 0. */
+/* A measured duration is negative if the clock was set back.  The histogram
+   must count it as 0. */
 static void
 test_negative_value (void)
 {
@@ -64,7 +65,7 @@
   char *text;
 
   hist_add (&h, -5);
-  text = printed (&h, NULL, NULL);
+  text = print_to_text (&h, NULL, NULL);
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_ms_bucket{le=\"1\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "x_ms_sum 0\n"));
   free (text);
--- a/regress/unit/place_test.c
+++ b/regress/unit/place_test.c
@@ -7,7 +7,7 @@
 
 static struct pool pool;
 
-/* Adds a worker that is live and listed. */
+/* Adds a live and listed worker to the pool. */
 static struct worker *
 add_worker (const char *id, const char *rack, int64_t cores, int64_t accels)
 {
@@ -23,16 +23,18 @@
   return w;
 }
 
-/* Picks workers into @out.  @avoid is a worker that is picked only if no other
-   will do, or empty.
+/* Picks workers for a task and stores them in @picked.
+   @avoid: id of a worker that is picked only if no other worker fits; or empty
 
-   Return: WHY_BEST_FIT or the reason why no workers were picked. */
+   Return: WHY_BEST_FIT if workers were picked, otherwise the reason why not
+   (WHY_...). */
 static int
-pick (const struct spec *spec, const char *avoid, struct worker **out)
+pick_workers (const struct spec *spec, const char *avoid,
+              struct worker **picked)
 {
-  int64_t looked_at;
+  int64_t n_candidates;
 
-  return pool_pick (&pool, spec, avoid, 0, out, &looked_at);
+  return pool_pick (&pool, spec, avoid, 0, picked, &n_candidates);
 }
 
 static void
@@ -44,10 +46,10 @@
   pool_init (&pool);
   add_worker ("big", "r", 16, 0);
   add_worker ("small", "r", 4, 0);
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_BEST_FIT);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_BEST_FIT);
   CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "small");
   CU_ASSERT_EQUAL (picked[0]->used.cores, 3);
-  CU_ASSERT_EQUAL (pick (&spec, "big", picked), WHY_BEST_FIT);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "big", picked), WHY_BEST_FIT);
   CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "big");
   pool_clear (&pool);
 }
@@ -61,7 +63,7 @@
   pool_init (&pool);
   add_worker ("accel", "r", 4, 1);
   add_worker ("plain", "r", 16, 0);
-  pick (&spec, "", picked);
+  pick_workers (&spec, "", picked);
   CU_ASSERT_STRING_EQUAL (picked[0]->inst.id, "plain");
   pool_clear (&pool);
 }
@@ -74,14 +76,14 @@
 
   pool_init (&pool);
   struct worker *a = add_worker ("a", "r1", 16, 0);
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_WORKER_FITS);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_NO_WORKER_FITS);
   CU_ASSERT_EQUAL (a->used.cores, 0);
   struct worker *b = add_worker ("b", "r2", 8, 0);
   b->used.cores = 1;
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_NO_ROOM);
   CU_ASSERT_EQUAL (a->used.cores, 0);
   b->used.cores = 0;
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_BEST_FIT);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_BEST_FIT);
   pool_clear (&pool);
 }
 
@@ -90,7 +92,7 @@
 {
   struct spec spread
       = { .members = 2, .spread = true, .need = { .cores = 1 } };
-  struct spec near
+  struct spec one_rack
       = { .members = 2, .same_rack = true, .need = { .cores = 8 } };
   struct worker *picked[2];
 
@@ -98,14 +100,14 @@
   add_worker ("a", "r1", 8, 0);
   add_worker ("b", "r1", 8, 0);
   add_worker ("c", "r2", 8, 0);
-  pick (&spread, "", picked);
+  pick_workers (&spread, "", picked);
   CU_ASSERT_STRING_NOT_EQUAL (picked[0]->inst.rack, picked[1]->inst.rack);
   pool_clear (&pool);
   pool_init (&pool);
   add_worker ("a", "r1", 8, 0);
   add_worker ("b", "r2", 8, 0);
   add_worker ("c", "r2", 8, 0);
-  CU_ASSERT_EQUAL (pick (&near, "", picked), WHY_BEST_FIT);
+  CU_ASSERT_EQUAL (pick_workers (&one_rack, "", picked), WHY_BEST_FIT);
   CU_ASSERT_STRING_EQUAL (picked[0]->inst.rack, picked[1]->inst.rack);
   pool_clear (&pool);
 }
@@ -119,13 +121,13 @@
   pool_init (&pool);
   struct worker *w = add_worker ("a", "r", 8, 0);
   w->leaving = true;
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_NO_ROOM);
   w->leaving = false;
   w->quarantine_until_ms = 5;
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_NO_ROOM);
   w->quarantine_until_ms = 0;
   w->state = WORKER_UNREACHABLE;
-  CU_ASSERT_EQUAL (pick (&spec, "", picked), WHY_NO_ROOM);
+  CU_ASSERT_EQUAL (pick_workers (&spec, "", picked), WHY_NO_ROOM);
   pool_clear (&pool);
 }
 
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -1,5 +1,5 @@
-/* Tests of the decoders of the fleet's platform: which documents they accept,
-   which they refuse, and that damaged documents are decoded safely. */
+/* Tests of the decoders for documents of the fleet's platform: which documents
+   they accept and which they refuse, also if a document is damaged. */
 #include "platform.h"
 #include "unit.h"
 
@@ -9,7 +9,7 @@
 enum
 {
   /* Number of damaged copies of each document that are decoded. */
-  FUZZ_ROUNDS = 20000,
+  N_DAMAGED_COPIES = 20000,
 };
 
 static const char entry_json[]
@@ -109,7 +109,7 @@
   CU_ASSERT_EQUAL (spec.steps[1].after, 1);
   CU_ASSERT_TRUE (spec.steps[1].gang);
   CU_ASSERT_EQUAL (job_check (&spec, &ce), 0);
-  /* Bit 1: the step would wait for itself. */
+  /* Bit 1 means that step 1 waits for itself. */
   spec.steps[1].after = 2;
   CU_ASSERT_EQUAL (job_check (&spec, &ce), CLB_EREF);
   codec_free (&job_spec_desc, &spec);
@@ -154,7 +154,7 @@
   CU_ASSERT_EQUAL_FATAL (res.n_runs, 1);
   CU_ASSERT_EQUAL (res.runs[0].percent, 41);
   CU_ASSERT_EQUAL (res.runs[0].task.index, 2);
-  /* Invalid rows are left out, the valid ones are kept. */
+  /* Rows 59 and 60 are invalid; only they are omitted. */
   CU_ASSERT_EQUAL_FATAL (res.n_ends, 1);
   CU_ASSERT_EQUAL (res.ends[0].seq, 58);
   order_result_clear (&res);
@@ -213,6 +213,7 @@
 
 static uint64_t rng_state = 88172645463325252ULL;
 
+/* Return: the next pseudorandom number. */
 static uint64_t
 next_random (void)
 {
@@ -222,11 +223,12 @@
   return rng_state;
 }
 
-/* Copies a document with some bytes changed or its end cut off.
+/* Copies the document @from to @to, of @size bytes, with some bytes changed or
+   its end cut off.
 
    Return: length of the copy. */
 static size_t
-damage (const char *from, char *to, size_t size)
+copy_damaged (const char *from, char *to, size_t size)
 {
   size_t len = strlen (from);
 
@@ -247,30 +249,30 @@
 }
 
 static void
-test_fuzz (void)
+test_damaged_documents (void)
 {
   char text[2048];
   struct codec_err ce;
 
-  for (int i = 0; i < FUZZ_ROUNDS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
       struct exec_report rep;
       struct fconf *conf;
       struct job_spec spec;
       struct order_result res;
       size_t len;
-      damage (entry_json, text, sizeof text);
+      copy_damaged (entry_json, text, sizeof text);
       pf_codec.exec ("i-1", text, &rep);
-      damage (config_json, text, sizeof text);
+      copy_damaged (config_json, text, sizeof text);
       if (!pf_codec.conf (text, &conf, &ce))
         fconf_free (conf);
-      len = damage (job_json, text, sizeof text);
+      len = copy_damaged (job_json, text, sizeof text);
       if (!pf_codec.job (text, len, &spec, &ce))
         {
           job_check (&spec, &ce);
           codec_free (&job_spec_desc, &spec);
         }
-      len = damage (poll_json, text, sizeof text);
+      len = copy_damaged (poll_json, text, sizeof text);
       pf_order_decode (ORDER_POLL, HTTPC_OK, 200, text, len, &res);
       order_result_clear (&res);
     }
@@ -286,4 +288,4 @@
              test_poll_lists },
            { "the reply to an order gives its outcome", test_outcomes },
            { "task names are parsed and printed", test_task_names },
-           { "damaged documents are decoded safely", test_fuzz })
+           { "damaged documents are decoded safely", test_damaged_documents })
