--- a/regress/fleet/gang.lua
+++ b/regress/fleet/gang.lua
@@ -1,7 +1,8 @@
 dofile("regress/fleet/lib.lua")
 
--- When the answer to a start order is lost, the leader cannot know whether the
--- member has started.  It must not leave the other members waiting.
+-- When the answer to a member's start order is lost, the leader cannot know
+-- whether the member has started.  The leader must stop the other members
+-- instead of leaving them waiting.
 scenario("a gang is stopped when the start order of one member is lost",
   function()
   start_fleet{execs = 4, cores = 4}
@@ -17,7 +18,8 @@
   expect(state(0, id(1)) == "completed", "job is not completed")
 end)
 
--- The task runs; stopping it and starting it again would waste the work.
+-- The task is running although the answer to its start order was lost.
+-- Stopping the task and starting it again would waste its work.
 scenario("a run is not stopped when only the answer to its start was lost",
   function()
   start_fleet{execs = 2}
@@ -39,10 +41,10 @@
   expect(starts == 20, starts .. " starts instead of 20")
 end)
 
--- The answer to the first start order is lost, and the second order cannot be
--- sent.  The leader must not take the second outcome as proof that the task is
--- not running.
-scenario("a start order that is not sent does not settle an earlier one",
+-- The answer to a task's first start order is lost, and a second start order
+-- cannot be sent.  The leader must not take the second outcome as proof that
+-- the task is not running.
+scenario("an unsent start order does not decide the outcome of an earlier one",
   function()
   start_fleet{execs = 2, cores = 4}
   exec(0, "lose-results", 1)
--- a/regress/fleet/instances.lua
+++ b/regress/fleet/instances.lua
@@ -1,17 +1,18 @@
 dofile("regress/fleet/lib.lua")
 
--- The instance whose wall clock is 4 s behind takes the second of three jobs.
+-- The second of three jobs is submitted to an instance whose wall clock is 4 s
+-- behind.  The jobs must run in the order of submission.
 scenario("jobs keep their order when the wall clocks of instances differ",
   function()
   start_fleet{execs = 1, cores = 1}
-  local behind = (leader() + 1) % 3
-  instance(behind, "clock", -4000)
+  local clock_behind = (leader() + 1) % 3
+  instance(clock_behind, "clock", -4000)
   run(100)
   job{id = id(1), steps = {{tasks = 1, ms = 800}}}
   submit(leader(), id(1))
   run(200)
   job{id = id(2), steps = {{tasks = 1, ms = 500}}}
-  submit(behind, id(2))
+  submit(clock_behind, id(2))
   run(100)
   job{id = id(3), steps = {{tasks = 1, ms = 500}}}
   submit(leader(), id(3))
@@ -20,8 +21,8 @@
          "the job that was submitted earlier is not completed first")
 end)
 
--- The leader has the other instances query the advice service for it.  Queries
--- that they never answer must be repeated.
+-- The leader sends its queries for advice through the other instances.  It must
+-- repeat queries to which an instance never replies.
 scenario("advice queries through partitioned instances are repeated",
          function()
   start_fleet{instances = 3, execs = 4}
--- a/regress/fleet/load.lua
+++ b/regress/fleet/load.lua
@@ -1,11 +1,12 @@
 dofile("regress/fleet/lib.lua")
 
--- Submits the usual mix of jobs at RATE times the usual rate for SECONDS, to 48
--- executors of 16 cores.  per_s is the usual rate of a kind in jobs per second.
+-- Starts a simulation with 48 executors of 16 cores and submits the usual mix
+-- of jobs, at rate_factor times the usual rate, for this many seconds.  per_s is
+-- the usual rate of a kind of job in jobs per second.
 --
 -- Return: the submitted jobs, each with its id, kind, time of submission (ms),
--- call number and due time (ms).
-local function submit_mix(rate, seconds)
+-- number of the request and due time (ms).
+local function submit_mix(rate_factor, seconds)
   start_fleet{instances = 6, execs = 48, permitted_percent = 50}
   local n, sent = 0, {}
   local kinds = {
@@ -18,8 +19,8 @@
   }
   for tick = 1, seconds * 20 do
     for _, k in ipairs(kinds) do
-      if random() < k.per_s * rate / 20 then
-        for _ = 1, math.max(1, math.floor(k.per_s * rate / 20)) do
+      if random() < k.per_s * rate_factor / 20 then
+        for _ = 1, math.max(1, math.floor(k.per_s * rate_factor / 20)) do
           n = n + 1
           job{id = id(n), queue = k.queue, advice_base_us = k.base,
               advice_per_exec_us = k.per_exec,
@@ -35,7 +36,8 @@
   return sent
 end
 
-scenario("a backlog of ten seconds of triple load is worked off", function()
+scenario("all accepted jobs complete after ten seconds of triple load",
+  function()
   local sent = submit_mix(3, 10)
   run(30000)
   local n_unfinished = 0
--- a/regress/fleet/store.lua
+++ b/regress/fleet/store.lua
@@ -1,5 +1,8 @@
 dofile("regress/fleet/lib.lua")
 
+-- Submits jobs first to last, each to the next instance.
+--
+-- Return: the numbers of the requests, in order.
 local function submit_jobs(first, last)
   local calls = {}
   for n = first, last do
@@ -9,8 +12,8 @@
   return calls
 end
 
--- Return: how many of the calls were answered with this status.
-local function count(calls, status)
+-- Return: number of the requests that were answered with this HTTP status.
+local function count_answers(calls, status)
   local n = 0
   for _, c in ipairs(calls) do if answer(c) == status then n = n + 1 end end
   return n
@@ -43,7 +46,8 @@
   for n = 1, 3 do expect(task(id(n)) == 0, "a refused job was started") end
 end)
 
--- An instance must find out whether a write without an answer was executed.
+-- When the answer to a table write is lost, the instance must find out whether
+-- the write was executed.
 scenario("jobs are completed when answers to table writes are lost", function()
   start_fleet{}
   store("lose-replies", 0.35)
@@ -56,11 +60,11 @@
       expect(state(1, id(i)) == "completed", "accepted job is not completed")
     end
   end
-  expect(count(calls, 200) > 20, "20 or fewer of 30 jobs are accepted")
+  expect(count_answers(calls, 200) > 20, "20 or fewer of 30 jobs are accepted")
 end)
 
--- A feed cannot return changes from before a compaction, so instances must list
--- the rows again.
+-- A feed cannot return changes from before a compaction of the table, so
+-- instances must list the rows of the table again.
 scenario("jobs are found after the table has dropped its change history",
   function()
   start_fleet{}
@@ -124,7 +128,7 @@
   expect(answer(w) == 404, "status is not 404")
 end)
 
-scenario("an instance without the table records jobs through another one",
+scenario("an instance that cannot reach the table records jobs through another",
   function()
   start_fleet{}
   local isolated = (leader() + 1) % 3
@@ -137,7 +141,8 @@
     run(120)
   end
   run(400)
-  expect(count(calls, 200) == 10, count(calls, 200) .. " of 10 accepted")
+  expect(count_answers(calls, 200) == 10,
+         count_answers(calls, 200) .. " of 10 accepted")
   run(3000)
   for n = 1, 10 do
     expect(state((isolated + 1) % 3, id(n)) == "completed",
@@ -152,22 +157,23 @@
   run(2500)
   local calls = submit_jobs(1, 3)
   run(30)
-  expect(count(calls, 503) == 3, count(calls, 503) .. " of 3 refused")
+  expect(count_answers(calls, 503) == 3,
+         count_answers(calls, 503) .. " of 3 refused")
   run(12000)
   for n = 1, 3 do expect(task(id(n)) == 0, "a refused job was started") end
 end)
 
--- A write through another instance has an unknown outcome, and the table then
--- refuses the next attempt.  The caller must not be told that the job was not
--- accepted.
+-- The first write of a job, through another instance, has an unknown outcome.
+-- The table then refuses the next write.  The instance must not tell the caller
+-- that the job was not accepted: the first write may have been executed.
 scenario("an unknown outcome is not reported as a refusal", function()
   start_fleet{}
-  local rejected = (leader() + 1) % 3
-  instance(rejected, "refuse-store", 9000)
+  local refused_by_table = (leader() + 1) % 3
+  instance(refused_by_table, "refuse-store", 9000)
   run(2200)
   job{id = id(1), steps = {{tasks = 1}}}
   store("lose-replies", 1)
-  local call = submit(rejected, id(1))
+  local call = submit(refused_by_table, id(1))
   run(600)
   store("lose-replies", 0)
   store("down", 2500)
@@ -187,7 +193,8 @@
     run(30)
   end
   run(4000)
-  expect(count(calls, 200) >= 28, count(calls, 200) .. " of 30 accepted")
+  expect(count_answers(calls, 200) >= 28,
+         count_answers(calls, 200) .. " of 30 accepted")
   expect(proxied() == proxied_before,
          proxied() - proxied_before .. " calls through other instances")
 end)
--- a/regress/fleet/takeover.lua
+++ b/regress/fleet/takeover.lua
@@ -1,5 +1,6 @@
 dofile("regress/fleet/lib.lua")
 
+-- Submits count jobs, beginning with number first, each to the next instance.
 local function submit_jobs(first, count, steps)
   for n = first, first + count - 1 do
     job{id = id(n), steps = steps or {{tasks = 3, ms = 2500, cpu = 2000}}}
@@ -7,16 +8,16 @@
   end
 end
 
--- Checks at instance query_at that these jobs are completed.
-local function all_completed(first, last, query_at)
+-- Checks that instance query_at reports jobs first to last as completed.
+local function expect_completed(first, last, query_at)
   for n = first, last do
     local s = state(query_at, id(n))
     expect(s == "completed", "job " .. n .. " is " .. s)
   end
 end
 
--- Return: an instance other than l.
-local function follower(l) return (l + 1) % 3 end
+-- Return: index of an instance other than instance l.
+local function other_instance(l) return (l + 1) % 3 end
 
 scenario("running tasks are kept when the leader is killed", function()
   start_fleet{}
@@ -27,7 +28,7 @@
   run(3000)
   expect(leader() >= 0 and leader() ~= l, "no successor leads within 3 s")
   run(4000)
-  all_completed(1, 8, follower(l))
+  expect_completed(1, 8, other_instance(l))
   for n = 1, 8 do
     for t = 0, 2 do
       expect(task(id(n), 0, t) == 1, "task was not started exactly once")
@@ -43,10 +44,10 @@
   instance(l, "freeze", 5000)
   submit_jobs(20, 6)
   run(9000)
-  all_completed(1, 6, follower(l))
+  expect_completed(1, 6, other_instance(l))
 end)
 
-scenario("a leader without the table continues through another instance",
+scenario("a leader that cannot reach the table continues through another one",
   function()
   start_fleet{}
   submit_jobs(1, 6)
@@ -60,8 +61,8 @@
   end
   run(3500)
   expect(leader() == l, "the leader has changed")
-  all_completed(1, 6, follower(l))
-  all_completed(20, 25, follower(l))
+  expect_completed(1, 6, other_instance(l))
+  expect_completed(20, 25, other_instance(l))
   run(5000)
   expect(leader() == l, "the leader has changed after the partition")
 end)
@@ -76,7 +77,7 @@
   submit_jobs(1, 6, {{tasks = 2, ms = 500}})
   run(1500)
   expect(leader() == l, "the leader has changed")
-  all_completed(1, 6, follower(l))
+  expect_completed(1, 6, other_instance(l))
 end)
 
 scenario("a fully partitioned leader is replaced",
@@ -88,18 +89,18 @@
   instance(l, "partition-store", 8000)
   instance(l, "partition", 8000)
   run(3000)
-  local next = leader()
-  expect(next >= 0 and next ~= l, "no successor leads")
+  local successor = leader()
+  expect(successor >= 0 and successor ~= l, "no successor leads")
   for n = 20, 25 do
     job{id = id(n), steps = {{tasks = 2}}}
-    submit(next, id(n))
+    submit(successor, id(n))
   end
   run(8000)
-  all_completed(1, 6, next)
-  all_completed(20, 25, next)
+  expect_completed(1, 6, successor)
+  expect_completed(20, 25, successor)
 end)
 
-scenario("a leader that is stopped hands over at once", function()
+scenario("a leader that is ordered to stop is replaced at once", function()
   start_fleet{}
   submit_jobs(1, 4)
   run(600)
@@ -108,7 +109,7 @@
   run(700)
   expect(leader() >= 0 and leader() ~= l, "no successor leads within 0.7 s")
   run(4500)
-  all_completed(1, 4, follower(l))
+  expect_completed(1, 4, other_instance(l))
 end)
 
 scenario("no job is lost or run twice when all instances are killed", function()
@@ -119,10 +120,11 @@
   run(1500)
   for i = 0, 2 do instance(i, "start") end
   run(12000)
-  all_completed(1, 10, 1)
+  expect_completed(1, 10, 1)
 end)
 
 -- The tasks of an unreachable executor may be running until its lease ends.
+-- The leader must not start them on other executors before that time.
 scenario("tasks of an unreachable executor are moved after its lease",
          function()
   start_fleet{execs = 4}
@@ -132,7 +134,7 @@
   exec(0, "partition", 20000)
   instance(l, "kill")
   run(16000)
-  all_completed(1, 8, follower(l))
+  expect_completed(1, 8, other_instance(l))
 end)
 
 -- Runs of one task fail on several executors, and the leader is killed while
@@ -158,11 +160,12 @@
   run(500)
   exec(0, "crash")
   run(10500)
-  all_completed(1, 6, leader())
+  expect_completed(1, 6, leader())
 end)
 
--- Only tasks that may be running on an unreachable executor wait for its lease.
-scenario("an executor lost with the leader delays only its own tasks",
+-- An executor crashes together with the leader.  Only tasks that may be running
+-- on that executor must wait for the end of its lease.
+scenario("an executor that crashes with the leader delays only its own tasks",
   function()
   start_fleet{}
   job{id = id(1), steps = {{tasks = 30, ms = 2000, cpu = 4000}}}
@@ -176,14 +179,14 @@
   run(5500)
   local done = 0
   for n = 2, 7 do
-    if state(follower(l), id(n)) == "completed" then done = done + 1 end
+    if state(other_instance(l), id(n)) == "completed" then done = done + 1 end
   end
   expect(done >= 5, done .. " of 6 jobs without a started task are completed")
   run(9000)
-  all_completed(1, 7, follower(l))
+  expect_completed(1, 7, other_instance(l))
 end)
 
-scenario("the leader stays when table writes are executed seconds late",
+scenario("the leader does not change when table writes are seconds late",
   function()
   start_fleet{}
   local l = leader()
@@ -194,10 +197,10 @@
   run(7000)
   submit_jobs(1, 4)
   run(4000)
-  all_completed(1, 4, follower(l))
+  expect_completed(1, 4, other_instance(l))
 end)
 
-scenario("the leader stays when the table is slow", function()
+scenario("the leader does not change when the table is slow", function()
   start_fleet{}
   local l = leader()
   store("slow", 50)
@@ -206,5 +209,5 @@
   store("slow", 1)
   submit_jobs(1, 4)
   run(4000)
-  all_completed(1, 4, follower(l))
+  expect_completed(1, 4, other_instance(l))
 end)
--- a/regress/fleet/walk.lua
+++ b/regress/fleet/walk.lua
@@ -1,7 +1,7 @@
 dofile("regress/fleet/lib.lua")
 
--- Injects one or two random faults at a time while jobs are submitted.  After
--- the faults, every accepted job must end.
+-- Injects one or two random faults at a time while jobs are submitted.  Every
+-- accepted job must be completed or failed within 25 s after the last faults.
 scenario("random walk", function()
   start_fleet{instances = 4, execs = 8, permitted_percent = 80}
   local n, calls = 0, {}
@@ -20,6 +20,8 @@
     end
     calls[n] = submit(math.floor(random() * 4), id(n))
   end
+  -- Each function injects a fault.  It returns a function that ends the fault,
+  -- or nil if the fault ends by itself.
   local faults = {
     function() local i = math.floor(random() * 4)
       instance(i, "kill") return function() instance(i, "start") end end,
@@ -55,17 +57,18 @@
     function() store("slow", 30) return function() store("slow", 1) end end,
     function() store("compact") end,
   }
-  local undo = {}
+  -- Functions that end the present faults.
+  local undos = {}
   for _ = 1, 12 do
     for _ = 1, 1 + math.floor(random() * 2) do
-      local u = faults[1 + math.floor(random() * #faults)]()
-      if u then undo[#undo + 1] = u end
+      local undo = faults[1 + math.floor(random() * #faults)]()
+      if undo then undos[#undos + 1] = undo end
     end
     for _ = 1, 8 do
       for _ = 1, 2 do submit_job() end
       run(100 + random() * 300)
     end
-    while #undo > 0 do table.remove(undo)() end
+    while #undos > 0 do table.remove(undos)() end
   end
   run(25000)
   for i = 1, n do
