--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -37,11 +37,11 @@
   ADVICE_VALID_MS = 2000,
 };
 
-/* struct delivery - an order of an instance and the executor's result, until
-   the result is delivered */
-struct delivery
+/* struct order_delivery - an order of an instance and the executor's result,
+   until the result is delivered */
+struct order_delivery
 {
-  int inst; /* index of the instance */
+  int inst; /* index of the instance that sends the order */
   uint64_t incarnation;
   struct order order;
   char exec[CLB_ID_MAX];
@@ -134,7 +134,7 @@
           if (s->now_ms >= e->lease_until_ms)
             end_run (s, e, i, RUN_END_LAPSED);
           else if (s->now_ms >= r->end_ms)
-            end_run (s, e, i, r->stopping ? RUN_END_STOPPED : r->run_end);
+            end_run (s, e, i, r->stop_ordered ? RUN_END_STOPPED : r->run_end);
         }
     }
 }
@@ -295,7 +295,7 @@
     if (same_task (&e->runs[i].task, &o->task)
         && e->runs[i].run_id == o->run_id)
       {
-        e->runs[i].stopping = true;
+        e->runs[i].stop_ordered = true;
         if (e->runs[i].end_ms > s->now_ms + STOP_DELAY_MS)
           e->runs[i].end_ms = s->now_ms + STOP_DELAY_MS;
       }
@@ -352,7 +352,7 @@
 static void
 deliver_result (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
+  struct order_delivery *d = arg;
   struct fsim_instance *in = s->inst[d->inst];
 
   if (in->up && in->incarnation == d->incarnation
@@ -376,7 +376,7 @@
 /* Sends the result to the instance, unless the configured faults lose it; then
    the instance learns after the order's time limit that no answer arrived. */
 static void
-send_result (struct fsim *s, struct delivery *d, struct fexec *e)
+send_result (struct fsim *s, struct order_delivery *d, struct fexec *e)
 {
   if (!fsim_can_reach (s, d->inst, e)
       || fsim_random (s) < e->lost_result_share)
@@ -431,9 +431,9 @@
 static void
 deliver_order (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
+  struct order_delivery *d = arg;
   struct fexec *e = find_exec (s, d->exec);
-  bool first;
+  bool first_call;
 
   /* An order to an earlier boot is lost; so is a waiting poll if the executor
      has crashed or rebooted. */
@@ -443,18 +443,18 @@
       d->res.outcome = ORDER_LOST;
       fsim_schedule (s, d->order.timeout_ms, deliver_result, d);
     }
-  else if (first = !d->boot_start_ms, d->boot_start_ms = e->boot_start_ms,
-           fexec_apply (s, e, &d->order, first,
+  else if (first_call = !d->boot_start_ms, d->boot_start_ms = e->boot_start_ms,
+           fexec_apply (s, e, &d->order, first_call,
                         s->now_ms >= d->poll_deadline_ms, &d->res))
     send_result (s, d, e);
   else
     fsim_schedule (s, 10, deliver_order, d);
 }
 
-static struct delivery *
-delivery_new (struct fsim *s, int i, const struct order *o)
+static struct order_delivery *
+order_delivery_new (struct fsim *s, int i, const struct order *o)
 {
-  struct delivery *d = calloc (1, sizeof *d);
+  struct order_delivery *d = calloc (1, sizeof *d);
 
   d->inst = i;
   d->incarnation = s->inst[i]->incarnation;
@@ -469,12 +469,12 @@
 static void
 deliver_delayed_order (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
+  struct order_delivery *d = arg;
 
   /* The instance already has the result ORDER_LOST. */
   d->drop_result = true;
   /* deliver_order() loses the order if the executor has crashed or rebooted:
-     then fexec::boot_start_ms differs from that of the delivery. */
+     then e->boot_start_ms differs from d->boot_start_ms. */
   deliver_order (s, d);
 }
 
@@ -482,7 +482,7 @@
 fexec_send_order (struct fsim *s, int i, const struct order *o)
 {
   struct fexec *e = find_exec (s, o->exec);
-  struct delivery *d = delivery_new (s, i, o);
+  struct order_delivery *d = order_delivery_new (s, i, o);
 
   if (!e || e->refuses_connections)
     {
@@ -492,7 +492,7 @@
     }
   if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_order_share)
     {
-      struct delivery *delayed = delivery_new (s, i, o);
+      struct order_delivery *delayed = order_delivery_new (s, i, o);
       delayed->boot_start_ms = e->boot_start_ms;
       e->last_fault_ms = s->now_ms;
       fsim_schedule (s, 2000 + (int64_t)(fsim_random (s) * 10000),
@@ -541,7 +541,7 @@
 void
 fexec_send_advice_query (struct fsim *s, int i, const struct order *o)
 {
-  struct delivery *d = delivery_new (s, i, o);
+  struct order_delivery *d = order_delivery_new (s, i, o);
   struct fsim_instance *in = s->inst[i];
   struct fjob *j = fsim_find_job (s, o->task.job);
   double cost_ms = j ? j->spec.advice.base_ms
@@ -606,7 +606,7 @@
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  /* Add 1 because a boot start of 0 would mean that it is unknown. */
+  /* 0 means that the start of the boot is unknown, so add 1 ms. */
   e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
   fexec_update_listing (s, e);
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -21,7 +21,8 @@
      after another, so each takes a third of this time (1 ms), multiplied by
      ftable::slow_factor. */
   FSIM_THREE_WRITES_MS = 3,
-  /* Number of past changes that a feed of the table can return. */
+  /* Number of past changes that a feed of the table can return.  The simulated
+     table does not enforce this limit. */
   FSIM_HISTORY_MAX = 100000,
 };
 
@@ -84,10 +85,11 @@
   struct task_ref task;
   int64_t run_id;
   int64_t start_ms;
+  /* Time when the run ends, unless the executor's lease ends earlier. */
   int64_t end_ms;
   /* enum run_end: the result with which the run ends at end_ms. */
   int run_end;
-  bool stopping;    /* true after a stop order for the run */
+  bool stop_ordered; /* true after a stop order for the run */
   bool awaits_gang; /* true until all members of the run's gang have started */
   struct job_need need;
 };
@@ -140,7 +142,7 @@
   int n_past_runs;
 };
 
-/** struct fjob - a job that a caller submits */
+/** struct fjob - a job of the simulation and the state of its tasks */
 struct fjob
 {
   RB_ENTRY (fjob) by_id;
@@ -232,7 +234,7 @@
   int n_violations;
   char first_violation[256]; /* empty if no violation was reported */
   bool verbose;              /* print the log lines of the instances */
-  bool shutting_down;        /* fsim_free() was called: timers end */
+  bool shutting_down; /* true after fsim_free() was called; timers stop */
 };
 
 RB_PROTOTYPE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
@@ -240,7 +242,8 @@
 int ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b);
 int fjob_cmp (const struct fjob *a, const struct fjob *b);
 
-/* sim.c */
+/* Functions that sim.c defines. */
+
 /**
  * fsim_new() - Create a simulation and start its instances and executors.
  * @seed: seed of the random generator
@@ -297,7 +300,8 @@
  */
 bool fsim_can_reach (const struct fsim *s, int i, const struct fexec *e);
 
-/* table.c */
+/* Functions that table.c defines. */
+
 /**
  * ftable_send() - Send a call of instance @i to the table, which injects the
  * configured faults.  The reply is delivered by a later event.
@@ -315,13 +319,14 @@
 void ftable_put (struct fsim *s, const char *key, const char *value);
 void ftable_free (struct ftable *t);
 
-/* execs.c */
+/* Functions that execs.c defines. */
+
 /**
  * fexec_apply() - Execute order @o on executor @e.
  * @first: true in the first call for @o; only this call removes the ends that
  *         a poll acknowledges
  * @waited: true if the wait time of a poll is over
- * @res: is given the result
+ * @res: receives the result
  *
  * Return: true if @res is complete.  False only for a poll while the executor
  * has no ends to report; this function must then be called again, until the
@@ -345,7 +350,10 @@
  * service.  A later event delivers the result.
  */
 void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
-/** fexec_update_listing() - Write or delete the executor's discovery entry. */
+/**
+ * fexec_update_listing() - Write the executor's discovery entry, or delete the
+ * entry if the executor is down or not listed.
+ */
 void fexec_update_listing (struct fsim *s, struct fexec *e);
 /**
  * fexec_crash() - End the executor's boot, with all its runs and the ends that
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -132,8 +132,8 @@
          && e->partitioned_until_ms <= s->now_ms;
 }
 
-/* Functions of struct fleet_codec.  In the simulation, documents are lines of
-   words instead of the platform's JSON. */
+/* Functions for struct fleet_codec, which read and write documents.  In the
+   simulation, documents are lines of words instead of the platform's JSON. */
 
 static int
 read_exec (const char *id, const char *text, struct exec_report *out)
@@ -234,11 +234,11 @@
 }
 
 static char *
-count_body (int64_t waiting)
+count_body (int64_t n_waiting)
 {
   char *text;
 
-  if (asprintf (&text, "%lld", (long long)waiting) < 0)
+  if (asprintf (&text, "%lld", (long long)n_waiting) < 0)
     abort ();
   return text;
 }
@@ -255,7 +255,8 @@
   struct mesh_msg *msg;
 };
 
-/* Return: index of the instance with this address, or -1. */
+/* Return: index of the instance with this address, -1 if there is
+   none. */
 static int
 find_instance (const struct fsim *s, const char *addr)
 {
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* struct request - a call of an instance and its reply */
-struct request
+/* struct table_call - a call of an instance to the table, and the reply */
+struct table_call
 {
   int inst; /* index of the calling instance */
   uint64_t incarnation;
@@ -191,12 +191,12 @@
     }
 }
 
-/* Passes the reply to the instance and frees the request.  A frozen instance
+/* Passes the reply to the instance and frees the call.  A frozen instance
    gets the reply when its freeze is over. */
 static void
 deliver_reply (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
+  struct table_call *q = arg;
   struct fsim_instance *in = s->inst[q->inst];
 
   if (in->up && in->incarnation == q->incarnation
@@ -217,7 +217,7 @@
 
 /* Schedules a reply with error @err that is delivered in @after_ms. */
 static void
-fail_request (struct fsim *s, struct request *q, int err, int64_t after_ms)
+fail_call (struct fsim *s, struct table_call *q, int err, int64_t after_ms)
 {
   codec_free (&store_rep_desc, &q->rep);
   q->rep.err = err;
@@ -225,11 +225,11 @@
 }
 
 static void
-send_reply (struct fsim *s, struct request *q)
+send_reply (struct fsim *s, struct table_call *q)
 {
   if (s->inst[q->inst]->store_partitioned_until_ms > s->now_ms
       || q->drop_reply)
-    fail_request (s, q, CLB_EUNKNOWN, 700);
+    fail_call (s, q, CLB_EUNKNOWN, 700);
   else
     fsim_schedule (s, FSIM_LINK_MS, deliver_reply, q);
 }
@@ -237,14 +237,14 @@
 /* Executes a call.  A feed without changes is tried again every 5 ms until its
    deadline. */
 static void
-execute_request (struct fsim *s, void *arg)
+execute_call (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
+  struct table_call *q = arg;
 
   ftable_apply (&s->table, &q->op, &q->rep);
   if (q->op.kind == STORE_FEED && q->rep.err == 0 && q->rep.n_rows == 0
       && s->now_ms < q->feed_deadline_ms)
-    fsim_schedule (s, 5, execute_request, q);
+    fsim_schedule (s, 5, execute_call, q);
   else
     send_reply (s, q);
 }
@@ -253,7 +253,7 @@
 static void
 execute_delayed_write (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
+  struct table_call *q = arg;
 
   apply_txn (&s->table, &q->op, &q->rep);
   codec_free (&store_op_desc, &q->op);
@@ -275,10 +275,11 @@
     store_put (to, op->puts[i].key, op->puts[i].value);
 }
 
-static struct request *
-request_new (struct fsim *s, int i, uint64_t token, const struct store_op *op)
+static struct table_call *
+table_call_new (struct fsim *s, int i, uint64_t token,
+                const struct store_op *op)
 {
-  struct request *q = calloc (1, sizeof *q);
+  struct table_call *q = calloc (1, sizeof *q);
 
   q->inst = i;
   q->incarnation = s->inst[i]->incarnation;
@@ -291,27 +292,27 @@
 ftable_send (struct fsim *s, int i, uint64_t token, const struct store_op *op)
 {
   struct ftable *t = &s->table;
-  struct request *q = request_new (s, i, token, op);
+  struct table_call *q = table_call_new (s, i, token, op);
   int64_t delay_ms = FSIM_LINK_MS;
   bool write = op->kind == STORE_TXN;
 
   t->n_calls++;
   if (s->inst[i]->store_partitioned_until_ms > s->now_ms)
     {
-      fail_request (s, q, CLB_EUNKNOWN, 700);
+      fail_call (s, q, CLB_EUNKNOWN, 700);
       return;
     }
   if (t->down_until_ms > s->now_ms
       || s->inst[i]->store_refused_until_ms > s->now_ms)
     {
-      fail_request (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
+      fail_call (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
       return;
     }
   if (write && fsim_random (s) < t->delayed_write_share)
     {
       fsim_schedule (s, 1000 + (int64_t)(fsim_random (s) * 5000),
-                     execute_delayed_write, request_new (s, i, token, op));
-      fail_request (s, q, CLB_EUNKNOWN, 700);
+                     execute_delayed_write, table_call_new (s, i, token, op));
+      fail_call (s, q, CLB_EUNKNOWN, 700);
       return;
     }
   q->drop_reply = write && fsim_random (s) < t->lost_reply_share;
@@ -326,7 +327,7 @@
       delay_ms += t->busy_until_ms - s->now_ms;
     }
   delay_ms += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
-  fsim_schedule (s, delay_ms, execute_request, q);
+  fsim_schedule (s, delay_ms, execute_call, q);
 }
 
 void
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -27,14 +27,14 @@
 static int64_t
 int_field (lua_State *l, int at, const char *name, int64_t fallback)
 {
-  int64_t v;
+  int64_t value;
 
   lua_getfield (l, at, name);
-  v = lua_isnil (l, -1)       ? fallback
-      : lua_isboolean (l, -1) ? lua_toboolean (l, -1)
-                              : (int64_t)lua_tonumber (l, -1);
+  value = lua_isnil (l, -1)       ? fallback
+          : lua_isboolean (l, -1) ? lua_toboolean (l, -1)
+                                  : (int64_t)lua_tonumber (l, -1);
   lua_pop (l, 1);
-  return v;
+  return value;
 }
 
 /* fleet{instances=, execs=, cores=, mem=, permitted_percent=}: replaces the
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -4,10 +4,10 @@
  *
  * usage: fleet-standin PORT EXECUTORS CONFIG [ADVERTISED-OFFSET]
  *
- * The program serves the HTTP interfaces that platform/ calls.  Behind them
- * are the table and the executors of the simulation (regress/fsim), run in
- * real time.  The table listens on PORT, executor K on PORT + 1 + K, and the
- * advice service on the port after that of the last executor.
+ * The program serves the HTTP interfaces that platform/ calls.  It answers
+ * with the table and the executors of the simulation (regress/fsim), which it
+ * runs in real time.  The table listens on PORT, executor K on PORT + 1 + K,
+ * and the advice service on the port after that of the last executor.
  *
  * The program prints a line "violation ..." when the executors have detected
  * further violations (see regress/fsim/execs.c).  It reads commands from
@@ -22,7 +22,7 @@
  *   exec K cut MS       executor K does not answer for MS
  *   exec K fails 0|1    with 1, every run that starts on executor K fails;
  *                       0 ends this
- *   config FILE         replaces the fleet's configuration by that in FILE
+ *   config FILE         replaces the fleet's configuration by the text in FILE
  *   started FILE        writes the ids of all jobs of which a task was started
  *                       to FILE
  */
@@ -256,7 +256,7 @@
    row that the request names as its start; the simulated table omits that row.
  */
 static void
-add_start_row (const struct store_op *op, struct store_rep *rep)
+insert_start_row (const struct store_op *op, struct store_rep *rep)
 {
   struct store_op get_op = { .kind = STORE_GET, .key = op->after };
   struct store_rep get_rep = { 0 };
@@ -286,7 +286,7 @@
   bool must_wait;
 
   ftable_apply (&sim->table, op, &rep);
-  add_start_row (op, &rep);
+  insert_start_row (op, &rep);
   must_wait = op->kind == STORE_FEED && !rep.err && !rep.n_rows
               && now () < deadline_ms;
   if (!must_wait)
@@ -296,7 +296,7 @@
 }
 
 static void
-on_table (void *arg, const struct httpd_req *rq)
+on_table_request (void *arg, const struct httpd_req *rq)
 {
   struct pending_request *p = calloc (1, sizeof *p);
 
@@ -443,7 +443,7 @@
 }
 
 static void
-on_exec (void *arg, const struct httpd_req *rq)
+on_exec_request (void *arg, const struct httpd_req *rq)
 {
   struct pending_request *p = calloc (1, sizeof *p);
 
@@ -466,7 +466,7 @@
 }
 
 static void
-on_advice (void *arg, const struct httpd_req *rq)
+on_advice_query (void *arg, const struct httpd_req *rq)
 {
   struct server *s = arg;
   json_error_t je;
@@ -556,7 +556,7 @@
 
 /* Writes the discovery entry of an executor to the table. */
 static void
-publish_exec (const struct server *s)
+write_discovery_entry (const struct server *s)
 {
   char key[CLB_ID_MAX + 16];
   json_auto_t *entry = json_pack (
@@ -594,7 +594,7 @@
 
 /* Writes the ids of all jobs of which a task was started, one per line. */
 static void
-write_started (const char *path)
+write_started_jobs (const char *path)
 {
   FILE *f = fopen (path, "w");
   struct fjob *j;
@@ -631,7 +631,7 @@
   else if (strcmp (fault, "reborn") == 0)
     {
       fexec_reboot (sim, e);
-      publish_exec (&exec_servers[exec_index]);
+      write_discovery_entry (&exec_servers[exec_index]);
     }
   else if (strcmp (fault, "cut") == 0)
     e->partitioned_until_ms = now () + (int64_t)value;
@@ -657,7 +657,7 @@
       ftable_put (sim, "op/config", text);
     }
   else if (sscanf (line, "started %255s", path) == 1)
-    write_started (path);
+    write_started_jobs (path);
 }
 
 static void
@@ -711,15 +711,15 @@
   advertised_offset = argc == 5 ? atoi (argv[4]) : 0;
   start_ms = now ();
   sim = fsim_new (1, 0, n, &capacity);
-  start_server (&table_server, port, on_table);
+  start_server (&table_server, port, on_table_request);
   exec_servers = calloc ((size_t)n, sizeof *exec_servers);
   for (int i = 0; i < n; i++)
     {
       exec_servers[i].exec = sim->exec[i];
-      start_server (&exec_servers[i], port + 1 + i, on_exec);
-      publish_exec (&exec_servers[i]);
+      start_server (&exec_servers[i], port + 1 + i, on_exec_request);
+      write_discovery_entry (&exec_servers[i]);
     }
-  start_server (&advice_server, port + 1 + n, on_advice);
+  start_server (&advice_server, port + 1 + n, on_advice_query);
   ftable_put (sim, "op/config", read_file (argv[3]));
   uv_timer_init (uv_default_loop (), &timer);
   uv_timer_start (&timer, on_timer, PENDING_RETRY_MS, PENDING_RETRY_MS);
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -7,14 +7,14 @@
  * The last line of output is "N passed, N failed".  A job passes if it was
  * accepted and is reported as completed.
  *
- * With -r the program also tests what retries do.  If a submission is not
- * accepted, the program submits the job again, under the same id, to the next
- * instance, until TRIES_MAX submissions were sent.  The results are:
+ * With -r the program retries submissions, as a caller would.  If a submission
+ * is not accepted, the program submits the job again, under the same id, to
+ * the next instance, until TRIES_MAX submissions were sent.  The results are:
  * - A job passes if every submission was refused.  The program prints a line
  *   "refused ID".  The job must never run.
  * - A job that was accepted must be completed.
  * - A job must also be completed if the outcome of a submission is unknown. It
- *   passes too if all tries are used up and the job does not exist.
+ *   also passes if all tries are used up and the job does not exist.
  * - The program prints a line "lost ID" for a job that is not completed in
  *   time.
  */
@@ -162,7 +162,7 @@
 }
 
 static void
-submit (int i)
+submit_job (int i)
 {
   send_request (i, "POST",
                 "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
@@ -185,7 +185,7 @@
       finish_job (j, false);
     }
   else if (!j->polls_state)
-    submit (i);
+    submit_job (i);
   else
     send_request (i, "GET", NULL, on_state_answer);
 }
@@ -200,7 +200,7 @@
     {
       jobs[n_jobs].first_sent_ms = now_ms;
       n_unfinished++;
-      submit (n_jobs);
+      submit_job (n_jobs);
       n_jobs++;
     }
   for (int i = 0; i < n_jobs; i++)
--- a/regress/unit/codec_test.c
+++ b/regress/unit/codec_test.c
@@ -140,10 +140,10 @@
       "\"a\",\"addr\":\"x:1\",\"room\":{\"cores\":4}}]}");
 }
 
-/* A field that this version does not know is ignored in lenient mode and
-   refused in strict mode. */
+/* The decoder must ignore an unknown field in lenient mode and refuse it in
+   strict mode. */
 static void
-test_strict_and_lenient (void)
+test_unknown_field (void)
 {
   const char text[] = "{\"version\":1,\"hash\":\"h\",\"change_id\":\"c\","
                       "\"later\":true}";
@@ -159,10 +159,8 @@
   CU_ASSERT_STRING_EQUAL (ce.path, "later");
 }
 
-UNIT_MAIN ("codec",
-           { "a decoded message equals the encoded one", test_round_trip },
-           { "damaged peer messages are decoded safely",
-             test_damaged_peer_message },
-           { "damaged text is decoded safely", test_damaged_text },
-           { "unknown fields are refused in strict mode only",
-             test_strict_and_lenient })
+UNIT_MAIN (
+    "codec", { "a decoded message equals the encoded one", test_round_trip },
+    { "damaged peer messages are decoded safely", test_damaged_peer_message },
+    { "damaged text is decoded safely", test_damaged_text },
+    { "unknown fields are refused in strict mode only", test_unknown_field })
--- a/regress/unit/conf_test.c
+++ b/regress/unit/conf_test.c
@@ -13,7 +13,7 @@
 
 /* Return: the result of conf_parse() for @text. */
 static int
-parse (const char *text, struct codec_err *ce)
+parse_conf (const char *text, struct codec_err *ce)
 {
   struct conf c;
   int err = conf_parse (text, strlen (text), &c, ce);
@@ -30,7 +30,7 @@
 {
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL (parse (text, &ce), err);
+  CU_ASSERT_EQUAL (parse_conf (text, &ce), err);
   if (path)
     CU_ASSERT_STRING_EQUAL (ce.path, path);
 }
@@ -40,7 +40,7 @@
 {
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL (parse (valid_manifest, &ce), 0);
+  CU_ASSERT_EQUAL (parse_conf (valid_manifest, &ce), 0);
 }
 
 static void
@@ -61,7 +61,7 @@
 }
 
 static void
-test_references (void)
+test_refused_references (void)
 {
   check_error ("{\"teams\":[{\"name\":\"a\",\"weight\":1},{\"name\":\"a\","
                "\"weight\":1}]}",
@@ -102,6 +102,6 @@
 UNIT_MAIN ("conf", { "a valid manifest is accepted", test_valid_manifest },
            { "an error names the field", test_error_path },
            { "duplicates and unknown or missing references are refused",
-             test_references },
+             test_refused_references },
            { "text that is no manifest is refused", test_unparsable_text },
            { "only the exact key is accepted", test_key_check })
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Decodes a configuration, but refuses every text. */
+/* Refuses every text; a configuration decoder for struct fleet_codec. */
 static int
 refuse_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
@@ -71,7 +71,7 @@
    Return: the rank in the leader's reply; 0 if the reply contains no rank, -1
    if the leader does not reply. */
 static int64_t
-rank_sent (struct fleet *f, int64_t now_ms, const char *from)
+rank_in_hello_reply (struct fleet *f, int64_t now_ms, const char *from)
 {
   struct mesh_msg hello = { .kind = MESH_HELLO, .millicores = 120 };
   struct out *o;
@@ -100,13 +100,13 @@
   f.leader.state = LEADER_LEADING;
   f.leader.renewed_ms = 1000;
   f.fsched = fsched_new (&f.out, &f.tokens, 1000, 1, 0, &f.stats.fsched);
-  CU_ASSERT_EQUAL (rank_sent (&f, 1100, "n2"), 0);
-  CU_ASSERT_EQUAL (rank_sent (&f, 2600, "n2"), 1);
+  CU_ASSERT_EQUAL (rank_in_hello_reply (&f, 1100, "n2"), 0);
+  CU_ASSERT_EQUAL (rank_in_hello_reply (&f, 2600, "n2"), 1);
   fleet_fini (&f);
 }
 
-/* A new leader may send a message without a rank (-1).  It must not replace
-   the rank that an earlier leader sent. */
+/* A new leader may send a message without a rank (-1).  Such a message must
+   not replace the rank that an earlier leader sent. */
 static void
 test_missing_rank_keeps_last_rank (void)
 {
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -36,7 +36,7 @@
       "1,\"unheard of\",\"\"]]}";
 
 static void
-test_entry (void)
+test_discovery_entry (void)
 {
   struct exec_report rep;
 
@@ -161,7 +161,7 @@
 }
 
 static void
-test_outcomes (void)
+test_order_outcomes (void)
 {
   static const struct
   {
@@ -279,13 +279,14 @@
   CU_PASS ("no decoder crashed");
 }
 
-UNIT_MAIN ("platform", { "a discovery entry is decoded", test_entry },
+UNIT_MAIN ("platform",
+           { "a discovery entry is decoded", test_discovery_entry },
            { "invalid discovery entries are refused", test_refused_entries },
            { "a configuration is decoded", test_config },
            { "a job is decoded", test_job },
            { "invalid jobs are refused", test_refused_jobs },
            { "the reply to a poll is decoded without its invalid rows",
              test_poll_lists },
-           { "the reply to an order gives its outcome", test_outcomes },
+           { "the reply to an order gives its outcome", test_order_outcomes },
            { "task names are parsed and printed", test_task_names },
            { "damaged documents are decoded safely", test_damaged_documents })
