--- a/regress/fleet/load.lua
+++ b/regress/fleet/load.lua
@@ -1,8 +1,8 @@
 dofile("regress/fleet/lib.lua")
 
 -- Starts a simulation with 48 executors of 16 cores and submits the usual mix
--- of jobs, at rate_factor times the usual rate, for this many seconds.  per_s is
--- the usual rate of a kind of job in jobs per second.
+-- of jobs, at rate_factor times the usual rate, for the given time in seconds.
+-- per_s is the usual rate of a kind of job in jobs per second.
 --
 -- Return: the submitted jobs, each with its id, kind, time of submission (ms),
 -- number of the request and due time (ms).
--- a/regress/fleet/takeover.lua
+++ b/regress/fleet/takeover.lua
@@ -125,7 +125,7 @@
 
 -- The tasks of an unreachable executor may be running until its lease ends.
 -- The leader must not start them on other executors before that time.
-scenario("tasks of an unreachable executor are moved after its lease",
+scenario("tasks of an unreachable executor are moved after its lease ends",
          function()
   start_fleet{execs = 4}
   submit_jobs(1, 8)
--- a/regress/fleet/walk.lua
+++ b/regress/fleet/walk.lua
@@ -2,7 +2,8 @@
 
 -- Injects one or two random faults at a time while jobs are submitted.  Every
 -- accepted job must be completed or failed within 25 s after the last faults.
-scenario("random walk", function()
+scenario("accepted jobs are completed or failed despite random faults",
+  function()
   start_fleet{instances = 4, execs = 8, permitted_percent = 80}
   local n, calls = 0, {}
   local function submit_job()
@@ -57,18 +58,18 @@
     function() store("slow", 30) return function() store("slow", 1) end end,
     function() store("compact") end,
   }
-  -- Functions that end the present faults.
-  local undos = {}
+  -- Functions that end the faults of the present round.
+  local end_functions = {}
   for _ = 1, 12 do
     for _ = 1, 1 + math.floor(random() * 2) do
-      local undo = faults[1 + math.floor(random() * #faults)]()
-      if undo then undos[#undos + 1] = undo end
+      local end_fault = faults[1 + math.floor(random() * #faults)]()
+      if end_fault then end_functions[#end_functions + 1] = end_fault end
     end
     for _ = 1, 8 do
       for _ = 1, 2 do submit_job() end
       run(100 + random() * 300)
     end
-    while #undos > 0 do table.remove(undos)() end
+    while #end_functions > 0 do table.remove(end_functions)() end
   end
   run(25000)
   for i = 1, n do
--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -15,7 +15,8 @@
  *
  * At the end of a run the executor reports GANG if the run was a member of a
  * gang that was still incomplete when the member's wait time was over, unless
- * a fault was injected recently.
+ * an order to the executor was delayed or its result lost within
+ * RECENT_FAULT_MS before.
  */
 #include "fsim.h"
 
@@ -25,11 +26,12 @@
 
 enum
 {
-  /* Time from a stop order to the end of the run. */
+  /* A run ends no later than this time after a stop order for it. */
   STOP_DELAY_MS = 100,
   /* A member of a gang waits for the other members for this time. */
   GANG_WAIT_MS = 3000,
-  /* An incomplete gang is no violation within this time after a fault. */
+  /* An incomplete gang is no violation within this time after
+     fexec::last_fault_ms of the executor that reports it. */
   RECENT_FAULT_MS = 6000,
   /* A lease ends no later than this time after the order that extends it. */
   LEASE_MAX_MS = 6000,
@@ -46,12 +48,13 @@
   struct order order;
   char exec[CLB_ID_MAX];
   struct order_result res;
-  /* A poll is answered at this time at the latest, also without ends. */
+  /* A poll is answered at this time at the latest, even if no run has ended.
+   */
   int64_t poll_deadline_ms;
   /* fexec::boot_start_ms of the boot that the order is for; 0: the order has
      not arrived at the executor. */
   int64_t boot_start_ms;
-  /* The result is not delivered to the instance. */
+  /* True if the result must not be delivered to the instance. */
   bool drop_result;
 };
 
@@ -94,6 +97,8 @@
   e->past_runs[e->n_past_runs++] = (struct frun_ref){ *task, run_id };
 }
 
+/* Ends run @i of the executor.
+   @how: enum run_end */
 static void
 end_run (struct fsim *s, struct fexec *e, int i, int how)
 {
@@ -301,8 +306,8 @@
       }
 }
 
-/* Removes the ends up to number @recorded_seq, which the leader has recorded,
-   and counts them in the statistics of their tasks. */
+/* Removes the run ends up to number @recorded_seq, which the leader has
+   recorded, and counts them in the statistics of their tasks. */
 static void
 remove_acked_ends (struct fsim *s, struct fexec *e, int64_t recorded_seq)
 {
@@ -328,7 +333,7 @@
   e->n_ends = kept;
 }
 
-/* Fills the lists of runs and ends in the result of a poll. */
+/* Fills the lists of runs and run ends in the result of a poll. */
 static void
 fill_poll_lists (struct fsim *s, struct fexec *e, struct order_result *res)
 {
@@ -373,8 +378,9 @@
   free (d);
 }
 
-/* Sends the result to the instance, unless the configured faults lose it; then
-   the instance learns after the order's time limit that no answer arrived. */
+/* Sends the result to the instance, unless the configured faults lose it.  If
+   the result is lost, the instance learns after the order's time limit that no
+   answer arrived. */
 static void
 send_result (struct fsim *s, struct order_delivery *d, struct fexec *e)
 {
@@ -435,8 +441,8 @@
   struct fexec *e = find_exec (s, d->exec);
   bool first_call;
 
-  /* An order to an earlier boot is lost; so is a waiting poll if the executor
-     has crashed or rebooted. */
+  /* An order to an earlier boot is lost, and a waiting poll is lost if the
+     executor has crashed or rebooted. */
   if (!e->up || !fsim_can_reach (s, d->inst, e)
       || (d->boot_start_ms && d->boot_start_ms != e->boot_start_ms))
     {
@@ -559,7 +565,7 @@
 }
 
 void
-fexec_update_listing (struct fsim *s, struct fexec *e)
+fexec_update_discovery_entry (struct fsim *s, struct fexec *e)
 {
   char key[CLB_ID_MAX + 16];
   char value[256];
@@ -572,12 +578,12 @@
 
 /* Deletes the discovery entry unless the executor is up again. */
 static void
-remove_listing (struct fsim *s, void *arg)
+delete_discovery_entry (struct fsim *s, void *arg)
 {
   struct fexec *e = arg;
 
   if (!e->up)
-    fexec_update_listing (s, e);
+    fexec_update_discovery_entry (s, e);
 }
 
 void
@@ -597,7 +603,7 @@
   e->fencing_token = 0;
   /* The platform removes the discovery entry of a crashed executor after
      4500 ms. */
-  fsim_schedule (s, 4500, remove_listing, e);
+  fsim_schedule (s, 4500, delete_discovery_entry, e);
 }
 
 void
@@ -609,5 +615,5 @@
   /* 0 means that the start of the boot is unknown, so add 1 ms. */
   e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
-  fexec_update_listing (s, e);
+  fexec_update_discovery_entry (s, e);
 }
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -87,8 +87,7 @@
   int64_t start_ms;
   /* Time when the run ends, unless the executor's lease ends earlier. */
   int64_t end_ms;
-  /* enum run_end: the result with which the run ends at end_ms. */
-  int run_end;
+  int run_end;       /* enum run_end: how the run ends at end_ms */
   bool stop_ordered; /* true after a stop order for the run */
   bool awaits_gang; /* true until all members of the run's gang have started */
   struct job_need need;
@@ -105,10 +104,11 @@
 struct fexec
 {
   char id[CLB_ID_MAX];
-  int index; /* index in fsim::exec */
-  bool up;
-  bool listed;   /* the executor has a discovery entry while it is up */
-  bool draining; /* the discovery entry says that the executor drains */
+  int index;   /* index in fsim::exec */
+  bool up;     /* true from the start of a boot until its crash */
+  bool listed; /* true: the executor has a discovery entry while it is up */
+  /* True if the discovery entry says that the executor drains. */
+  bool draining;
   /* Start of the present or last boot, in simulated time. */
   int64_t boot_start_ms;
   /* No instance reaches the executor until this time. */
@@ -122,21 +122,23 @@
   /* Share (0 to 1) of start and stop orders that are not answered and are
      executed 2 to 12 seconds later. */
   double delayed_order_share;
-  /* Every run that starts on this executor fails. */
+  /* True if every run that starts on this executor fails. */
   bool fails_runs;
-  /* Runs that start on this executor never end by themselves. */
+  /* True if runs that start on this executor never end by themselves. */
   bool hangs_runs;
   /* Time when an order was last delayed or a result was last lost. */
   int64_t last_fault_ms;
-  /* Connections to the executor fail at once; no order is sent to it. */
+  /* True if connections to the executor fail at once, so that no order is
+     sent to it. */
   bool refuses_connections;
   struct job_need capacity;
   struct frun runs[256];
   int n_runs;
-  /* Ends of runs that the leader has not acknowledged. */
+  /* Run ends that the leader has not acknowledged. */
   struct end_row ends[4096];
   int n_ends;
-  int64_t last_end_seq; /* number of the latest end in this boot */
+  /* Number of the latest run end in this boot; 0: no run has ended. */
+  int64_t last_end_seq;
   /* Runs of this boot that have ended or for which a stop was ordered. */
   struct frun_ref *past_runs;
   int n_past_runs;
@@ -165,10 +167,12 @@
 struct ftask_stats
 {
   int n_running; /* runs that are in progress */
-  bool done;     /* a run was successful and the leader acknowledged its end */
-  bool end_acked; /* the leader acknowledged the end of a successful run */
-  int n_failed;   /* failed runs whose ends the leader acknowledged */
-  int n_starts;   /* runs that were started */
+  /* True if a run was successful and the leader acknowledged its end. */
+  bool done;
+  /* True if the leader acknowledged the end of a successful run. */
+  bool end_acked;
+  int n_failed; /* failed runs whose ends the leader acknowledged */
+  int n_starts; /* runs that were started */
 };
 
 /** struct fsim_call - a caller's request to an instance */
@@ -178,9 +182,10 @@
   int instance; /* index of the instance that got the request */
   int verb;     /* enum fleet_verb */
   char id[JOB_ID_SIZE];
-  int status;       /* HTTP status of the answer; 0: no answer has arrived */
-  int64_t retry_ms; /* how long the caller is asked to wait, in ms */
-  char *body;       /* body of the answer; NULL: none */
+  int status; /* HTTP status of the answer; 0: no answer has arrived */
+  /* Delay in ms after which the caller may retry; 0: none is given. */
+  int64_t retry_ms;
+  char *body; /* body of the answer; NULL: none */
   int64_t answered_ms;
 };
 
@@ -188,8 +193,9 @@
 struct fsim_instance
 {
   struct fleet fleet;
-  bool up;
-  bool frozen; /* the process makes no progress until frozen_until_ms */
+  bool up; /* true while a process of the instance exists */
+  /* True if the process makes no progress until frozen_until_ms. */
+  bool frozen;
   int64_t frozen_until_ms;
   /* The table does not answer the instance's calls until this time. */
   int64_t store_partitioned_until_ms;
@@ -203,7 +209,7 @@
   int64_t advice_busy_until_ms;
   /* Added to the simulated wall clock to give the instance's wall clock. */
   int64_t clock_offset_ms;
-  /* Number of starts and ends of the process.  A message that was sent to
+  /* Counts each start and each end of a process.  A message that was sent to
      another incarnation of the process is dropped. */
   uint64_t incarnation;
   uint64_t ticks;
@@ -233,7 +239,7 @@
   int64_t n_advice_queries; /* queries that the advice service has received */
   int n_violations;
   char first_violation[256]; /* empty if no violation was reported */
-  bool verbose;              /* print the log lines of the instances */
+  bool verbose;       /* true: the log lines of the instances are printed */
   bool shutting_down; /* true after fsim_free() was called; timers stop */
 };
 
@@ -242,7 +248,7 @@
 int ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b);
 int fjob_cmp (const struct fjob *a, const struct fjob *b);
 
-/* Functions that sim.c defines. */
+/* The following functions are defined in sim.c. */
 
 /**
  * fsim_new() - Create a simulation and start its instances and executors.
@@ -260,7 +266,7 @@
                     void (*fn) (struct fsim *s, void *arg), void *arg);
 /**
  * fsim_run() - Advance the simulated time by @for_ms and execute the events
- * that are due meanwhile.
+ * that are due by then.
  */
 void fsim_run (struct fsim *s, int64_t for_ms);
 /**
@@ -271,10 +277,11 @@
 /** fsim_violation() - Count a violation and keep the text of the first. */
 void fsim_violation (struct fsim *s, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
-/** fsim_start() - Start a new process of instance @i. */
-void fsim_start (struct fsim *s, int i);
-/** fsim_kill() - End the process of instance @i at once, if it is up. */
-void fsim_kill (struct fsim *s, int i);
+/** fsim_start_instance() - Start a new process of instance @i. */
+void fsim_start_instance (struct fsim *s, int i);
+/** fsim_kill_instance() - End the process of instance @i at once, if it is up.
+ */
+void fsim_kill_instance (struct fsim *s, int i);
 /** fsim_process_outputs() - Execute the pending outputs of instance @i. */
 void fsim_process_outputs (struct fsim *s, int i);
 /** fsim_find_job() - Return: the job with this id, or NULL. */
@@ -300,7 +307,7 @@
  */
 bool fsim_can_reach (const struct fsim *s, int i, const struct fexec *e);
 
-/* Functions that table.c defines. */
+/* The following functions are defined in table.c. */
 
 /**
  * ftable_send() - Send a call of instance @i to the table, which injects the
@@ -319,18 +326,18 @@
 void ftable_put (struct fsim *s, const char *key, const char *value);
 void ftable_free (struct ftable *t);
 
-/* Functions that execs.c defines. */
+/* The following functions are defined in execs.c. */
 
 /**
  * fexec_apply() - Execute order @o on executor @e.
- * @first: true in the first call for @o; only this call removes the ends that
- *         a poll acknowledges
+ * @first: true in the first call for @o; only this call removes the run ends
+ *         that a poll acknowledges
  * @waited: true if the wait time of a poll is over
  * @res: receives the result
  *
  * Return: true if @res is complete.  False only for a poll while the executor
- * has no ends to report; this function must then be called again, until the
- * poll's wait time is over.
+ * has no run ends to report; this function must then be called again, until
+ * the poll's wait time is over.
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
                   bool first, bool waited, struct order_result *res);
@@ -351,13 +358,14 @@
  */
 void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
 /**
- * fexec_update_listing() - Write the executor's discovery entry, or delete the
- * entry if the executor is down or not listed.
+ * fexec_update_discovery_entry() - Write the executor's discovery entry, or
+ * delete the entry if the executor is down or not listed.
  */
-void fexec_update_listing (struct fsim *s, struct fexec *e);
+void fexec_update_discovery_entry (struct fsim *s, struct fexec *e);
 /**
- * fexec_crash() - End the executor's boot, with all its runs and the ends that
- * it has not reported.  A later event deletes its discovery entry.
+ * fexec_crash() - End the executor's boot.  Its runs, and the run ends that
+ * the leader has not acknowledged, are lost.  A later event deletes its
+ * discovery entry.
  */
 void fexec_crash (struct fsim *s, struct fexec *e);
 /**
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -391,7 +391,7 @@
 }
 
 void
-fsim_start (struct fsim *s, int i)
+fsim_start_instance (struct fsim *s, int i)
 {
   struct fsim_instance *in = s->inst[i];
   struct instance_timer *t = calloc (1, sizeof *t);
@@ -419,7 +419,7 @@
 }
 
 void
-fsim_kill (struct fsim *s, int i)
+fsim_kill_instance (struct fsim *s, int i)
 {
   if (!s->inst[i]->up)
     return;
@@ -462,7 +462,7 @@
   for (int i = 0; i < instances; i++)
     {
       s->inst[i] = calloc (1, sizeof *s->inst[i]);
-      fsim_start (s, i);
+      fsim_start_instance (s, i);
     }
   fsim_schedule (s, 5, on_exec_timer, NULL);
   return s;
@@ -516,7 +516,7 @@
   struct fjob *j, *next;
 
   for (int i = 0; i < s->n_inst; i++)
-    fsim_kill (s, i);
+    fsim_kill_instance (s, i);
   /* Executing the remaining events frees the outstanding messages: none is
      delivered, as no instance is up. */
   s->shutting_down = true;
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -12,9 +12,10 @@
   uint64_t token;
   struct store_op op;
   struct store_rep rep;
-  /* A feed is answered at this time at the latest, also without changes. */
+  /* A feed is answered at this time at the latest, even if there are no
+     changes. */
   int64_t feed_deadline_ms;
-  /* The call is executed, but its reply is lost. */
+  /* True if the call is executed but its reply is lost. */
   bool drop_reply;
 };
 
@@ -234,8 +235,8 @@
     fsim_schedule (s, FSIM_LINK_MS, deliver_reply, q);
 }
 
-/* Executes a call.  A feed without changes is tried again every 5 ms until its
-   deadline. */
+/* Executes a call.  A feed that finds no changes is executed again every 5 ms
+   until its deadline. */
 static void
 execute_call (struct fsim *s, void *arg)
 {
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -66,7 +66,7 @@
 }
 
 /* run(ms): advances the simulated time by ms and executes the events that are
-   due meanwhile */
+   due by then */
 static int
 verb_run (lua_State *l)
 {
@@ -209,7 +209,7 @@
 /* answer(n): returns three values of the answer to request n:
    the HTTP status, 0 if no answer has arrived;
    the body, which may be empty;
-   the time in ms after which the caller may retry */
+   the delay in ms after which the caller may retry, 0 if none is given */
 static int
 verb_answer (lua_State *l)
 {
@@ -224,7 +224,8 @@
 /* task(id [, step [, index]]): returns three values of a task of the job:
    the number of starts;
    the number of failed runs whose ends the leader acknowledged;
-   true if a successful end was acknowledged, otherwise false */
+   true if the leader acknowledged the end of a successful run, otherwise
+   false */
 static int
 verb_task (lua_State *l)
 {
@@ -259,9 +260,9 @@
   struct fsim_instance *in = sim->inst[i];
 
   if (strcmp (what, "kill") == 0)
-    fsim_kill (sim, i);
+    fsim_kill_instance (sim, i);
   else if (strcmp (what, "start") == 0 && !in->up)
-    fsim_start (sim, i);
+    fsim_start_instance (sim, i);
   else if (strcmp (what, "stop") == 0 && in->up)
     {
       fleet_stop (&in->fleet, sim->now_ms);
@@ -285,18 +286,20 @@
 
 /* exec(i, what [, value]): changes the state of executor i.  The argument
    "what" is one of:
-   crash               ends the boot, with all runs
+   crash               ends the boot; all its runs are lost
    reboot              begins a new boot
    partition           orders and results do not arrive for value ms
    lose-results        the share value (0 to 1) of results is lost
    delay-orders        the share value (0 to 1) of start and stop orders is not
                        answered, and is executed 2 to 12 seconds later
-   fail-runs           with value 1, every run that starts fails; 0 ends this
-   refuse-connections  with value 1, connections fail at once; 0 ends this
+   fail-runs           with value 1, every run that starts fails; 0 ends the
+                       fault
+   refuse-connections  with value 1, connections fail at once; 0 ends the
+                       fault
    hang-runs           with value 1, runs that start never end by themselves;
-                       0 ends this
+                       0 ends the fault
    drain               with value 1, the discovery entry says that the
-                       executor drains; 0 ends this */
+                       executor drains; with 0, that it does not drain */
 static int
 verb_exec (lua_State *l)
 {
@@ -323,7 +326,7 @@
   else if (strcmp (what, "drain") == 0)
     {
       e->draining = value > 0;
-      fexec_update_listing (sim, e);
+      fexec_update_discovery_entry (sim, e);
     }
   return 0;
 }
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -17,14 +17,13 @@
  *                       answered
  *   table compact       a feed that begins before the present version fails
  *                       from now on
- *   exec K crash        ends the boot of executor K, with all runs
+ *   exec K crash        ends the boot of executor K; all its runs are lost
  *   exec K reborn       begins a new boot of executor K
  *   exec K cut MS       executor K does not answer for MS
  *   exec K fails 0|1    with 1, every run that starts on executor K fails;
- *                       0 ends this
+ *                       0 ends the fault
  *   config FILE         replaces the fleet's configuration by the text in FILE
- *   started FILE        writes the ids of all jobs of which a task was started
- *                       to FILE
+ *   started FILE        writes the ids of all jobs with a started task to FILE
  */
 #include "fsim.h"
 #include "httpd.h"
@@ -65,8 +64,8 @@
   uint64_t request_id;
   /* Time at which the request is answered at the latest. */
   int64_t deadline_ms;
-  struct store_op op; /* the feed, unless server->exec is set */
-  struct order order; /* the poll, if server->exec is set */
+  struct store_op op; /* the feed, if server->exec is NULL */
+  struct order order; /* the poll, if server->exec is not NULL */
 };
 
 static TAILQ_HEAD (, pending_request)
@@ -78,6 +77,7 @@
 /* Added to an executor's port to give the port in its discovery entry. */
 static int advertised_offset;
 static struct server advice_server;
+/* Start of the stand-in, by CLOCK_MONOTONIC. */
 static int64_t start_ms;
 
 /* Return: time in ms since the start of the stand-in. */
@@ -176,8 +176,8 @@
                           (json_int_t)now ()));
 }
 
-/* Copies parameter @name of the query string of @path, decoded, to @out; an
-   empty string if there is no such parameter. */
+/* Copies the decoded parameter @name of the query string of @path to @out.
+   @out becomes an empty string if there is no such parameter. */
 static void
 query_param (const char *path, const char *name, char *out, size_t size)
 {
@@ -274,8 +274,8 @@
   free (get_rep.rows);
 }
 
-/* Executes a call to the table and answers it, except a feed that finds no
-   changes before @deadline_ms.
+/* Executes a call to the table and answers it.  A feed that finds no changes
+   is not answered before @deadline_ms; the function must then be called again.
 
    Return: true if the call was answered. */
 static bool
@@ -398,9 +398,11 @@
   o->wait_ms = int_member (body, "wait_ms");
 }
 
-/* Executes an order and answers it, except a poll whose wait time is not over
-   (@waited is false) while the executor has no ends to report.
+/* Executes an order and answers it.  A poll is not answered while the executor
+   has no run ends to report and @waited is false; the function must then be
+   called again.
    @first: true in the first call for the order
+   @waited: true if the wait time of a poll is over
 
    Return: true if the order was answered. */
 static bool
@@ -417,8 +419,8 @@
   return done;
 }
 
-/* Registers the job of a start order in the simulation.  The stand-in is not
-   told of submissions, so it registers a job when the first of its tasks
+/* Registers the job of a start order in the simulation.  The stand-in does
+   not see submissions, so it registers a job when the first of its tasks
    starts.  The stand-in does not know the job's size and registers four steps
    with the maximum number of tasks, and unlimited attempts. */
 static void
@@ -497,7 +499,7 @@
       }
 }
 
-/* Prints a line if further violations were detected since the last line. */
+/* Prints a line if violations were detected since the last such line. */
 static void
 report_violations (void)
 {
@@ -534,7 +536,8 @@
     }
 }
 
-/* Listens on @port of the loopback interface; exits on an error. */
+/* Listens on @port of the loopback interface.  The program exits on an error.
+ */
 static void
 start_server (struct server *s, int port,
               void (*on_request) (void *arg, const struct httpd_req *rq))
@@ -575,8 +578,8 @@
   ftable_put (sim, key, text);
 }
 
-/* Return: the contents of the file, to be freed.  Exits if the file is empty
-   or cannot be read. */
+/* Return: the contents of the file, to be freed.  The program exits if the
+   file is empty or cannot be read. */
 static char *
 read_file (const char *path)
 {
@@ -592,7 +595,7 @@
   return text;
 }
 
-/* Writes the ids of all jobs of which a task was started, one per line. */
+/* Writes the ids of all jobs with a started task to a file, one per line. */
 static void
 write_started_jobs (const char *path)
 {
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -66,7 +66,7 @@
 static int n_unfinished;     /* number of submitted jobs without a result */
 static int n_jobs_to_submit; /* number of jobs to submit in all */
 static double jobs_per_s;    /* rate of first submissions */
-static int64_t started_ms;
+static int64_t started_ms;   /* start of the program, by CLOCK_MONOTONIC */
 static char **addrs;
 static int n_addrs;
 static int first_id;  /* job i has the id first_id + i */
--- a/regress/unit/place_test.c
+++ b/regress/unit/place_test.c
@@ -24,7 +24,8 @@
 }
 
 /* Picks workers for a task and stores them in @picked.
-   @avoid: id of a worker that is picked only if no other worker fits; or empty
+   @avoid: id of a worker that is picked only if no other worker fits; empty:
+           none
 
    Return: WHY_BEST_FIT if workers were picked, otherwise the reason why not
    (WHY_...). */
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -1,5 +1,6 @@
-/* Tests of the decoders for documents of the fleet's platform: which documents
-   they accept and which they refuse, also if a document is damaged. */
+/* Tests of the decoders for documents of the fleet's platform.  The decoders
+   must accept valid documents, refuse invalid ones and not crash on damaged
+   ones. */
 #include "platform.h"
 #include "unit.h"
 
@@ -49,7 +50,7 @@
 }
 
 static void
-test_refused_entries (void)
+test_refused_discovery_entries (void)
 {
   static const char *const bad[] = {
     "",
@@ -165,7 +166,7 @@
 {
   static const struct
   {
-    int end, status;
+    int result, status; /* enum httpc_result; HTTP status */
     const char *body;
     int outcome, reason;
   } cases[] = {
@@ -187,7 +188,7 @@
   for (size_t i = 0; i < CLB_COUNT (cases); i++)
     {
       struct order_result res;
-      pf_order_decode (ORDER_START, cases[i].end, cases[i].status,
+      pf_order_decode (ORDER_START, cases[i].result, cases[i].status,
                        cases[i].body, strlen (cases[i].body), &res);
       CU_ASSERT_EQUAL (res.outcome, cases[i].outcome);
       CU_ASSERT_EQUAL (res.reason, cases[i].reason);
@@ -213,7 +214,7 @@
 
 static uint64_t rng_state = 88172645463325252ULL;
 
-/* Return: the next pseudorandom number. */
+/* Return: a pseudorandom number of 64 bits. */
 static uint64_t
 next_random (void)
 {
@@ -281,7 +282,8 @@
 
 UNIT_MAIN ("platform",
            { "a discovery entry is decoded", test_discovery_entry },
-           { "invalid discovery entries are refused", test_refused_entries },
+           { "invalid discovery entries are refused",
+             test_refused_discovery_entries },
            { "a configuration is decoded", test_config },
            { "a job is decoded", test_job },
            { "invalid jobs are refused", test_refused_jobs },
