--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -126,7 +126,8 @@
   bool fails_runs;
   /* True if runs that start on this executor never end by themselves. */
   bool hangs_runs;
-  /* Time when an order was last delayed or a result was last lost. */
+  /* Time when an order to the executor was last delayed or a result of it was
+     last lost. */
   int64_t last_fault_ms;
   /* True if connections to the executor fail at once, so that no order is
      sent to it. */
@@ -185,8 +186,8 @@
   int status; /* HTTP status of the answer; 0: no answer has arrived */
   /* Delay in ms after which the caller may retry; 0: none is given. */
   int64_t retry_ms;
-  char *body; /* body of the answer; NULL: none */
-  int64_t answered_ms;
+  char *body;          /* body of the answer; NULL: none */
+  int64_t answered_ms; /* time when the answer arrived */
 };
 
 /** struct fsim_instance - a simulated process of the scheduler */
@@ -209,8 +210,8 @@
   int64_t advice_busy_until_ms;
   /* Added to the simulated wall clock to give the instance's wall clock. */
   int64_t clock_offset_ms;
-  /* Counts each start and each end of a process.  A message that was sent to
-     another incarnation of the process is dropped. */
+  /* Incremented at each start and each kill of a process.  A message that was
+     sent to another incarnation of the process is dropped. */
   uint64_t incarnation;
   uint64_t ticks;
 };
