--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -30,8 +30,8 @@
   STOP_DELAY_MS = 100,
   /* A member of a gang waits for the other members for this time. */
   GANG_WAIT_MS = 3000,
-  /* An incomplete gang is no violation within this time after
-     fexec::last_fault_ms of the executor that reports it. */
+  /* An executor reports no violation for an incomplete gang until this time
+     has passed since its last fault (fexec::last_fault_ms). */
   RECENT_FAULT_MS = 6000,
   /* A lease ends no later than this time after the order that extends it. */
   LEASE_MAX_MS = 6000,
@@ -51,8 +51,9 @@
   /* A poll is answered at this time at the latest, even if no run has ended.
    */
   int64_t poll_deadline_ms;
-  /* fexec::boot_start_ms of the boot that the order is for; 0: the order has
-     not arrived at the executor. */
+  /* Identifies the executor's boot that the order was sent to, by its
+     fexec::boot_start_ms; the order is lost if the executor has rebooted since
+     then.  0: the order has not arrived, and any boot accepts it. */
   int64_t boot_start_ms;
   /* True if the result must not be delivered to the instance. */
   bool drop_result;
@@ -109,8 +110,9 @@
   add_past_run (e, &r->task, r->run_id);
   if (stats)
     stats->n_running--;
-  /* After a fault a member may wait in vain because the leader's stop order
-     for it was lost as well (walk.lua, seed 184). */
+  /* After a fault a member may wait for members that never start, because the
+     leader's stop order for the waiting member was lost as well (walk.lua,
+     seed 184). */
   if (how == RUN_END_GANG_INCOMPLETE
       && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
     fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s: gang incomplete",
@@ -144,10 +146,10 @@
     }
 }
 
-/* Calls @each, unless it is NULL, for each member of a gang that has started
-   in run @run_id.
+/* Calls @each, unless it is NULL, for each running task of the gang of task @t
+   whose run has the id @run_id.
 
-   Return: number of these members. */
+   Return: number of these tasks. */
 static int
 for_each_gang_member (struct fsim *s, const struct task_ref *t, int64_t run_id,
                       void (*each) (struct fsim *s, struct frun *r))
@@ -168,7 +170,8 @@
   return n;
 }
 
-/* Starts the work of a gang's member, after all members have started. */
+/* Starts the work of run @r, a member of a gang whose members have all
+   started. */
 static void
 start_gang_member_work (struct fsim *s, struct frun *r)
 {
@@ -192,7 +195,7 @@
     for_each_gang_member (s, &r->task, r->run_id, start_gang_member_work);
 }
 
-/* Reports the violations that the start of a task shows. */
+/* Reports a violation for each rule that the start of a task breaks. */
 static void
 check_start (struct fsim *s, struct fexec *e, const struct order *o,
              struct fjob *j, struct ftask_stats *stats)
@@ -306,8 +309,9 @@
       }
 }
 
-/* Removes the run ends up to number @recorded_seq, which the leader has
-   recorded, and counts them in the statistics of their tasks. */
+/* Removes the reports of ended runs up to sequence number @recorded_seq, which
+   the leader has recorded, and counts these runs in the statistics of their
+   tasks. */
 static void
 remove_acked_ends (struct fsim *s, struct fexec *e, int64_t recorded_seq)
 {
@@ -333,7 +337,8 @@
   e->n_ends = kept;
 }
 
-/* Fills the lists of runs and run ends in the result of a poll. */
+/* Fills the lists of running tasks and of ended runs in the result of a
+   poll. */
 static void
 fill_poll_lists (struct fsim *s, struct fexec *e, struct order_result *res)
 {
@@ -479,8 +484,8 @@
 
   /* The instance already has the result ORDER_LOST. */
   d->drop_result = true;
-  /* deliver_order() loses the order if the executor has crashed or rebooted:
-     then e->boot_start_ms differs from d->boot_start_ms. */
+  /* deliver_order() loses the order if the executor is down, or if it has
+     rebooted, so that its boot_start_ms differs from d->boot_start_ms. */
   deliver_order (s, d);
 }
 
@@ -612,7 +617,8 @@
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  /* 0 means that the start of the boot is unknown, so add 1 ms. */
+  /* The start of a boot must not be 0, which means in
+     order_delivery::boot_start_ms that the boot is unknown. */
   e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
   fexec_update_discovery_entry (s, e);
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -63,7 +63,8 @@
   /* All past writes, oldest first. */
   struct ftable_change *changes;
   size_t n_changes;
-  /* A feed that begins before this version fails. */
+  /* Version of the table at its last compaction; 0: none.  A feed of changes
+     since an earlier version fails with CLB_ENOTFOUND. */
   int64_t compacted_ver;
   /* The table refuses all calls until this time. */
   int64_t down_until_ms;
@@ -76,7 +77,7 @@
   double delayed_write_share;
   /* The table is executing earlier writes until this time. */
   int64_t busy_until_ms;
-  uint64_t n_calls; /* calls of all kinds that instances have sent */
+  uint64_t n_calls; /* number of calls that instances have sent to the table */
 };
 
 /** struct frun - a run of a task on an executor */
@@ -113,7 +114,8 @@
   int64_t boot_start_ms;
   /* No instance reaches the executor until this time. */
   int64_t partitioned_until_ms;
-  /* All runs of the executor end when this time is reached. */
+  /* End of the executor's lease.  All runs of the executor end at this time,
+     unless an order extends the lease before. */
   int64_t lease_until_ms;
   /* The highest fencing token of all orders that this boot has received. */
   int64_t fencing_token;
@@ -126,8 +128,8 @@
   bool fails_runs;
   /* True if runs that start on this executor never end by themselves. */
   bool hangs_runs;
-  /* Time when an order to the executor was last delayed or a result of it was
-     last lost. */
+  /* Simulated time of the last injected fault that delayed an order to the
+     executor or lost the result of an order; 0: none. */
   int64_t last_fault_ms;
   /* True if connections to the executor fail at once, so that no order is
      sent to it. */
@@ -135,10 +137,11 @@
   struct job_need capacity;
   struct frun runs[256];
   int n_runs;
-  /* Run ends that the leader has not acknowledged. */
+  /* Reports of ended runs.  A report is kept until a poll of the leader
+     acknowledges it. */
   struct end_row ends[4096];
   int n_ends;
-  /* Number of the latest run end in this boot; 0: no run has ended. */
+  /* end_row::seq of the latest report in this boot; 0: no run has ended. */
   int64_t last_end_seq;
   /* Runs of this boot that have ended or for which a stop was ordered. */
   struct frun_ref *past_runs;
@@ -156,8 +159,8 @@
   bool accepted;
   bool refused;         /* every submission of the job was refused */
   int64_t submitted_ms; /* time of the last submission */
-  int64_t done_ms;      /* time when the last task was done */
-  int last_state;       /* last state that a caller was given, or -1 */
+  int64_t done_ms;      /* unused */
+  int last_state;       /* unused */
   /* One element per task, in the order of steps and task indexes. */
   struct ftask_stats *stats;
   int n_stats;
@@ -331,13 +334,13 @@
 
 /**
  * fexec_apply() - Execute order @o on executor @e.
- * @first: true in the first call for @o; only this call removes the run ends
- *         that a poll acknowledges
+ * @first: true in the first call for @o; only this call removes the reports
+ *         of ended runs that a poll acknowledges
  * @waited: true if the wait time of a poll is over
  * @res: receives the result
  *
  * Return: true if @res is complete.  False only for a poll while the executor
- * has no run ends to report; this function must then be called again, until
+ * has no ended runs to report; this function must then be called again, until
  * the poll's wait time is over.
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
@@ -364,9 +367,9 @@
  */
 void fexec_update_discovery_entry (struct fsim *s, struct fexec *e);
 /**
- * fexec_crash() - End the executor's boot.  Its runs, and the run ends that
- * the leader has not acknowledged, are lost.  A later event deletes its
- * discovery entry.
+ * fexec_crash() - End the executor's boot.  Its runs are lost, and so are the
+ * reports of ended runs that the leader has not acknowledged.  A later event
+ * deletes the executor's discovery entry.
  */
 void fexec_crash (struct fsim *s, struct fexec *e);
 /**
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -136,7 +136,8 @@
    simulation, documents are lines of words instead of the platform's JSON. */
 
 static int
-read_exec (const char *id, const char *text, struct exec_report *out)
+read_discovery_entry (const char *id, const char *text,
+                      struct exec_report *out)
 {
   int draining;
   long long millicores, mem;
@@ -250,7 +251,8 @@
 {
   /* Index of the receiving instance. */
   int receiver;
-  /* The message is dropped if the receiver has another incarnation. */
+  /* Incarnation of the receiver when the message was sent.  A receiver with
+     another incarnation does not get the message. */
   uint64_t incarnation;
   struct mesh_msg *msg;
 };
@@ -398,7 +400,7 @@
   struct fleet_settings settings = { .boot = WALL_CLOCK_START_MS + s->now_ms,
                                      .revoke_ms = 5000,
                                      .codec = { .conf = read_conf,
-                                                .exec = read_exec,
+                                                .exec = read_discovery_entry,
                                                 .job = read_job,
                                                 .state_body = state_body,
                                                 .count_body = count_body,
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -122,7 +122,8 @@
     }
 }
 
-/* Return: true if @key is of the table with the name @table, in any part. */
+/* Return: true if @key names a row of table @table, in any part of the table
+   ("TABLE/..." or "TABLE:PART/..."). */
 static bool
 key_is_in_table (const char *key, const char *table)
 {
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -339,8 +339,8 @@
                  answered
    delay-writes  the share value (0 to 1) of writes is not answered, and is
                  executed 1 to 6 seconds later
-   compact       a feed that begins before the present version fails from now
-                 on */
+   compact       compacts the table: from now on, a feed of changes since a
+                 version before the present one fails */
 static int
 verb_store (lua_State *l)
 {
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -15,8 +15,8 @@
  *   table down MS       the table refuses all calls for MS
  *   table lost SHARE    SHARE (0 to 1) of the writes is executed but not
  *                       answered
- *   table compact       a feed that begins before the present version fails
- *                       from now on
+ *   table compact       compacts the table: from now on, a feed of changes
+ *                       since a version before the present one fails
  *   exec K crash        ends the boot of executor K; all its runs are lost
  *   exec K reborn       begins a new boot of executor K
  *   exec K cut MS       executor K does not answer for MS
@@ -64,8 +64,8 @@
   uint64_t request_id;
   /* Time at which the request is answered at the latest. */
   int64_t deadline_ms;
-  struct store_op op; /* the feed, if server->exec is NULL */
-  struct order order; /* the poll, if server->exec is not NULL */
+  struct store_op op; /* the feed; used if server->exec is NULL */
+  struct order order; /* the poll; used if server->exec is not NULL */
 };
 
 static TAILQ_HEAD (, pending_request)
@@ -399,7 +399,7 @@
 }
 
 /* Executes an order and answers it.  A poll is not answered while the executor
-   has no run ends to report and @waited is false; the function must then be
+   has no ended runs to report and @waited is false; the function must then be
    called again.
    @first: true in the first call for the order
    @waited: true if the wait time of a poll is over
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -13,8 +13,9 @@
  * - A job passes if every submission was refused.  The program prints a line
  *   "refused ID".  The job must never run.
  * - A job that was accepted must be completed.
- * - A job must also be completed if the outcome of a submission is unknown. It
- *   also passes if all tries are used up and the job does not exist.
+ * - A job must also be completed if the outcome of a submission is unknown.
+ *   Such a job passes as well if all tries are used up and the job does not
+ *   exist (HTTP status 410).
  * - The program prints a line "lost ID" for a job that is not completed in
  *   time.
  */
@@ -41,7 +42,7 @@
   JOBS_MAX = 100000,
 };
 
-/* struct load_job - a job and what is known of it from answers */
+/* struct load_job - a job, its submissions and its result */
 struct load_job
 {
   int64_t first_sent_ms; /* time of the first submission */
@@ -54,7 +55,7 @@
      been accepted. */
   bool outcome_unknown;
   bool failed;
-  int n_tries;             /* submissions so far */
+  int n_tries;             /* number of submissions of the job so far */
   bool request_pending;    /* a request is waiting for its answer */
   int64_t next_request_ms; /* time of the next request */
 };
@@ -171,8 +172,8 @@
   jobs[i].n_tries++;
 }
 
-/* Sends the next request for job @i.  The job fails instead if its time is
-   over. */
+/* Sends the next request for job @i.  If GIVE_UP_MS have passed since the
+   first submission, the job fails and no request is sent. */
 static void
 send_next_request (int i)
 {
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -155,7 +155,8 @@
   CU_ASSERT_EQUAL_FATAL (res.n_runs, 1);
   CU_ASSERT_EQUAL (res.runs[0].percent, 41);
   CU_ASSERT_EQUAL (res.runs[0].task.index, 2);
-  /* Rows 59 and 60 are invalid; only they are omitted. */
+  /* The decoder must keep the ended run with number 58 and omit only those
+     with 59 and 60, which are invalid. */
   CU_ASSERT_EQUAL_FATAL (res.n_ends, 1);
   CU_ASSERT_EQUAL (res.ends[0].seq, 58);
   order_result_clear (&res);
