--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -1,8 +1,22 @@
 /*
- * Executors and the advice service.  An executor refuses what the contract
- * says, runs what it accepts whether it fits or not, and checks what it saw:
- * no two runs of a task, no start after an end that was acknowledged, no more
- * than its room, no more attempts than the queue allows.
+ * The simulated executors and the advice service.
+ *
+ * An executor refuses the orders that the platform's contract lets it refuse,
+ * with one exception: it starts a task that exceeds its free capacity.
+ *
+ * At each start of a task the executor reports a violation by the scheduler
+ * if:
+ *   TWICE    the task is running already, or the leader has acknowledged a
+ *            successful end of the task
+ *   LIMIT    the running tasks exceed the executor's capacity
+ *   BUDGET   the task has failed as often as the queue allows
+ *   REFUSED  the job's submission was refused
+ *   UNASKED  the job or task does not exist
+ *
+ * At the end of a run the executor reports GANG if the run was a member of a
+ * gang that was still incomplete when the member's wait time was over, unless
+ * an order to the executor was delayed or its result lost within
+ * RECENT_FAULT_MS before.
  */
 #include "fsim.h"
 
@@ -12,27 +26,41 @@
 
 enum
 {
-  STOP_MS = 100,
-  GANG_MS = 3000,
-  FAULT_NEAR_MS = 6000,
+  /* A run ends no later than this time after a stop order for it. */
+  STOP_DELAY_MS = 100,
+  /* A member of a gang waits for the other members for this time. */
+  GANG_WAIT_MS = 3000,
+  /* An executor reports no violation for an incomplete gang until this time
+     has passed since its last fault (fexec::last_fault_ms). */
+  RECENT_FAULT_MS = 6000,
+  /* A lease ends no later than this time after the order that extends it. */
   LEASE_MAX_MS = 6000,
+  /* Time for which an answer of the advice service is valid. */
   ADVICE_VALID_MS = 2000,
 };
 
-struct delivery
+/* struct order_delivery - an order of an instance and the executor's result,
+   until the result is delivered */
+struct order_delivery
 {
-  int inst;
-  uint64_t life;
+  int inst; /* index of the instance that sends the order */
+  uint64_t incarnation;
   struct order order;
   char exec[CLB_ID_MAX];
   struct order_result res;
-  int64_t until_ms; /* of a question for ends */
-  int64_t born_ms;  /* of the boot that it came to; 0: under way */
-  bool silent;      /* nobody hears the answer */
+  /* A poll is answered at this time at the latest, even if no run has ended.
+   */
+  int64_t poll_deadline_ms;
+  /* Identifies the executor's boot that the order was sent to, by its
+     fexec::boot_start_ms; the order is lost if the executor has rebooted since
+     then.  0: the order has not arrived, and any boot accepts it. */
+  int64_t boot_start_ms;
+  /* True if the result must not be delivered to the instance. */
+  bool drop_result;
 };
 
 static struct fexec *
-exec_of (struct fsim *s, const char *id)
+find_exec (struct fsim *s, const char *id)
 {
   for (int i = 0; i < s->n_exec; i++)
     if (strcmp (s->exec[i]->id, id) == 0)
@@ -40,17 +68,17 @@
   return NULL;
 }
 
-static struct fmark *
-mark_of (struct fsim *s, const struct task_ref *t)
+static struct ftask_stats *
+find_task_stats (struct fsim *s, const struct task_ref *t)
 {
-  struct fjob *j = fsim_job (s, t->job);
-  int at = 0;
+  struct fjob *j = fsim_find_job (s, t->job);
+  int first_of_step = 0;
 
   if (!j || t->step >= (int64_t)j->spec.n_steps)
     return NULL;
   for (int i = 0; i < t->step; i++)
-    at += (int)j->spec.steps[i].tasks;
-  return &j->marks[at + t->index];
+    first_of_step += (int)j->spec.steps[i].tasks;
+  return &j->stats[first_of_step + t->index];
 }
 
 static bool
@@ -61,36 +89,42 @@
 }
 
 static void
-remember (struct fexec *e, const struct task_ref *task, int64_t run)
+add_past_run (struct fexec *e, const struct task_ref *task, int64_t run_id)
 {
-  e->past = realloc (e->past, (size_t)(e->n_past + 1) * sizeof *e->past);
-  if (!e->past)
+  e->past_runs = realloc (e->past_runs,
+                          (size_t)(e->n_past_runs + 1) * sizeof *e->past_runs);
+  if (!e->past_runs)
     abort ();
-  e->past[e->n_past++] = (struct fpast){ *task, run };
+  e->past_runs[e->n_past_runs++] = (struct frun_ref){ *task, run_id };
 }
 
+/* Ends run @i of the executor.
+   @how: enum run_end */
 static void
 end_run (struct fsim *s, struct fexec *e, int i, int how)
 {
   struct frun *r = &e->runs[i];
-  struct fmark *m = mark_of (s, &r->task);
+  struct ftask_stats *stats = find_task_stats (s, &r->task);
   struct end_row *end = &e->ends[e->n_ends];
 
-  remember (e, &r->task, r->run);
-  if (m)
-    m->running--;
-  /* Orders to stop the member may have been lost as well (walk, seed 184). */
+  add_past_run (e, &r->task, r->run_id);
+  if (stats)
+    stats->n_running--;
+  /* After a fault a member may wait for members that never start, because the
+     leader's stop order for the waiting member was lost as well (walk.lua,
+     seed 184). */
   if (how == RUN_END_GANG_INCOMPLETE
-      && s->now_ms - e->fault_ms > FAULT_NEAR_MS)
-    fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s waited in vain",
+      && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
+    fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s: gang incomplete",
                     r->task.job, (long long)r->task.step,
-                    (long long)r->task.index, (long long)r->run, e->id);
+                    (long long)r->task.index, (long long)r->run_id, e->id);
   if (e->n_ends < (int)CLB_COUNT (e->ends))
     {
       e->n_ends++;
-      *end = (struct end_row){
-        .seq = ++e->last_end, .task = r->task, .run_id = r->run, .run_end = how
-      };
+      *end = (struct end_row){ .seq = ++e->last_end_seq,
+                               .task = r->task,
+                               .run_id = r->run_id,
+                               .run_end = how };
     }
   e->runs[i] = e->runs[--e->n_runs];
 }
@@ -107,15 +141,18 @@
           if (s->now_ms >= e->lease_until_ms)
             end_run (s, e, i, RUN_END_LAPSED);
           else if (s->now_ms >= r->end_ms)
-            end_run (s, e, i, r->stopping ? RUN_END_STOPPED : r->how);
+            end_run (s, e, i, r->stop_ordered ? RUN_END_STOPPED : r->run_end);
         }
     }
 }
 
-/* The members of one run of a gang that are there; @each is told of each. */
+/* Calls @each, unless it is NULL, for each running task of the gang of task @t
+   whose run has the id @run_id.
+
+   Return: number of these tasks. */
 static int
-members (struct fsim *s, const struct task_ref *t, int64_t run,
-         void (*each) (struct fsim *s, struct frun *r))
+for_each_gang_member (struct fsim *s, const struct task_ref *t, int64_t run_id,
+                      void (*each) (struct fsim *s, struct frun *r))
 {
   int n = 0;
 
@@ -123,7 +160,7 @@
     for (int i = 0; i < s->exec[k]->n_runs; i++)
       {
         struct frun *r = &s->exec[k]->runs[i];
-        if (r->run != run || r->task.step != t->step
+        if (r->run_id != run_id || r->task.step != t->step
             || strcmp (r->task.job, t->job) != 0)
           continue;
         n++;
@@ -133,30 +170,35 @@
   return n;
 }
 
+/* Starts the work of run @r, a member of a gang whose members have all
+   started. */
 static void
-set_to_work (struct fsim *s, struct frun *r)
+start_gang_member_work (struct fsim *s, struct frun *r)
 {
-  struct fjob *j = fsim_job (s, r->task.job);
+  struct fjob *j = fsim_find_job (s, r->task.job);
 
-  r->waits = false;
+  r->awaits_gang = false;
   r->end_ms = s->now_ms + j->task_ms[r->task.step];
-  r->how = RUN_END_DONE;
+  r->run_end = RUN_END_DONE;
 }
 
-/* A gang works only once all are there, and waits for GANG_MS. */
+/* Makes @r wait for the other members of its gang.  The members begin their
+   work when the last of them has started.  The run of a member ends if its
+   gang is still incomplete after GANG_WAIT_MS. */
 static void
 join_gang (struct fsim *s, struct frun *r, const struct job_step *step)
 {
-  r->waits = true;
-  r->end_ms = s->now_ms + GANG_MS;
-  r->how = RUN_END_GANG_INCOMPLETE;
-  if (members (s, &r->task, r->run, NULL) == step->tasks)
-    members (s, &r->task, r->run, set_to_work);
+  r->awaits_gang = true;
+  r->end_ms = s->now_ms + GANG_WAIT_MS;
+  r->run_end = RUN_END_GANG_INCOMPLETE;
+  if (for_each_gang_member (s, &r->task, r->run_id, NULL) == step->tasks)
+    for_each_gang_member (s, &r->task, r->run_id, start_gang_member_work);
 }
 
+/* Reports a violation for each rule that the start of a task breaks. */
 static void
 check_start (struct fsim *s, struct fexec *e, const struct order *o,
-             struct fjob *j, struct fmark *m)
+             struct fjob *j, struct ftask_stats *stats)
 {
   struct job_need used = { 0 };
 
@@ -165,135 +207,152 @@
       used.millicores += e->runs[i].need.millicores;
       used.mem_mb += e->runs[i].need.mem_mb;
     }
-  if (used.millicores > e->room.millicores || used.mem_mb > e->room.mem_mb)
-    fsim_violation (s, "LIMIT %s: %lld millicores of %lld", e->id,
-                    (long long)used.millicores, (long long)e->room.millicores);
-  if (m->running > 1)
-    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: runs elsewhere",
+  if (used.millicores > e->capacity.millicores
+      || used.mem_mb > e->capacity.mem_mb)
+    fsim_violation (s, "LIMIT %s: %lld millicores used of %lld", e->id,
+                    (long long)used.millicores,
+                    (long long)e->capacity.millicores);
+  if (stats->n_running > 1)
+    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already running",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->noted)
-    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: done before",
+  if (stats->end_acked)
+    fsim_violation (s, "TWICE %s.%lld.%lld run %lld on %s: already done",
                     o->task.job, (long long)o->task.step,
                     (long long)o->task.index, (long long)o->run_id, e->id);
-  if (m->failed >= j->spec.attempts)
-    fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d have failed",
+  if (stats->n_failed >= j->spec.attempts)
+    fsim_violation (s, "BUDGET %s.%lld.%lld run %lld: %d runs have failed",
                     o->task.job, (long long)o->task.step,
-                    (long long)o->task.index, (long long)o->run_id, m->failed);
+                    (long long)o->task.index, (long long)o->run_id,
+                    stats->n_failed);
   if (j->refused)
-    fsim_violation (s, "REFUSED %s starts", o->task.job);
+    fsim_violation (s, "REFUSED %s: started although refused", o->task.job);
 }
 
 static void
 begin_run (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  struct fjob *j = fsim_job (s, o->task.job);
-  struct fmark *m = mark_of (s, &o->task);
+  struct fjob *j = fsim_find_job (s, o->task.job);
+  struct ftask_stats *stats = find_task_stats (s, &o->task);
   struct frun *r = &e->runs[e->n_runs];
 
-  if (!j || !m)
+  if (!j || !stats)
     {
-      fsim_violation (s, "UNASKED %s", o->task.job);
+      fsim_violation (s, "UNASKED %s: job or task unknown", o->task.job);
       return;
     }
   e->n_runs++;
   *r = (struct frun){ .task = o->task,
-                      .run = o->run_id,
-                      .begin_ms = s->now_ms,
+                      .run_id = o->run_id,
+                      .start_ms = s->now_ms,
                       .end_ms = s->now_ms + j->task_ms[o->task.step],
-                      .how
-                      = j->poison || e->fails ? RUN_END_FAILED : RUN_END_DONE,
+                      .run_end = j->always_fails || e->fails_runs
+                                     ? RUN_END_FAILED
+                                     : RUN_END_DONE,
                       .need = j->spec.steps[o->task.step].need };
-  if (r->how == RUN_END_FAILED)
+  if (r->run_end == RUN_END_FAILED)
     r->end_ms = s->now_ms + 50;
-  if (e->hangs)
+  if (e->hangs_runs)
     r->end_ms = INT64_MAX;
-  m->running++;
-  m->starts++;
-  if (j->spec.steps[o->task.step].gang && r->how == RUN_END_DONE)
+  stats->n_running++;
+  stats->n_starts++;
+  if (j->spec.steps[o->task.step].gang && r->run_end == RUN_END_DONE)
     join_gang (s, r, &j->spec.steps[o->task.step]);
-  check_start (s, e, o, j, m);
+  check_start (s, e, o, j, stats);
 }
 
+/* Return: -1 if the order was executed, otherwise the reason of the refusal
+   (REFUSED_...). */
 static int
-start (struct fsim *s, struct fexec *e, const struct order *o)
+apply_start (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  if (o->fencing_token < e->fence)
+  if (o->fencing_token < e->fencing_token)
     return REFUSED_FENCE;
-  if (o->lease_deadline_ms <= s->now_ms - e->born_ms)
+  if (o->lease_deadline_ms <= s->now_ms - e->boot_start_ms)
     return REFUSED_LEASE_OVER;
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
+    if (same_task (&e->runs[i].task, &o->task)
+        && e->runs[i].run_id == o->run_id)
       return -1;
-  for (int i = 0; i < e->n_past; i++)
-    if (same_task (&e->past[i].task, &o->task) && e->past[i].run >= o->run_id)
+  for (int i = 0; i < e->n_past_runs; i++)
+    if (same_task (&e->past_runs[i].task, &o->task)
+        && e->past_runs[i].run_id >= o->run_id)
       return REFUSED_STALE_RUN;
   begin_run (s, e, o);
   return -1;
 }
 
+/* Extends the lease to @deadline_ms after the start of the boot, but to no
+   more than LEASE_MAX_MS from now. */
 static void
-extend (struct fsim *s, struct fexec *e, int64_t deadline_ms)
+extend_lease (struct fsim *s, struct fexec *e, int64_t deadline_ms)
 {
-  int64_t until = e->born_ms + deadline_ms;
+  int64_t until_ms = e->boot_start_ms + deadline_ms;
 
-  if (until > s->now_ms + LEASE_MAX_MS)
-    until = s->now_ms + LEASE_MAX_MS;
-  if (until > e->lease_until_ms)
-    e->lease_until_ms = until;
+  if (until_ms > s->now_ms + LEASE_MAX_MS)
+    until_ms = s->now_ms + LEASE_MAX_MS;
+  if (until_ms > e->lease_until_ms)
+    e->lease_until_ms = until_ms;
 }
 
 static void
-stop (struct fsim *s, struct fexec *e, const struct order *o)
+apply_stop (struct fsim *s, struct fexec *e, const struct order *o)
 {
-  remember (e, &o->task, o->run_id);
+  add_past_run (e, &o->task, o->run_id);
   for (int i = 0; i < e->n_runs; i++)
-    if (same_task (&e->runs[i].task, &o->task) && e->runs[i].run == o->run_id)
+    if (same_task (&e->runs[i].task, &o->task)
+        && e->runs[i].run_id == o->run_id)
       {
-        e->runs[i].stopping = true;
-        if (e->runs[i].end_ms > s->now_ms + STOP_MS)
-          e->runs[i].end_ms = s->now_ms + STOP_MS;
+        e->runs[i].stop_ordered = true;
+        if (e->runs[i].end_ms > s->now_ms + STOP_DELAY_MS)
+          e->runs[i].end_ms = s->now_ms + STOP_DELAY_MS;
       }
 }
 
+/* Removes the reports of ended runs up to sequence number @recorded_seq, which
+   the leader has recorded, and counts these runs in the statistics of their
+   tasks. */
 static void
-forget_ends (struct fsim *s, struct fexec *e, int64_t recorded)
+remove_acked_ends (struct fsim *s, struct fexec *e, int64_t recorded_seq)
 {
   int kept = 0;
 
   for (int i = 0; i < e->n_ends; i++)
     {
       const struct end_row *end = &e->ends[i];
-      struct fmark *m = mark_of (s, &end->task);
-      if (end->seq > recorded)
+      struct ftask_stats *stats = find_task_stats (s, &end->task);
+      if (end->seq > recorded_seq)
         {
           e->ends[kept++] = *end;
           continue;
         }
-      if (m && end->run_end == RUN_END_DONE)
+      if (stats && end->run_end == RUN_END_DONE)
         {
-          m->done = true;
-          m->noted = true;
+          stats->done = true;
+          stats->end_acked = true;
         }
-      if (m && end->run_end == RUN_END_FAILED)
-        m->failed++;
+      if (stats && end->run_end == RUN_END_FAILED)
+        stats->n_failed++;
     }
   e->n_ends = kept;
 }
 
+/* Fills the lists of running tasks and of ended runs in the result of a
+   poll. */
 static void
-fill_lists (struct fsim *s, struct fexec *e, struct order_result *res)
+fill_poll_lists (struct fsim *s, struct fexec *e, struct order_result *res)
 {
   res->runs = calloc ((size_t)e->n_runs + 1, sizeof *res->runs);
   res->ends = calloc ((size_t)e->n_ends + 1, sizeof *res->ends);
   for (int i = 0; i < e->n_runs; i++)
     {
       struct frun *r = &e->runs[i];
-      int64_t whole = r->end_ms - r->begin_ms;
+      int64_t duration_ms = r->end_ms - r->start_ms;
       res->runs[res->n_runs++] = (struct run_row){
         .task = r->task,
-        .run_id = r->run,
-        .percent = whole > 0 ? (s->now_ms - r->begin_ms) * 100 / whole : 0
+        .run_id = r->run_id,
+        .percent
+        = duration_ms > 0 ? (s->now_ms - r->start_ms) * 100 / duration_ms : 0
       };
     }
   for (int i = 0; i < e->n_ends && i < 500; i++)
@@ -301,20 +360,22 @@
 }
 
 static void
-result (struct fsim *s, void *arg)
+deliver_result (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
-  struct finst *in = s->inst[d->inst];
+  struct order_delivery *d = arg;
+  struct fsim_instance *in = s->inst[d->inst];
 
-  if (in->up && in->life == d->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, result, d);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_result,
+                     d);
       return;
     }
-  if (in->up && in->life == d->life && !d->silent)
+  if (in->up && in->incarnation == d->incarnation && !d->drop_result)
     {
       fleet_order_result (&in->fleet, s->now_ms, &d->order, &d->res);
-      fsim_pump (s, d->inst);
+      fsim_process_outputs (s, d->inst);
     }
   order_result_clear (&d->res);
   free (d->order.payload);
@@ -322,18 +383,22 @@
   free (d);
 }
 
+/* Sends the result to the instance, unless the configured faults lose it.  If
+   the result is lost, the instance learns after the order's time limit that no
+   answer arrived. */
 static void
-come_back (struct fsim *s, struct delivery *d, struct fexec *e)
+send_result (struct fsim *s, struct order_delivery *d, struct fexec *e)
 {
-  if (!fsim_can_reach (s, d->inst, e) || fsim_random (s) < e->lost)
+  if (!fsim_can_reach (s, d->inst, e)
+      || fsim_random (s) < e->lost_result_share)
     {
-      e->fault_ms = s->now_ms;
+      e->last_fault_ms = s->now_ms;
       order_result_clear (&d->res);
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, d->order.timeout_ms, result, d);
+      fsim_schedule (s, d->order.timeout_ms, deliver_result, d);
       return;
     }
-  fsim_at (s, FSIM_LINK_MS, result, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_result, d);
 }
 
 bool
@@ -343,20 +408,20 @@
   int refusal = -1;
 
   fexec_tick (s);
-  res->clock_ms = s->now_ms - e->born_ms;
-  res->boot_start_ms = e->born_ms;
+  res->clock_ms = s->now_ms - e->boot_start_ms;
+  res->boot_start_ms = e->boot_start_ms;
   res->outcome = ORDER_DONE;
-  if (o->fencing_token < e->fence)
+  if (o->fencing_token < e->fencing_token)
     refusal = REFUSED_FENCE;
   else
     {
-      e->fence = o->fencing_token;
+      e->fencing_token = o->fencing_token;
       if (o->lease_deadline_ms)
-        extend (s, e, o->lease_deadline_ms);
+        extend_lease (s, e, o->lease_deadline_ms);
       if (o->kind == ORDER_STOP)
-        stop (s, e, o);
+        apply_stop (s, e, o);
       else if (o->kind == ORDER_START)
-        refusal = start (s, e, o);
+        refusal = apply_start (s, e, o);
     }
   if (refusal >= 0)
     {
@@ -367,89 +432,94 @@
   if (o->kind != ORDER_POLL)
     return true;
   if (first)
-    forget_ends (s, e, o->recorded_end_seq);
+    remove_acked_ends (s, e, o->recorded_end_seq);
   if (e->n_ends == 0 && !waited)
     return false;
-  fill_lists (s, e, res);
+  fill_poll_lists (s, e, res);
   return true;
 }
 
 static void
-arrive (struct fsim *s, void *arg)
+deliver_order (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
-  struct fexec *e = exec_of (s, d->exec);
-  bool first;
+  struct order_delivery *d = arg;
+  struct fexec *e = find_exec (s, d->exec);
+  bool first_call;
 
-  /* What waits in a boot ends with it. */
+  /* An order to an earlier boot is lost, and a waiting poll is lost if the
+     executor has crashed or rebooted. */
   if (!e->up || !fsim_can_reach (s, d->inst, e)
-      || (d->born_ms && d->born_ms != e->born_ms))
+      || (d->boot_start_ms && d->boot_start_ms != e->boot_start_ms))
     {
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, d->order.timeout_ms, result, d);
+      fsim_schedule (s, d->order.timeout_ms, deliver_result, d);
     }
-  else if (first = !d->born_ms, d->born_ms = e->born_ms,
-           fexec_apply (s, e, &d->order, first, s->now_ms >= d->until_ms,
-                        &d->res))
-    come_back (s, d, e);
+  else if (first_call = !d->boot_start_ms, d->boot_start_ms = e->boot_start_ms,
+           fexec_apply (s, e, &d->order, first_call,
+                        s->now_ms >= d->poll_deadline_ms, &d->res))
+    send_result (s, d, e);
   else
-    fsim_at (s, 10, arrive, d);
+    fsim_schedule (s, 10, deliver_order, d);
 }
 
-static struct delivery *
-delivery_new (struct fsim *s, int i, const struct order *o)
+static struct order_delivery *
+order_delivery_new (struct fsim *s, int i, const struct order *o)
 {
-  struct delivery *d = calloc (1, sizeof *d);
+  struct order_delivery *d = calloc (1, sizeof *d);
 
   d->inst = i;
-  d->life = s->inst[i]->life;
+  d->incarnation = s->inst[i]->incarnation;
   d->order = *o;
   d->order.payload = o->payload ? strdup (o->payload) : NULL;
   d->order.execs = NULL;
   clb_copy (d->exec, o->exec, sizeof d->exec);
-  d->until_ms = s->now_ms + o->wait_ms;
+  d->poll_deadline_ms = s->now_ms + o->wait_ms;
   return d;
 }
 
 static void
-late_arrival (struct fsim *s, void *arg)
+deliver_delayed_order (struct fsim *s, void *arg)
 {
-  struct delivery *d = arg;
+  struct order_delivery *d = arg;
 
-  /* A boot refuses what was meant for another one. */
-  d->silent = true;
-  arrive (s, d);
+  /* The instance already has the result ORDER_LOST. */
+  d->drop_result = true;
+  /* deliver_order() loses the order if the executor is down, or if it has
+     rebooted, so that its boot_start_ms differs from d->boot_start_ms. */
+  deliver_order (s, d);
 }
 
 void
-fexec_order (struct fsim *s, int i, const struct order *o)
+fexec_send_order (struct fsim *s, int i, const struct order *o)
 {
-  struct fexec *e = exec_of (s, o->exec);
-  struct delivery *d = delivery_new (s, i, o);
+  struct fexec *e = find_exec (s, o->exec);
+  struct order_delivery *d = order_delivery_new (s, i, o);
 
-  if (!e || e->unreached)
+  if (!e || e->refuses_connections)
     {
       d->res.outcome = ORDER_UNREACHED;
-      fsim_at (s, FSIM_LINK_MS, result, d);
+      fsim_schedule (s, FSIM_LINK_MS, deliver_result, d);
       return;
     }
-  if (o->kind != ORDER_POLL && fsim_random (s) < e->late)
+  if (o->kind != ORDER_POLL && fsim_random (s) < e->delayed_order_share)
     {
-      struct delivery *late = delivery_new (s, i, o);
-      late->born_ms = e->born_ms;
-      e->fault_ms = s->now_ms;
-      fsim_at (s, 2000 + (int64_t)(fsim_random (s) * 10000), late_arrival,
-               late);
+      struct order_delivery *delayed = order_delivery_new (s, i, o);
+      delayed->boot_start_ms = e->boot_start_ms;
+      e->last_fault_ms = s->now_ms;
+      fsim_schedule (s, 2000 + (int64_t)(fsim_random (s) * 10000),
+                     deliver_delayed_order, delayed);
       d->res.outcome = ORDER_LOST;
-      fsim_at (s, o->timeout_ms, result, d);
+      fsim_schedule (s, o->timeout_ms, deliver_result, d);
       return;
     }
-  fsim_at (s, FSIM_LINK_MS, arrive, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_order, d);
 }
 
-/* The same executors are good for a step each time it is asked. */
+/* Return: true if the advice service permits executor @exec for the step.  The
+   answer depends on a hash only, so it is the same for each query. */
 static bool
-is_good (const struct fsim *s, const char *job, int64_t step, const char *exec)
+is_permitted (const struct fsim *s, const char *job, int64_t step,
+              const char *exec)
 {
   uint64_t h = 1469598103934665603ULL + (uint64_t)step;
 
@@ -460,17 +530,18 @@
   h ^= h >> 33;
   h *= 0xff51afd7ed558ccdULL;
   h ^= h >> 33;
-  return (double)(h >> 40 & 0xffff) / 65536 < s->good_share;
+  return (double)(h >> 40 & 0xffff) / 65536 < s->permitted_share;
 }
 
 void
-fexec_good (struct fsim *s, const struct order *o, struct order_result *res)
+fexec_answer_advice (struct fsim *s, const struct order *o,
+                     struct order_result *res)
 {
   res->outcome = ORDER_DONE;
   res->valid_ms = ADVICE_VALID_MS;
   res->permitted = calloc (o->n_execs + 1, sizeof *res->permitted);
   for (size_t k = 0; k < o->n_execs; k++)
-    if (is_good (s, o->task.job, o->task.step, o->execs[k]))
+    if (is_permitted (s, o->task.job, o->task.step, o->execs[k]))
       {
         struct permitted_exec *g = &res->permitted[res->n_permitted++];
         clb_copy (g->exec, o->execs[k], sizeof g->exec);
@@ -479,42 +550,45 @@
 }
 
 void
-fexec_advise (struct fsim *s, int i, const struct order *o)
-{
-  struct delivery *d = delivery_new (s, i, o);
-  struct finst *in = s->inst[i];
-  struct fjob *j = fsim_job (s, o->task.job);
-  double cost = j ? j->spec.advice.base_ms
-                        + j->spec.advice.per_exec_ms * (double)o->n_execs
-                  : 1;
-  int64_t begin
-      = in->advice_until_ms > s->now_ms ? in->advice_until_ms : s->now_ms;
-
-  s->advice_calls++;
-  in->advice_until_ms = begin + (int64_t)cost;
-  fexec_good (s, o, &d->res);
-  fsim_at (s, in->advice_until_ms - s->now_ms + 2 * FSIM_LINK_MS, result, d);
+fexec_send_advice_query (struct fsim *s, int i, const struct order *o)
+{
+  struct order_delivery *d = order_delivery_new (s, i, o);
+  struct fsim_instance *in = s->inst[i];
+  struct fjob *j = fsim_find_job (s, o->task.job);
+  double cost_ms = j ? j->spec.advice.base_ms
+                           + j->spec.advice.per_exec_ms * (double)o->n_execs
+                     : 1;
+  int64_t begin_ms = in->advice_busy_until_ms > s->now_ms
+                         ? in->advice_busy_until_ms
+                         : s->now_ms;
+
+  s->n_advice_queries++;
+  in->advice_busy_until_ms = begin_ms + (int64_t)cost_ms;
+  fexec_answer_advice (s, o, &d->res);
+  fsim_schedule (s, in->advice_busy_until_ms - s->now_ms + 2 * FSIM_LINK_MS,
+                 deliver_result, d);
 }
 
 void
-fexec_list (struct fsim *s, struct fexec *e)
+fexec_update_discovery_entry (struct fsim *s, struct fexec *e)
 {
   char key[CLB_ID_MAX + 16];
   char value[256];
 
   snprintf (key, sizeof key, "servers/%s", e->id);
   snprintf (value, sizeof value, "%s %d %lld %lld", e->id, e->draining,
-            (long long)e->room.millicores, (long long)e->room.mem_mb);
+            (long long)e->capacity.millicores, (long long)e->capacity.mem_mb);
   ftable_put (s, key, e->up && e->listed ? value : NULL);
 }
 
+/* Deletes the discovery entry unless the executor is up again. */
 static void
-unlist (struct fsim *s, void *arg)
+delete_discovery_entry (struct fsim *s, void *arg)
 {
   struct fexec *e = arg;
 
   if (!e->up)
-    fexec_list (s, e);
+    fexec_update_discovery_entry (s, e);
 }
 
 void
@@ -523,25 +597,29 @@
   e->up = false;
   for (int i = 0; i < e->n_runs; i++)
     {
-      struct fmark *m = mark_of (s, &e->runs[i].task);
-      if (m)
-        m->running--;
+      struct ftask_stats *stats = find_task_stats (s, &e->runs[i].task);
+      if (stats)
+        stats->n_running--;
     }
   e->n_runs = 0;
   e->n_ends = 0;
-  e->last_end = 0;
-  e->n_past = 0;
-  e->fence = 0;
-  fsim_at (s, 4500, unlist, e);
+  e->last_end_seq = 0;
+  e->n_past_runs = 0;
+  e->fencing_token = 0;
+  /* The platform removes the discovery entry of a crashed executor after
+     4500 ms. */
+  fsim_schedule (s, 4500, delete_discovery_entry, e);
 }
 
 void
-fexec_reborn (struct fsim *s, struct fexec *e)
+fexec_reboot (struct fsim *s, struct fexec *e)
 {
   if (e->up)
     fexec_crash (s, e);
   e->up = true;
-  e->born_ms = s->now_ms + 1; /* 0 is "not told" */
+  /* The start of a boot must not be 0, which means in
+     order_delivery::boot_start_ms that the boot is unknown. */
+  e->boot_start_ms = s->now_ms + 1;
   e->lease_until_ms = 0;
-  fexec_list (s, e);
+  fexec_update_discovery_entry (s, e);
 }
--- a/regress/fsim/fsim.h
+++ b/regress/fsim/fsim.h
@@ -1,7 +1,10 @@
 /**
- * DOC: A small fleet on a virtual clock: instances running the real core, a
- * table, executors and an advice service of our own, faults, and checks of
- * what the executors saw.  Scripts in Lua drive it (regress/fleet/).
+ * DOC: Simulation of a small fleet on a virtual clock.
+ *
+ * The instances run the scheduler's real core.  The table service, the
+ * executors and the advice service are simulated, and faults can be injected
+ * into each of them.  The executors check what they are ordered to do and
+ * report violations.  The Lua scripts in regress/fleet/ control a simulation.
  */
 #ifndef FSIM_H
 #define FSIM_H
@@ -12,234 +15,372 @@
 {
   FSIM_INSTANCES_MAX = 64,
   FSIM_EXECS_MAX = 512,
-  FSIM_LINK_MS = 2,      /* one way, between any two */
-  FSIM_STORE_MS = 3,     /* a transaction, one after another in a part */
-  FSIM_HISTORY = 100000, /* changes that a feed can go back */
+  /* Latency of a message in one direction, between any two processes. */
+  FSIM_LINK_MS = 2,
+  /* Time in which the table executes three writes.  Writes are executed one
+     after another, so each takes a third of this time (1 ms), multiplied by
+     ftable::slow_factor. */
+  FSIM_THREE_WRITES_MS = 3,
+  /* Number of past changes that a feed of the table can return.  The simulated
+     table does not enforce this limit. */
+  FSIM_HISTORY_MAX = 100000,
 };
 
 struct fsim;
 
-/** struct fsim_event - something that happens at a time */
+/** struct fsim_event - a function that is called at a simulated time */
 struct fsim_event
 {
-  int64_t at_ms;
-  uint64_t seq;
+  int64_t due_ms;
+  uint64_t seq; /* events that are due at the same time are called in the
+                   order of this number */
   void (*fn) (struct fsim *s, void *arg);
   void *arg;
 };
 
-/** struct frow - a row of the table */
-struct frow
+/** struct ftable_row - a row of the simulated table service */
+struct ftable_row
 {
-  RB_ENTRY (frow) by_key;
+  RB_ENTRY (ftable_row) by_key;
   char *key;
   char *value;
-  int64_t ver;
+  int64_t ver; /* ftable::ver after the last write of this row */
 };
-RB_HEAD (frow_tree, frow);
+RB_HEAD (ftable_row_tree, ftable_row);
 
-struct fchange
+/** struct ftable_change - a past write of a row of the simulated table */
+struct ftable_change
 {
-  int64_t ver;
+  int64_t ver; /* ftable::ver after the write */
   char *key;
 };
 
-/** struct ftable - the platform's table service */
+/** struct ftable - the simulated table service */
 struct ftable
 {
-  struct frow_tree rows;
-  int64_t ver;
-  struct fchange *log;
-  size_t n_log;
-  int64_t oldest; /* changes up to here are forgotten */
+  struct ftable_row_tree rows;
+  int64_t ver; /* version of the table: number of writes so far */
+  /* All past writes, oldest first. */
+  struct ftable_change *changes;
+  size_t n_changes;
+  /* Version of the table at its last compaction; 0: none.  A feed of changes
+     since an earlier version fails with CLB_ENOTFOUND. */
+  int64_t compacted_ver;
+  /* The table refuses all calls until this time. */
   int64_t down_until_ms;
-  int64_t slow; /* times the usual */
-  double lost;  /* share of writes that are done and not answered */
-  double late;  /* ... and done seconds later */
+  /* The table's latencies are multiplied by this factor; 0 counts as 1. */
+  int64_t slow_factor;
+  /* Share (0 to 1) of writes that are executed but not answered. */
+  double lost_reply_share;
+  /* Share (0 to 1) of writes that are not answered and are executed 1 to 6
+     seconds later. */
+  double delayed_write_share;
+  /* The table is executing earlier writes until this time. */
   int64_t busy_until_ms;
-  uint64_t calls;
+  uint64_t n_calls; /* number of calls that instances have sent to the table */
 };
 
-/** struct frun - a task on an executor */
+/** struct frun - a run of a task on an executor */
 struct frun
 {
   struct task_ref task;
-  int64_t run;
-  int64_t begin_ms;
+  int64_t run_id;
+  int64_t start_ms;
+  /* Time when the run ends, unless the executor's lease ends earlier. */
   int64_t end_ms;
-  int how; /* at end_ms */
-  bool stopping;
-  bool waits; /* for the others of its gang */
+  int run_end;       /* enum run_end: how the run ends at end_ms */
+  bool stop_ordered; /* true after a stop order for the run */
+  bool awaits_gang; /* true until all members of the run's gang have started */
   struct job_need need;
 };
 
-struct fpast
+/** struct frun_ref - identifies a run of a task */
+struct frun_ref
 {
   struct task_ref task;
-  int64_t run;
+  int64_t run_id;
 };
 
+/** struct fexec - a simulated executor */
 struct fexec
 {
   char id[CLB_ID_MAX];
-  int index;
-  bool up;
-  bool listed;
+  int index;   /* index in fsim::exec */
+  bool up;     /* true from the start of a boot until its crash */
+  bool listed; /* true: the executor has a discovery entry while it is up */
+  /* True if the discovery entry says that the executor drains. */
   bool draining;
-  int64_t born_ms;
-  int64_t cut_until_ms;
+  /* Start of the present or last boot, in simulated time. */
+  int64_t boot_start_ms;
+  /* No instance reaches the executor until this time. */
+  int64_t partitioned_until_ms;
+  /* End of the executor's lease.  All runs of the executor end at this time,
+     unless an order extends the lease before. */
   int64_t lease_until_ms;
-  int64_t fence;
-  double lost; /* share of answers that get lost */
-  double late; /* share of starts carried out seconds later, unanswered */
-  bool fails;  /* all that it starts */
-  bool hangs;
-  int64_t fault_ms; /* an order or its answer was last lost then */
-  bool unreached;   /* connections to it fail at once */
-  struct job_need room;
+  /* The highest fencing token of all orders that this boot has received. */
+  int64_t fencing_token;
+  /* Share (0 to 1) of executed orders whose result is lost. */
+  double lost_result_share;
+  /* Share (0 to 1) of start and stop orders that are not answered and are
+     executed 2 to 12 seconds later. */
+  double delayed_order_share;
+  /* True if every run that starts on this executor fails. */
+  bool fails_runs;
+  /* True if runs that start on this executor never end by themselves. */
+  bool hangs_runs;
+  /* Simulated time of the last injected fault that delayed an order to the
+     executor or lost the result of an order; 0: none. */
+  int64_t last_fault_ms;
+  /* True if connections to the executor fail at once, so that no order is
+     sent to it. */
+  bool refuses_connections;
+  struct job_need capacity;
   struct frun runs[256];
   int n_runs;
+  /* Reports of ended runs.  A report is kept until a poll of the leader
+     acknowledges it. */
   struct end_row ends[4096];
   int n_ends;
-  int64_t last_end;
-  struct fpast *past; /* runs stopped or ended here, in this boot */
-  int n_past;
+  /* end_row::seq of the latest report in this boot; 0: no run has ended. */
+  int64_t last_end_seq;
+  /* Runs of this boot that have ended or for which a stop was ordered. */
+  struct frun_ref *past_runs;
+  int n_past_runs;
 };
 
-/** struct fjob - what a caller handed in */
+/** struct fjob - a job of the simulation and the state of its tasks */
 struct fjob
 {
   RB_ENTRY (fjob) by_id;
   char id[JOB_ID_SIZE];
   struct job_spec spec;
-  int64_t task_ms[JOB_STEPS_MAX];
-  bool poison;
+  int64_t task_ms[JOB_STEPS_MAX]; /* run time of a task, by step */
+  bool always_fails;              /* every run of its tasks fails */
   bool accepted;
-  bool refused; /* every try was */
-  int64_t sent_ms;
-  int64_t done_ms;     /* the last task was done */
-  int state;           /* last told, or -1 */
-  struct fmark *marks; /* by step and index */
-  int n_marks;
+  bool refused;         /* every submission of the job was refused */
+  int64_t submitted_ms; /* time of the last submission */
+  int64_t done_ms;      /* unused */
+  int last_state;       /* unused */
+  /* One element per task, in the order of steps and task indexes. */
+  struct ftask_stats *stats;
+  int n_stats;
 };
 RB_HEAD (fjob_tree, fjob);
 
-/** struct fmark - what the executors know of a task */
-struct fmark
+/** struct ftask_stats - runs of a task, counted over all executors */
+struct ftask_stats
 {
-  int running;
+  int n_running; /* runs that are in progress */
+  /* True if a run was successful and the leader acknowledged its end. */
   bool done;
-  bool noted; /* the end was acknowledged */
-  int failed;
-  int starts;
+  /* True if the leader acknowledged the end of a successful run. */
+  bool end_acked;
+  int n_failed; /* failed runs whose ends the leader acknowledged */
+  int n_starts; /* runs that were started */
 };
 
-/** struct fcall - a caller's request */
-struct fcall
+/** struct fsim_call - a caller's request to an instance */
+struct fsim_call
 {
-  uint64_t no;
-  int instance;
-  int verb;
+  uint64_t call_id;
+  int instance; /* index of the instance that got the request */
+  int verb;     /* enum fleet_verb */
   char id[JOB_ID_SIZE];
-  int status; /* 0: no answer yet */
+  int status; /* HTTP status of the answer; 0: no answer has arrived */
+  /* Delay in ms after which the caller may retry; 0: none is given. */
   int64_t retry_ms;
-  char *body;
-  int64_t answered_ms;
+  char *body;          /* body of the answer; NULL: none */
+  int64_t answered_ms; /* time when the answer arrived */
 };
 
-struct finst
+/** struct fsim_instance - a simulated process of the scheduler */
+struct fsim_instance
 {
   struct fleet fleet;
-  bool up;
+  bool up; /* true while a process of the instance exists */
+  /* True if the process makes no progress until frozen_until_ms. */
   bool frozen;
   int64_t frozen_until_ms;
-  int64_t store_cut_until_ms;
-  int64_t turned_away_until_ms; /* the table refuses its calls */
-  int64_t cut_until_ms;         /* from other instances and executors */
-  int64_t advice_until_ms;
-  int64_t clock_ms; /* its wall clock is ahead by so much */
-  uint64_t life;    /* answers to an earlier one are dropped */
+  /* The table does not answer the instance's calls until this time. */
+  int64_t store_partitioned_until_ms;
+  /* The table refuses the instance's calls until this time. */
+  int64_t store_refused_until_ms;
+  /* The instance reaches no other instance and no executor until this time.
+   */
+  int64_t partitioned_until_ms;
+  /* The advice service is working on the instance's earlier queries until
+     this time. */
+  int64_t advice_busy_until_ms;
+  /* Added to the simulated wall clock to give the instance's wall clock. */
+  int64_t clock_offset_ms;
+  /* Incremented at each start and each kill of a process.  A message that was
+     sent to another incarnation of the process is dropped. */
+  uint64_t incarnation;
   uint64_t ticks;
 };
 
+/** struct fsim - a simulation: its clock, processes and results */
 struct fsim
 {
-  int64_t now_ms;
-  uint64_t seq;
-  uint64_t rng;
-  struct fsim_event *heap;
-  size_t n_heap;
-  size_t cap_heap;
+  int64_t now_ms;          /* simulated time */
+  uint64_t last_event_seq; /* fsim_event::seq of the latest scheduled event */
+  uint64_t rng_state;      /* state of the random generator */
+  /* Scheduled events: a binary heap, earliest event first. */
+  struct fsim_event *events;
+  size_t n_events;
+  size_t cap_events;
   struct ftable table;
-  struct finst *inst[FSIM_INSTANCES_MAX];
+  struct fsim_instance *inst[FSIM_INSTANCES_MAX];
   int n_inst;
   struct fexec *exec[FSIM_EXECS_MAX];
   int n_exec;
-  double good_share;
+  /* Share (0 to 1) of executors that the advice service permits for a step. */
+  double permitted_share;
   struct fjob_tree jobs;
-  struct fcall *calls;
+  /* All requests of callers so far. */
+  struct fsim_call *calls;
   size_t n_calls;
-  int64_t advice_calls;
-  int violations;
-  char first[256]; /* the first violation */
-  bool verbose;
-  bool ending;
+  int64_t n_advice_queries; /* queries that the advice service has received */
+  int n_violations;
+  char first_violation[256]; /* empty if no violation was reported */
+  bool verbose;       /* true: the log lines of the instances are printed */
+  bool shutting_down; /* true after fsim_free() was called; timers stop */
 };
 
-RB_PROTOTYPE (frow_tree, frow, by_key, frow_cmp)
+RB_PROTOTYPE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
 RB_PROTOTYPE (fjob_tree, fjob, by_id, fjob_cmp)
-int frow_cmp (const struct frow *a, const struct frow *b);
+int ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b);
 int fjob_cmp (const struct fjob *a, const struct fjob *b);
 
-/* sim.c */
+/* The following functions are defined in sim.c. */
+
+/**
+ * fsim_new() - Create a simulation and start its instances and executors.
+ * @seed: seed of the random generator
+ * @instances: number of instances
+ * @execs: number of executors
+ * @capacity: capacity of each executor
+ */
 struct fsim *fsim_new (uint64_t seed, int instances, int execs,
-                       const struct job_need *room);
+                       const struct job_need *capacity);
 void fsim_free (struct fsim *s);
-void fsim_at (struct fsim *s, int64_t after_ms,
-              void (*fn) (struct fsim *s, void *arg), void *arg);
+/** fsim_schedule() - Call @fn with @arg in an event that is due in @after_ms.
+ */
+void fsim_schedule (struct fsim *s, int64_t after_ms,
+                    void (*fn) (struct fsim *s, void *arg), void *arg);
+/**
+ * fsim_run() - Advance the simulated time by @for_ms and execute the events
+ * that are due by then.
+ */
 void fsim_run (struct fsim *s, int64_t for_ms);
-/** fsim_random() - From 0 up to 1. */
+/**
+ * fsim_random() - Return: a pseudorandom number from 0 up to, but not
+ * including, 1.
+ */
 double fsim_random (struct fsim *s);
+/** fsim_violation() - Count a violation and keep the text of the first. */
 void fsim_violation (struct fsim *s, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
-void fsim_start (struct fsim *s, int i);
-void fsim_kill (struct fsim *s, int i);
-/** fsim_pump() - Carry out what instance @i wants done. */
-void fsim_pump (struct fsim *s, int i);
-struct fjob *fsim_job (struct fsim *s, const char *id);
+/** fsim_start_instance() - Start a new process of instance @i. */
+void fsim_start_instance (struct fsim *s, int i);
+/** fsim_kill_instance() - End the process of instance @i at once, if it is up.
+ */
+void fsim_kill_instance (struct fsim *s, int i);
+/** fsim_process_outputs() - Execute the pending outputs of instance @i. */
+void fsim_process_outputs (struct fsim *s, int i);
+/** fsim_find_job() - Return: the job with this id, or NULL. */
+struct fjob *fsim_find_job (struct fsim *s, const char *id);
+/** fsim_leader() - Return: index of the leading instance, -1 if none leads. */
 int fsim_leader (const struct fsim *s);
-/** fsim_request() - Return: index of the call. */
-size_t fsim_request (struct fsim *s, int instance, int verb, const char *id,
+/**
+ * fsim_request() - Send a caller's request to an instance.
+ * @instance: index of the instance
+ * @verb: enum fleet_verb
+ * @path: path of the request
+ * @body: body of the request, or NULL
+ * @key: API key
+ *
+ * Return: index of the request in fsim::calls, where its answer is stored when
+ * it arrives.
+ */
+size_t fsim_request (struct fsim *s, int instance, int verb, const char *path,
                      const char *body, const char *key);
-/** fsim_can_reach() - Whether instance @i and executor @e have a path. */
+/**
+ * fsim_can_reach() - Return: true if neither instance @i nor executor @e is
+ * partitioned.
+ */
 bool fsim_can_reach (const struct fsim *s, int i, const struct fexec *e);
 
-/* table.c */
+/* The following functions are defined in table.c. */
+
+/**
+ * ftable_send() - Send a call of instance @i to the table, which injects the
+ * configured faults.  The reply is delivered by a later event.
+ * @token: identifies the call; the reply to the instance has the same token
+ */
 void ftable_send (struct fsim *s, int i, uint64_t token,
                   const struct store_op *op);
-/** ftable_apply() - What the table answers at once; a feed does not wait. */
+/**
+ * ftable_apply() - Execute @op at once, without faults.  A feed that finds no
+ * changes returns no rows instead of waiting for a change.
+ */
 void ftable_apply (struct ftable *t, const struct store_op *op,
                    struct store_rep *rep);
+/** ftable_put() - Write a row at once; a NULL @value deletes the row. */
 void ftable_put (struct fsim *s, const char *key, const char *value);
 void ftable_free (struct ftable *t);
 
-/* execs.c */
+/* The following functions are defined in execs.c. */
+
 /**
- * fexec_apply() - What executor @e answers to @o at once.
- * @first: the order has just come; else it waits for ends
+ * fexec_apply() - Execute order @o on executor @e.
+ * @first: true in the first call for @o; only this call removes the reports
+ *         of ended runs that a poll acknowledges
+ * @waited: true if the wait time of a poll is over
+ * @res: receives the result
  *
- * Return: whether a question for ends may be answered; else it is asked again
- * until its wait is over.
+ * Return: true if @res is complete.  False only for a poll while the executor
+ * has no ended runs to report; this function must then be called again, until
+ * the poll's wait time is over.
  */
 bool fexec_apply (struct fsim *s, struct fexec *e, const struct order *o,
                   bool first, bool waited, struct order_result *res);
-void fexec_good (struct fsim *s, const struct order *o,
-                 struct order_result *res);
-void fexec_order (struct fsim *s, int i, const struct order *o);
-void fexec_advise (struct fsim *s, int i, const struct order *o);
-void fexec_list (struct fsim *s, struct fexec *e);
+/**
+ * fexec_answer_advice() - Answer @o, a query for advice: which of the
+ * executors that it names may run the step.
+ */
+void fexec_answer_advice (struct fsim *s, const struct order *o,
+                          struct order_result *res);
+/**
+ * fexec_send_order() - Send @o from instance @i to the executor that @o names,
+ * with that executor's configured faults.  A later event delivers the result.
+ */
+void fexec_send_order (struct fsim *s, int i, const struct order *o);
+/**
+ * fexec_send_advice_query() - Send a query from instance @i to the advice
+ * service.  A later event delivers the result.
+ */
+void fexec_send_advice_query (struct fsim *s, int i, const struct order *o);
+/**
+ * fexec_update_discovery_entry() - Write the executor's discovery entry, or
+ * delete the entry if the executor is down or not listed.
+ */
+void fexec_update_discovery_entry (struct fsim *s, struct fexec *e);
+/**
+ * fexec_crash() - End the executor's boot.  Its runs are lost, and so are the
+ * reports of ended runs that the leader has not acknowledged.  A later event
+ * deletes the executor's discovery entry.
+ */
 void fexec_crash (struct fsim *s, struct fexec *e);
-void fexec_reborn (struct fsim *s, struct fexec *e);
+/**
+ * fexec_reboot() - Begin a new boot of the executor.  An executor that is up
+ * crashes first.
+ */
+void fexec_reboot (struct fsim *s, struct fexec *e);
+/**
+ * fexec_tick() - End each run whose end time has come or whose executor's
+ * lease is over, on all executors.
+ */
 void fexec_tick (struct fsim *s);
 
 #endif
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -1,3 +1,5 @@
+/* The simulation's events, instances, messages between instances, and callers'
+   requests. */
 #include "fsim.h"
 
 #include <stdarg.h>
@@ -7,8 +9,10 @@
 
 enum
 {
-  TICK_MS = 10,
-  WALL_MS = 1000000, /* the wall clock at time 0 */
+  /* Interval between two calls of fleet_tick() for an instance. */
+  INSTANCE_TICK_MS = 10,
+  /* Time of the wall clock when the simulated time is 0. */
+  WALL_CLOCK_START_MS = 1000000,
 };
 
 int
@@ -22,10 +26,10 @@
 double
 fsim_random (struct fsim *s)
 {
-  s->rng ^= s->rng << 13;
-  s->rng ^= s->rng >> 7;
-  s->rng ^= s->rng << 17;
-  return (double)(s->rng >> 11) / (double)(1ULL << 53);
+  s->rng_state ^= s->rng_state << 13;
+  s->rng_state ^= s->rng_state >> 7;
+  s->rng_state ^= s->rng_state << 17;
+  return (double)(s->rng_state >> 11) / (double)(1ULL << 53);
 }
 
 void
@@ -37,21 +41,21 @@
   va_start (ap, fmt);
   vsnprintf (text, sizeof text, fmt, ap);
   va_end (ap);
-  if (s->violations++ == 0)
-    snprintf (s->first, sizeof s->first, "at %lld: %s", (long long)s->now_ms,
-              text);
+  if (s->n_violations++ == 0)
+    snprintf (s->first_violation, sizeof s->first_violation, "at %lld: %s",
+              (long long)s->now_ms, text);
 }
 
-/* Events. */
+/* fsim::events is a binary heap with the earliest event first. */
 
 static bool
-before (const struct fsim_event *a, const struct fsim_event *b)
+event_before (const struct fsim_event *a, const struct fsim_event *b)
 {
-  return a->at_ms < b->at_ms || (a->at_ms == b->at_ms && a->seq < b->seq);
+  return a->due_ms < b->due_ms || (a->due_ms == b->due_ms && a->seq < b->seq);
 }
 
 static void
-swap (struct fsim_event *a, struct fsim_event *b)
+event_swap (struct fsim_event *a, struct fsim_event *b)
 {
   struct fsim_event t = *a;
 
@@ -60,38 +64,40 @@
 }
 
 void
-fsim_at (struct fsim *s, int64_t after_ms,
-         void (*fn) (struct fsim *s, void *arg), void *arg)
+fsim_schedule (struct fsim *s, int64_t after_ms,
+               void (*fn) (struct fsim *s, void *arg), void *arg)
 {
-  size_t i = s->n_heap++;
+  size_t i = s->n_events++;
 
-  if (s->n_heap > s->cap_heap)
+  if (s->n_events > s->cap_events)
     {
-      s->cap_heap = 2 * s->cap_heap + 256;
-      s->heap = realloc (s->heap, s->cap_heap * sizeof *s->heap);
+      s->cap_events = 2 * s->cap_events + 256;
+      s->events = realloc (s->events, s->cap_events * sizeof *s->events);
     }
-  s->heap[i] = (struct fsim_event){ s->now_ms + (after_ms > 0 ? after_ms : 0),
-                                    ++s->seq, fn, arg };
-  for (; i > 0 && before (&s->heap[i], &s->heap[(i - 1) / 2]); i = (i - 1) / 2)
-    swap (&s->heap[i], &s->heap[(i - 1) / 2]);
+  s->events[i]
+      = (struct fsim_event){ s->now_ms + (after_ms > 0 ? after_ms : 0),
+                             ++s->last_event_seq, fn, arg };
+  for (; i > 0 && event_before (&s->events[i], &s->events[(i - 1) / 2]);
+       i = (i - 1) / 2)
+    event_swap (&s->events[i], &s->events[(i - 1) / 2]);
 }
 
 static struct fsim_event
-take_event (struct fsim *s)
+pop_event (struct fsim *s)
 {
-  struct fsim_event top = s->heap[0];
+  struct fsim_event top = s->events[0];
   size_t i = 0;
 
-  s->heap[0] = s->heap[--s->n_heap];
+  s->events[0] = s->events[--s->n_events];
   for (;;)
     {
       size_t least = i;
-      for (size_t k = 2 * i + 1; k <= 2 * i + 2 && k < s->n_heap; k++)
-        if (before (&s->heap[k], &s->heap[least]))
+      for (size_t k = 2 * i + 1; k <= 2 * i + 2 && k < s->n_events; k++)
+        if (event_before (&s->events[k], &s->events[least]))
           least = k;
       if (least == i)
         return top;
-      swap (&s->heap[i], &s->heap[least]);
+      event_swap (&s->events[i], &s->events[least]);
       i = least;
     }
 }
@@ -101,17 +107,17 @@
 {
   int64_t until = s->now_ms + for_ms;
 
-  while (s->n_heap && s->heap[0].at_ms <= until)
+  while (s->n_events && s->events[0].due_ms <= until)
     {
-      struct fsim_event e = take_event (s);
-      s->now_ms = e.at_ms;
+      struct fsim_event e = pop_event (s);
+      s->now_ms = e.due_ms;
       e.fn (s, e.arg);
     }
   s->now_ms = until;
 }
 
 struct fjob *
-fsim_job (struct fsim *s, const char *id)
+fsim_find_job (struct fsim *s, const char *id)
 {
   struct fjob key;
 
@@ -122,25 +128,29 @@
 bool
 fsim_can_reach (const struct fsim *s, int i, const struct fexec *e)
 {
-  return s->inst[i]->cut_until_ms <= s->now_ms && e->cut_until_ms <= s->now_ms;
+  return s->inst[i]->partitioned_until_ms <= s->now_ms
+         && e->partitioned_until_ms <= s->now_ms;
 }
 
-/* The documents of this simulation: words, not the platform's JSON. */
+/* Functions for struct fleet_codec, which read and write documents.  In the
+   simulation, documents are lines of words instead of the platform's JSON. */
 
 static int
-read_exec (const char *id, const char *text, struct exec_report *out)
+read_discovery_entry (const char *id, const char *text,
+                      struct exec_report *out)
 {
   int draining;
-  long long cores, mem;
+  long long millicores, mem;
 
   memset (out, 0, sizeof *out);
-  if (sscanf (text, "%95s %d %lld %lld", out->addr, &draining, &cores, &mem)
+  if (sscanf (text, "%95s %d %lld %lld", out->addr, &draining, &millicores,
+              &mem)
       != 4)
     return CLB_EPARSE;
   clb_copy (out->id, id, sizeof out->id);
   clb_copy (out->addr, id, sizeof out->addr);
   clb_copy (out->service, "svc", sizeof out->service);
-  out->capacity.millicores = cores;
+  out->capacity.millicores = millicores;
   out->capacity.mem_mb = mem;
   out->draining = draining;
   return 0;
@@ -153,8 +163,12 @@
   return codec_parse (&job_spec_desc, text, len, CODEC_STRICT, out, ce);
 }
 
-/* Lines: "version N", "queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE EACH",
-   "tenant NAME WEIGHT CORES KEY...". */
+/* Reads a configuration, which consists of lines of these forms:
+     version N
+     queue NAME PRIORITY ATTEMPTS SLACK TARGET BASE PER_EXEC
+     tenant NAME WEIGHT MILLICORES [KEY]
+   TARGET, BASE and PER_EXEC are in ms; BASE is the cost of a query for
+   advice, PER_EXEC the additional cost for each executor in the query. */
 static int
 read_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
@@ -169,15 +183,15 @@
       struct fconf_queue q = { .timeout_ms = 3000 };
       struct fconf_tenant t = { 0 };
       char key[64] = "";
-      long long n, prio, attempts, target, cores;
+      long long n, priority, attempts, target, millicores;
       if (sscanf (line, "version %lld", &n) == 1)
         c->version = n;
       else if (sscanf (line, "queue %47s %lld %lld %lf %lld %lf %lf", q.name,
-                       &prio, &attempts, &q.slack, &target, &q.advice.base_ms,
-                       &q.advice.per_exec_ms)
+                       &priority, &attempts, &q.slack, &target,
+                       &q.advice.base_ms, &q.advice.per_exec_ms)
                == 7)
         {
-          q.priority = prio;
+          q.priority = priority;
           q.attempts = attempts;
           q.target_ms = target;
           q.advice.valid_ms = 2000;
@@ -188,10 +202,10 @@
           c->queues[c->n_queues++] = q;
         }
       else if (sscanf (line, "tenant %47s %lf %lld %63s", t.name, &t.weight,
-                       &cores, key)
+                       &millicores, key)
                >= 3)
         {
-          t.limit.millicores = cores;
+          t.limit.millicores = millicores;
           t.keys = calloc (1, sizeof *t.keys);
           if (*key)
             clb_copy (t.keys[t.n_keys++].key, key, sizeof t.keys->key);
@@ -205,13 +219,13 @@
 }
 
 static char *
-tell_state (int state)
+state_body (int state)
 {
   return strdup (job_state_names[state]);
 }
 
 static char *
-tell_error (const char *error, const char *detail)
+error_body (const char *error, const char *detail)
 {
   char *text;
 
@@ -221,26 +235,32 @@
 }
 
 static char *
-tell_count (int64_t waiting)
+count_body (int64_t n_waiting)
 {
   char *text;
 
-  if (asprintf (&text, "%lld", (long long)waiting) < 0)
+  if (asprintf (&text, "%lld", (long long)n_waiting) < 0)
     abort ();
   return text;
 }
 
-/* Instances. */
+/* Instances and the messages between them. */
 
+/* struct mesh_delivery - a message from one instance to another */
 struct mesh_delivery
 {
-  int to;
-  uint64_t life;
+  /* Index of the receiving instance. */
+  int receiver;
+  /* Incarnation of the receiver when the message was sent.  A receiver with
+     another incarnation does not get the message. */
+  uint64_t incarnation;
   struct mesh_msg *msg;
 };
 
+/* Return: index of the instance with this address, -1 if there is
+   none. */
 static int
-inst_of (const struct fsim *s, const char *addr)
+find_instance (const struct fsim *s, const char *addr)
 {
   for (int i = 0; i < s->n_inst; i++)
     if (strcmp (s->inst[i]->fleet.settings.mesh_addr, addr) == 0)
@@ -248,48 +268,56 @@
   return -1;
 }
 
+/* Passes a message to its receiver and frees the delivery.  A frozen receiver
+   gets the message when its freeze is over. */
 static void
-mesh_arrive (struct fsim *s, void *arg)
+deliver_mesh_msg (struct fsim *s, void *arg)
 {
   struct mesh_delivery *d = arg;
-  struct finst *in = s->inst[d->to];
+  struct fsim_instance *in = s->inst[d->receiver];
 
-  if (in->up && in->life == d->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, mesh_arrive, d);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_mesh_msg,
+                     d);
       return;
     }
-  if (in->up && in->life == d->life && in->cut_until_ms <= s->now_ms)
+  if (in->up && in->incarnation == d->incarnation
+      && in->partitioned_until_ms <= s->now_ms)
     {
       fleet_mesh_msg (&in->fleet, s->now_ms, d->msg);
-      fsim_pump (s, d->to);
+      fsim_process_outputs (s, d->receiver);
     }
   mesh_free (d->msg);
   free (d);
 }
 
+/* Sends @m to the instance with the address @addr.  The function takes
+   ownership of @m. */
 static void
-send_mesh (struct fsim *s, int from, const char *addr, struct mesh_msg *m)
+send_mesh_msg (struct fsim *s, int from, const char *addr, struct mesh_msg *m)
 {
-  int to = inst_of (s, addr);
+  int receiver = find_instance (s, addr);
   struct mesh_delivery *d;
 
-  if (to < 0 || s->inst[from]->cut_until_ms > s->now_ms)
+  if (receiver < 0 || s->inst[from]->partitioned_until_ms > s->now_ms)
     {
       mesh_free (m);
       return;
     }
   d = calloc (1, sizeof *d);
-  d->to = to;
-  d->life = s->inst[to]->life;
+  d->receiver = receiver;
+  d->incarnation = s->inst[receiver]->incarnation;
   d->msg = m;
-  fsim_at (s, FSIM_LINK_MS, mesh_arrive, d);
+  fsim_schedule (s, FSIM_LINK_MS, deliver_mesh_msg, d);
 }
 
+/* Stores the answer to a caller's request in fsim::calls. */
 static void
-take_answer (struct fsim *s, const struct out *o)
+record_answer (struct fsim *s, const struct out *o)
 {
-  struct fcall *c = &s->calls[o->u.answer.call - 1];
+  struct fsim_call *c = &s->calls[o->u.answer.call - 1];
 
   c->status = o->u.answer.status;
   c->retry_ms = o->u.answer.retry_ms;
@@ -298,9 +326,9 @@
 }
 
 void
-fsim_pump (struct fsim *s, int i)
+fsim_process_outputs (struct fsim *s, int i)
 {
-  struct finst *in = s->inst[i];
+  struct fsim_instance *in = s->inst[i];
   struct out *o;
 
   while ((o = fleet_next_out (&in->fleet)))
@@ -308,20 +336,20 @@
       switch (o->kind)
         {
         case OUT_ANSWER:
-          take_answer (s, o);
+          record_answer (s, o);
           break;
         case OUT_STORE:
           ftable_send (s, i, o->u.store.token, &o->u.store.op);
           break;
         case OUT_FLEET_MSG:
-          send_mesh (s, i, o->u.mesh.addr, o->u.mesh.msg);
+          send_mesh_msg (s, i, o->u.mesh.addr, o->u.mesh.msg);
           o->u.mesh.msg = NULL;
           break;
         case OUT_ORDER:
           if (o->u.order->kind == ORDER_ADVISE)
-            fexec_advise (s, i, o->u.order);
+            fexec_send_advice_query (s, i, o->u.order);
           else
-            fexec_order (s, i, o->u.order);
+            fexec_send_order (s, i, o->u.order);
           break;
         case OUT_LOG_LINE:
           if (s->verbose)
@@ -334,19 +362,21 @@
     }
 }
 
-struct tick
+/* struct instance_timer - argument of the timer of an instance; the timer ends
+   with the incarnation that started it */
+struct instance_timer
 {
-  int inst;
-  uint64_t life;
+  int inst; /* index of the instance */
+  uint64_t incarnation;
 };
 
 static void
-on_tick (struct fsim *s, void *arg)
+on_instance_timer (struct fsim *s, void *arg)
 {
-  struct tick *t = arg;
-  struct finst *in = s->inst[t->inst];
+  struct instance_timer *t = arg;
+  struct fsim_instance *in = s->inst[t->inst];
 
-  if (!in->up || in->life != t->life)
+  if (!in->up || in->incarnation != t->incarnation)
     {
       free (t);
       return;
@@ -355,67 +385,70 @@
     in->frozen = false;
   if (!in->frozen)
     {
-      fleet_tick (&in->fleet, s->now_ms, WALL_MS + s->now_ms + in->clock_ms);
-      fsim_pump (s, t->inst);
+      fleet_tick (&in->fleet, s->now_ms,
+                  WALL_CLOCK_START_MS + s->now_ms + in->clock_offset_ms);
+      fsim_process_outputs (s, t->inst);
     }
-  fsim_at (s, TICK_MS, on_tick, t);
+  fsim_schedule (s, INSTANCE_TICK_MS, on_instance_timer, t);
 }
 
 void
-fsim_start (struct fsim *s, int i)
-{
-  struct finst *in = s->inst[i];
-  struct tick *t = calloc (1, sizeof *t);
-  struct fleet_settings set = { .boot = WALL_MS + s->now_ms,
-                                .revoke_ms = 5000,
-                                .codec = { .decode_conf = read_conf,
-                                           .decode_exec = read_exec,
-                                           .decode_job = read_job,
-                                           .state_body = tell_state,
-                                           .count_body = tell_count,
-                                           .error_body = tell_error,
-                                           .conf_table = "op",
-                                           .conf_key = "op/config",
-                                           .exec_table = "servers" } };
-
-  snprintf (set.id, sizeof set.id, "n%d", i);
-  snprintf (set.mesh_addr, sizeof set.mesh_addr, "n%d", i);
-  fleet_init (&in->fleet, &set, s->now_ms);
+fsim_start_instance (struct fsim *s, int i)
+{
+  struct fsim_instance *in = s->inst[i];
+  struct instance_timer *t = calloc (1, sizeof *t);
+  struct fleet_settings settings
+      = { .boot = WALL_CLOCK_START_MS + s->now_ms,
+          .revoke_ms = 5000,
+          .codec = { .decode_conf = read_conf,
+                     .decode_exec = read_discovery_entry,
+                     .decode_job = read_job,
+                     .state_body = state_body,
+                     .count_body = count_body,
+                     .error_body = error_body,
+                     .conf_table = "op",
+                     .conf_key = "op/config",
+                     .exec_table = "servers" } };
+
+  snprintf (settings.id, sizeof settings.id, "n%d", i);
+  snprintf (settings.mesh_addr, sizeof settings.mesh_addr, "n%d", i);
+  fleet_init (&in->fleet, &settings, s->now_ms);
   in->up = true;
   in->frozen = false;
-  in->life++;
+  in->incarnation++;
   t->inst = i;
-  t->life = in->life;
-  fsim_at (s, 1 + i, on_tick, t);
+  t->incarnation = in->incarnation;
+  fsim_schedule (s, 1 + i, on_instance_timer, t);
 }
 
 void
-fsim_kill (struct fsim *s, int i)
+fsim_kill_instance (struct fsim *s, int i)
 {
   if (!s->inst[i]->up)
     return;
   s->inst[i]->up = false;
-  s->inst[i]->life++;
+  s->inst[i]->incarnation++;
   fleet_fini (&s->inst[i]->fleet);
 }
 
 static void
-exec_clock (struct fsim *s, void *arg)
+on_exec_timer (struct fsim *s, void *arg)
 {
   (void)arg;
-  if (s->ending)
+  if (s->shutting_down)
     return;
   fexec_tick (s);
-  fsim_at (s, 5, exec_clock, NULL);
+  fsim_schedule (s, 5, on_exec_timer, NULL);
 }
 
 struct fsim *
-fsim_new (uint64_t seed, int instances, int execs, const struct job_need *room)
+fsim_new (uint64_t seed, int instances, int execs,
+          const struct job_need *capacity)
 {
   struct fsim *s = calloc (1, sizeof *s);
 
-  s->rng = seed * 2654435761u + 88172645463325252ULL;
-  s->good_share = 0.5;
+  s->rng_state = seed * 2654435761u + 88172645463325252ULL;
+  s->permitted_share = 0.5;
   RB_INIT (&s->jobs);
   RB_INIT (&s->table.rows);
   s->n_exec = execs;
@@ -425,16 +458,16 @@
       snprintf (e->id, sizeof e->id, "e%03d", i);
       e->index = i;
       e->listed = true;
-      e->room = *room;
-      fexec_reborn (s, e);
+      e->capacity = *capacity;
+      fexec_reboot (s, e);
     }
   s->n_inst = instances;
   for (int i = 0; i < instances; i++)
     {
       s->inst[i] = calloc (1, sizeof *s->inst[i]);
-      fsim_start (s, i);
+      fsim_start_instance (s, i);
     }
-  fsim_at (s, 5, exec_clock, NULL);
+  fsim_schedule (s, 5, on_exec_timer, NULL);
   return s;
 }
 
@@ -450,22 +483,22 @@
 }
 
 size_t
-fsim_request (struct fsim *s, int instance, int verb, const char *id,
+fsim_request (struct fsim *s, int instance, int verb, const char *path,
               const char *body, const char *key)
 {
   struct fleet_request rq = { 0 };
-  struct fcall *c;
+  struct fsim_call *c;
 
   s->calls = realloc (s->calls, (s->n_calls + 1) * sizeof *s->calls);
   c = &s->calls[s->n_calls++];
   memset (c, 0, sizeof *c);
-  c->no = s->n_calls;
+  c->call_id = s->n_calls;
   c->instance = instance;
   c->verb = verb;
-  rq.request_id = c->no;
+  rq.request_id = c->call_id;
   rq.verb = verb;
   rq.host = "h";
-  rq.path = id;
+  rq.path = path;
   rq.key = key;
   rq.timeout_ms = 3000;
   rq.body = body;
@@ -473,8 +506,10 @@
   if (!s->inst[instance]->up || s->inst[instance]->frozen)
     return s->n_calls - 1;
   fleet_request (&s->inst[instance]->fleet, s->now_ms,
-                 WALL_MS + s->now_ms + s->inst[instance]->clock_ms, &rq);
-  fsim_pump (s, instance);
+                 WALL_CLOCK_START_MS + s->now_ms
+                     + s->inst[instance]->clock_offset_ms,
+                 &rq);
+  fsim_process_outputs (s, instance);
   return s->n_calls - 1;
 }
 
@@ -484,13 +519,14 @@
   struct fjob *j, *next;
 
   for (int i = 0; i < s->n_inst; i++)
-    fsim_kill (s, i);
-  /* What is under way finds nobody and frees itself. */
-  s->ending = true;
-  while (s->n_heap)
+    fsim_kill_instance (s, i);
+  /* Executing the remaining events frees the outstanding messages: none is
+     delivered, as no instance is up. */
+  s->shutting_down = true;
+  while (s->n_events)
     {
-      struct fsim_event e = take_event (s);
-      s->now_ms = e.at_ms;
+      struct fsim_event e = pop_event (s);
+      s->now_ms = e.due_ms;
       e.fn (s, e.arg);
     }
   for (int i = 0; i < s->n_inst; i++)
@@ -502,15 +538,15 @@
     {
       RB_REMOVE (fjob_tree, &s->jobs, j);
       codec_free (&job_spec_desc, &j->spec);
-      free (j->marks);
+      free (j->stats);
       free (j);
     }
   for (int i = 0; i < s->n_exec; i++)
     {
-      free (s->exec[i]->past);
+      free (s->exec[i]->past_runs);
       free (s->exec[i]);
     }
   ftable_free (&s->table);
-  free (s->heap);
+  free (s->events);
   free (s);
 }
--- a/regress/fsim/table.c
+++ b/regress/fsim/table.c
@@ -1,46 +1,50 @@
-/* The table service: rows with versions, transactions, feeds. */
+/* The simulated table service: versioned rows, transactions and feeds. */
 #include "fsim.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-struct request
+/* struct table_call - a call of an instance to the table, and the reply */
+struct table_call
 {
-  int inst;
-  uint64_t life;
+  int inst; /* index of the calling instance */
+  uint64_t incarnation;
   uint64_t token;
   struct store_op op;
   struct store_rep rep;
-  int64_t until_ms; /* of a feed */
-  bool mute;
+  /* A feed is answered at this time at the latest, even if there are no
+     changes. */
+  int64_t feed_deadline_ms;
+  /* True if the call is executed but its reply is lost. */
+  bool drop_reply;
 };
 
 int
-frow_cmp (const struct frow *a, const struct frow *b)
+ftable_row_cmp (const struct ftable_row *a, const struct ftable_row *b)
 {
   return strcmp (a->key, b->key);
 }
 
-RB_GENERATE (frow_tree, frow, by_key, frow_cmp)
+RB_GENERATE (ftable_row_tree, ftable_row, by_key, ftable_row_cmp)
 
-static struct frow *
-find (struct ftable *t, const char *key)
+static struct ftable_row *
+find_row (struct ftable *t, const char *key)
 {
-  struct frow k = { .key = (char *)key };
+  struct ftable_row k = { .key = (char *)key };
 
-  return RB_FIND (frow_tree, &t->rows, &k);
+  return RB_FIND (ftable_row_tree, &t->rows, &k);
 }
 
 static void
 set_row (struct ftable *t, const char *key, const char *value)
 {
-  struct frow *r = find (t, key);
+  struct ftable_row *r = find_row (t, key);
 
-  t->log = realloc (t->log, (t->n_log + 1) * sizeof *t->log);
-  t->log[t->n_log++] = (struct fchange){ t->ver, strdup (key) };
+  t->changes = realloc (t->changes, (t->n_changes + 1) * sizeof *t->changes);
+  t->changes[t->n_changes++] = (struct ftable_change){ t->ver, strdup (key) };
   if (r)
     {
-      RB_REMOVE (frow_tree, &t->rows, r);
+      RB_REMOVE (ftable_row_tree, &t->rows, r);
       free (r->key);
       free (r->value);
       free (r);
@@ -51,7 +55,7 @@
   r->key = strdup (key);
   r->value = strdup (value);
   r->ver = t->ver;
-  RB_INSERT (frow_tree, &t->rows, r);
+  RB_INSERT (ftable_row_tree, &t->rows, r);
 }
 
 void
@@ -62,7 +66,7 @@
 }
 
 static void
-add_row (struct store_rep *rep, const char *key, const struct frow *r)
+add_row (struct store_rep *rep, const char *key, const struct ftable_row *r)
 {
   rep->rows = realloc (rep->rows, (rep->n_rows + 1) * sizeof *rep->rows);
   rep->rows[rep->n_rows++]
@@ -72,11 +76,11 @@
 }
 
 static void
-do_txn (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_txn (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   for (size_t i = 0; i < op->n_conds; i++)
     {
-      struct frow *r = find (t, op->conds[i].key);
+      struct ftable_row *r = find_row (t, op->conds[i].key);
       if ((r ? r->ver : 0) != op->conds[i].ver)
         rep->err = CLB_ECONFLICT;
     }
@@ -84,7 +88,7 @@
     {
       for (size_t i = 0; i < op->n_conds; i++)
         {
-          struct frow *r = find (t, op->conds[i].key);
+          struct ftable_row *r = find_row (t, op->conds[i].key);
           if (r)
             add_row (rep, r->key, r);
         }
@@ -97,15 +101,15 @@
 }
 
 static void
-do_list (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_list (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   size_t len = strlen (op->key);
-  struct frow k = { .key = op->after ? op->after : op->key };
-  struct frow *r = RB_NFIND (frow_tree, &t->rows, &k);
+  struct ftable_row k = { .key = op->after ? op->after : op->key };
+  struct ftable_row *r = RB_NFIND (ftable_row_tree, &t->rows, &k);
 
   rep->ver = t->ver;
   for (; r && strncmp (r->key, op->key, len) == 0;
-       r = RB_NEXT (frow_tree, &t->rows, r))
+       r = RB_NEXT (ftable_row_tree, &t->rows, r))
     {
       if (op->after && strcmp (r->key, op->after) == 0)
         continue;
@@ -118,25 +122,28 @@
     }
 }
 
+/* Return: true if @key names a row of table @table, in any part of the table
+   ("TABLE/..." or "TABLE:PART/..."). */
 static bool
-in_table (const char *key, const char *table)
+key_is_in_table (const char *key, const char *table)
 {
   size_t n = strlen (table);
 
   return strncmp (key, table, n) == 0 && (key[n] == '/' || key[n] == ':');
 }
 
-/* Index of the first change after version @since. */
+/* Return: index of the first change after version @since; the number of
+   changes if there is none. */
 static size_t
-first_after (const struct ftable *t, int64_t since)
+first_change_after (const struct ftable *t, int64_t since)
 {
   size_t low = 0;
-  size_t high = t->n_log;
+  size_t high = t->n_changes;
 
   while (low < high)
     {
       size_t mid = (low + high) / 2;
-      if (t->log[mid].ver > since)
+      if (t->changes[mid].ver > since)
         high = mid;
       else
         low = mid + 1;
@@ -145,35 +152,35 @@
 }
 
 static void
-do_feed (struct ftable *t, const struct store_op *op, struct store_rep *rep)
+apply_feed (struct ftable *t, const struct store_op *op, struct store_rep *rep)
 {
   rep->ver = t->ver;
-  if (op->since < t->oldest)
+  if (op->since < t->compacted_ver)
     {
       rep->err = CLB_ENOTFOUND;
       return;
     }
-  for (size_t i = first_after (t, op->since); i < t->n_log; i++)
-    if (in_table (t->log[i].key, op->key))
-      add_row (rep, t->log[i].key, find (t, t->log[i].key));
+  for (size_t i = first_change_after (t, op->since); i < t->n_changes; i++)
+    if (key_is_in_table (t->changes[i].key, op->key))
+      add_row (rep, t->changes[i].key, find_row (t, t->changes[i].key));
 }
 
 void
 ftable_apply (struct ftable *t, const struct store_op *op,
               struct store_rep *rep)
 {
-  struct frow *r;
+  struct ftable_row *r;
 
   switch (op->kind)
     {
     case STORE_TXN:
-      do_txn (t, op, rep);
+      apply_txn (t, op, rep);
       break;
     case STORE_FEED:
-      do_feed (t, op, rep);
+      apply_feed (t, op, rep);
       break;
     case STORE_GET:
-      r = find (t, op->key);
+      r = find_row (t, op->key);
       rep->ver = t->ver;
       if (r)
         add_row (rep, r->key, r);
@@ -181,69 +188,76 @@
         rep->err = CLB_ENOTFOUND;
       break;
     default:
-      do_list (t, op, rep);
+      apply_list (t, op, rep);
       break;
     }
 }
 
+/* Passes the reply to the instance and frees the call.  A frozen instance
+   gets the reply when its freeze is over. */
 static void
-answer (struct fsim *s, void *arg)
+deliver_reply (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
-  struct finst *in = s->inst[q->inst];
+  struct table_call *q = arg;
+  struct fsim_instance *in = s->inst[q->inst];
 
-  if (in->up && in->life == q->life && in->frozen_until_ms > s->now_ms)
+  if (in->up && in->incarnation == q->incarnation
+      && in->frozen_until_ms > s->now_ms)
     {
-      fsim_at (s, in->frozen_until_ms - s->now_ms + 1, answer, q);
+      fsim_schedule (s, in->frozen_until_ms - s->now_ms + 1, deliver_reply, q);
       return;
     }
-  if (in->up && in->life == q->life)
+  if (in->up && in->incarnation == q->incarnation)
     {
       fleet_store_reply (&in->fleet, s->now_ms, q->token, &q->rep);
-      fsim_pump (s, q->inst);
+      fsim_process_outputs (s, q->inst);
     }
   codec_free (&store_op_desc, &q->op);
   codec_free (&store_rep_desc, &q->rep);
   free (q);
 }
 
+/* Schedules a reply with error @err that is delivered in @after_ms. */
 static void
-fail (struct fsim *s, struct request *q, int err, int64_t after_ms)
+fail_call (struct fsim *s, struct table_call *q, int err, int64_t after_ms)
 {
   codec_free (&store_rep_desc, &q->rep);
   q->rep.err = err;
-  fsim_at (s, after_ms, answer, q);
+  fsim_schedule (s, after_ms, deliver_reply, q);
 }
 
 static void
-reply (struct fsim *s, struct request *q)
+send_reply (struct fsim *s, struct table_call *q)
 {
-  if (s->inst[q->inst]->store_cut_until_ms > s->now_ms || q->mute)
-    fail (s, q, CLB_EOUTCOME, 700);
+  if (s->inst[q->inst]->store_partitioned_until_ms > s->now_ms
+      || q->drop_reply)
+    fail_call (s, q, CLB_EOUTCOME, 700);
   else
-    fsim_at (s, FSIM_LINK_MS, answer, q);
+    fsim_schedule (s, FSIM_LINK_MS, deliver_reply, q);
 }
 
+/* Executes a call.  A feed that finds no changes is executed again every 5 ms
+   until its deadline. */
 static void
-carry_out (struct fsim *s, void *arg)
+execute_call (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
+  struct table_call *q = arg;
 
   ftable_apply (&s->table, &q->op, &q->rep);
   if (q->op.kind == STORE_FEED && q->rep.err == 0 && q->rep.n_rows == 0
-      && s->now_ms < q->until_ms)
-    fsim_at (s, 5, carry_out, q);
+      && s->now_ms < q->feed_deadline_ms)
+    fsim_schedule (s, 5, execute_call, q);
   else
-    reply (s, q);
+    send_reply (s, q);
 }
 
-/* A write that nobody hears of, done much later. */
+/* Executes a delayed write without sending a reply. */
 static void
-carry_out_late (struct fsim *s, void *arg)
+execute_delayed_write (struct fsim *s, void *arg)
 {
-  struct request *q = arg;
+  struct table_call *q = arg;
 
-  do_txn (&s->table, &q->op, &q->rep);
+  apply_txn (&s->table, &q->op, &q->rep);
   codec_free (&store_op_desc, &q->op);
   codec_free (&store_rep_desc, &q->rep);
   free (q);
@@ -263,13 +277,14 @@
     store_put (to, op->puts[i].key, op->puts[i].value);
 }
 
-static struct request *
-request_new (struct fsim *s, int i, uint64_t token, const struct store_op *op)
+static struct table_call *
+table_call_new (struct fsim *s, int i, uint64_t token,
+                const struct store_op *op)
 {
-  struct request *q = calloc (1, sizeof *q);
+  struct table_call *q = calloc (1, sizeof *q);
 
   q->inst = i;
-  q->life = s->inst[i]->life;
+  q->incarnation = s->inst[i]->incarnation;
   q->token = token;
   copy_op (&q->op, op);
   return q;
@@ -279,55 +294,57 @@
 ftable_send (struct fsim *s, int i, uint64_t token, const struct store_op *op)
 {
   struct ftable *t = &s->table;
-  struct request *q = request_new (s, i, token, op);
-  int64_t wait = FSIM_LINK_MS;
+  struct table_call *q = table_call_new (s, i, token, op);
+  int64_t delay_ms = FSIM_LINK_MS;
   bool write = op->kind == STORE_TXN;
 
-  t->calls++;
-  if (s->inst[i]->store_cut_until_ms > s->now_ms)
+  t->n_calls++;
+  if (s->inst[i]->store_partitioned_until_ms > s->now_ms)
     {
-      fail (s, q, CLB_EOUTCOME, 700);
+      fail_call (s, q, CLB_EOUTCOME, 700);
       return;
     }
   if (t->down_until_ms > s->now_ms
-      || s->inst[i]->turned_away_until_ms > s->now_ms)
+      || s->inst[i]->store_refused_until_ms > s->now_ms)
     {
-      fail (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
+      fail_call (s, q, CLB_EUNAVAIL, FSIM_LINK_MS);
       return;
     }
-  if (write && fsim_random (s) < t->late)
+  if (write && fsim_random (s) < t->delayed_write_share)
     {
-      fsim_at (s, 1000 + (int64_t)(fsim_random (s) * 5000), carry_out_late,
-               request_new (s, i, token, op));
-      fail (s, q, CLB_EOUTCOME, 700);
+      fsim_schedule (s, 1000 + (int64_t)(fsim_random (s) * 5000),
+                     execute_delayed_write, table_call_new (s, i, token, op));
+      fail_call (s, q, CLB_EOUTCOME, 700);
       return;
     }
-  q->mute = write && fsim_random (s) < t->lost;
-  q->until_ms = s->now_ms + op->wait_ms;
+  q->drop_reply = write && fsim_random (s) < t->lost_reply_share;
+  q->feed_deadline_ms = s->now_ms + op->wait_ms;
   if (write)
     {
-      int64_t begin
+      int64_t begin_ms
           = s->now_ms > t->busy_until_ms ? s->now_ms : t->busy_until_ms;
-      t->busy_until_ms = begin + FSIM_STORE_MS * (t->slow ? t->slow : 1) / 3;
-      wait += t->busy_until_ms - s->now_ms;
+      t->busy_until_ms
+          = begin_ms
+            + FSIM_THREE_WRITES_MS * (t->slow_factor ? t->slow_factor : 1) / 3;
+      delay_ms += t->busy_until_ms - s->now_ms;
     }
-  wait += FSIM_LINK_MS * (t->slow ? t->slow : 1);
-  fsim_at (s, wait, carry_out, q);
+  delay_ms += FSIM_LINK_MS * (t->slow_factor ? t->slow_factor : 1);
+  fsim_schedule (s, delay_ms, execute_call, q);
 }
 
 void
 ftable_free (struct ftable *t)
 {
-  struct frow *r, *next;
+  struct ftable_row *r, *next;
 
-  RB_FOREACH_SAFE (r, frow_tree, &t->rows, next)
+  RB_FOREACH_SAFE (r, ftable_row_tree, &t->rows, next)
     {
-      RB_REMOVE (frow_tree, &t->rows, r);
+      RB_REMOVE (ftable_row_tree, &t->rows, r);
       free (r->key);
       free (r->value);
       free (r);
     }
-  for (size_t i = 0; i < t->n_log; i++)
-    free (t->log[i].key);
-  free (t->log);
+  for (size_t i = 0; i < t->n_changes; i++)
+    free (t->changes[i].key);
+  free (t->changes);
 }
--- a/regress/fsim/verbs.c
+++ b/regress/fsim/verbs.c
@@ -1,4 +1,11 @@
-/* fsim-run - plays scripts against the simulated fleet. */
+/*
+ * fsim-run - executes a Lua script that controls a simulated fleet.
+ *
+ * usage: fsim-run [-v] [-s SEED] [-n COUNT] SCRIPT
+ *
+ * The script is executed once for each of COUNT (1) seeds, beginning with SEED
+ * (1).  -v prints the log lines of the instances.
+ */
 #include "fsim.h"
 
 #include <lauxlib.h>
@@ -12,39 +19,45 @@
 static struct fsim *sim;
 static uint64_t seed = 1;
 static bool verbose;
-static int passed;
-static int failed;
+static int n_passed;
+static int n_failed;
 
+/* Return: field @name of the Lua table at stack index @at as an integer;
+   @fallback if the field is nil. */
 static int64_t
-field (lua_State *l, int at, const char *name, int64_t otherwise)
+int_field (lua_State *l, int at, const char *name, int64_t fallback)
 {
-  int64_t v;
+  int64_t value;
 
   lua_getfield (l, at, name);
-  v = lua_isnil (l, -1)       ? otherwise
-      : lua_isboolean (l, -1) ? lua_toboolean (l, -1)
-                              : (int64_t)lua_tonumber (l, -1);
+  value = lua_isnil (l, -1)       ? fallback
+          : lua_isboolean (l, -1) ? lua_toboolean (l, -1)
+                                  : (int64_t)lua_tonumber (l, -1);
   lua_pop (l, 1);
-  return v;
+  return value;
 }
 
-/* fleet{instances=, execs=, cores=, mem=, good=} */
+/* fleet{instances=, execs=, cores=, mem=, permitted_percent=}: replaces the
+   simulation.  Cores and memory (MB) are those of each executor; the advice
+   service permits permitted_percent of the executors for a step. */
 static int
 verb_fleet (lua_State *l)
 {
-  struct job_need room = { .millicores = 1000 * field (l, 1, "cores", 16),
-                           .mem_mb = field (l, 1, "mem", 32000) };
+  struct job_need capacity
+      = { .millicores = 1000 * int_field (l, 1, "cores", 16),
+          .mem_mb = int_field (l, 1, "mem", 32000) };
 
   if (sim)
     fsim_free (sim);
-  sim = fsim_new (seed, (int)field (l, 1, "instances", 3),
-                  (int)field (l, 1, "execs", 6), &room);
+  sim = fsim_new (seed, (int)int_field (l, 1, "instances", 3),
+                  (int)int_field (l, 1, "execs", 6), &capacity);
   sim->verbose = verbose;
-  sim->good_share = (double)field (l, 1, "good_percent", 100) / 100;
+  sim->permitted_share
+      = (double)int_field (l, 1, "permitted_percent", 100) / 100;
   return 0;
 }
 
-/* config(text) */
+/* config(text): writes the text to the table as the fleet's configuration */
 static int
 verb_config (lua_State *l)
 {
@@ -52,6 +65,8 @@
   return 0;
 }
 
+/* run(ms): advances the simulated time by ms and executes the events that are
+   due by then */
 static int
 verb_run (lua_State *l)
 {
@@ -59,6 +74,7 @@
   return 0;
 }
 
+/* now(): returns the simulated time in ms */
 static int
 verb_now (lua_State *l)
 {
@@ -66,6 +82,8 @@
   return 1;
 }
 
+/* random(): returns a pseudorandom number from 0 up to, but not including, 1
+ */
 static int
 verb_random (lua_State *l)
 {
@@ -73,24 +91,28 @@
   return 1;
 }
 
+/* Reads step @i of the job from the Lua table at the top of the stack. */
 static void
 read_step (lua_State *l, struct fjob *j, size_t i)
 {
   struct job_step *s = &j->spec.steps[i];
 
-  s->tasks = field (l, -1, "tasks", 1);
-  s->need.millicores = field (l, -1, "cpu", 1000);
-  s->need.mem_mb = field (l, -1, "mem", 100);
-  s->gang = field (l, -1, "gang", 0);
-  s->checkpoints = field (l, -1, "saves", 0);
-  s->max_per_exec = field (l, -1, "spread", 0);
-  if (field (l, -1, "after", -1) >= 0)
-    s->after = UINT64_C (1) << field (l, -1, "after", 0);
-  j->task_ms[i] = field (l, -1, "ms", 500);
-  s->estimate_ms = field (l, -1, "estimate", j->task_ms[i]);
+  s->tasks = int_field (l, -1, "tasks", 1);
+  s->need.millicores = int_field (l, -1, "cpu", 1000);
+  s->need.mem_mb = int_field (l, -1, "mem", 100);
+  s->gang = int_field (l, -1, "gang", 0);
+  s->checkpoints = int_field (l, -1, "checkpoints", 0);
+  s->max_per_exec = int_field (l, -1, "max_per_exec", 0);
+  if (int_field (l, -1, "after", -1) >= 0)
+    s->after = UINT64_C (1) << int_field (l, -1, "after", 0);
+  j->task_ms[i] = int_field (l, -1, "ms", 500);
+  s->estimate_ms = int_field (l, -1, "estimate", j->task_ms[i]);
 }
 
-/* job{id=, queue=, steps={...}, poison=} declares what submit() hands in. */
+/* job{id=, queue=, steps={...}, attempts=, always_fails=, advice_base_us=,
+   advice_per_exec_us=}: defines a job for submit().  Each step is a table with
+   the fields of read_step(); cpu is in millicores, mem in MB, ms is the run
+   time of a task. */
 static int
 verb_job (lua_State *l)
 {
@@ -102,13 +124,15 @@
   lua_getfield (l, 1, "queue");
   clb_copy (j->spec.queue, luaL_optstring (l, -1, "q"), CLB_NAME_MAX);
   lua_pop (l, 1);
-  /* What advice costs, as in the configuration of regress/fleet/lib.lua. */
-  j->spec.advice.base_ms = (double)field (l, 1, "advice_base_us", 0) / 1000;
+  /* Cost of a query for advice.  A script passes the values that the queue has
+     in the configuration in regress/fleet/lib.lua. */
+  j->spec.advice.base_ms
+      = (double)int_field (l, 1, "advice_base_us", 0) / 1000;
   j->spec.advice.per_exec_ms
-      = (double)field (l, 1, "advice_each_us", 0) / 1000;
-  j->poison = field (l, 1, "poison", 0);
-  j->spec.attempts = field (l, 1, "attempts", 3);
-  j->state = -1;
+      = (double)int_field (l, 1, "advice_per_exec_us", 0) / 1000;
+  j->always_fails = int_field (l, 1, "always_fails", 0);
+  j->spec.attempts = int_field (l, 1, "attempts", 3);
+  j->last_state = -1;
   lua_getfield (l, 1, "steps");
   j->spec.n_steps = lua_rawlen (l, -1);
   j->spec.steps = calloc (j->spec.n_steps + 1, sizeof *j->spec.steps);
@@ -116,32 +140,33 @@
     {
       lua_rawgeti (l, -1, (lua_Integer)i + 1);
       read_step (l, j, i);
-      j->n_marks += (int)j->spec.steps[i].tasks;
+      j->n_stats += (int)j->spec.steps[i].tasks;
       lua_pop (l, 1);
     }
-  j->marks = calloc ((size_t)j->n_marks + 1, sizeof *j->marks);
+  j->stats = calloc ((size_t)j->n_stats + 1, sizeof *j->stats);
   j->spec.payload = strdup ("work");
   if (RB_INSERT (fjob_tree, &sim->jobs, j))
-    return luaL_error (l, "job %s stands already", j->id);
+    return luaL_error (l, "job %s is already defined", j->id);
   return 0;
 }
 
-/* submit(instance, id, key): number of the call */
+/* submit(instance, id [, key]): submits a job to the instance; returns the
+   number of the request, for answer() */
 static int
 verb_submit (lua_State *l)
 {
   int inst = (int)luaL_checkinteger (l, 1);
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 2));
-  struct job_spec hand_in = j->spec;
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 2));
+  struct job_spec submitted = j->spec;
   char path[128];
   char *body;
 
-  clb_copy (hand_in.id, j->id, sizeof hand_in.id);
-  hand_in.attempts = 0;
-  clb_copy (hand_in.service, "-", sizeof hand_in.service);
+  clb_copy (submitted.id, j->id, sizeof submitted.id);
+  submitted.attempts = 0;
+  clb_copy (submitted.service, "-", sizeof submitted.service);
   snprintf (path, sizeof path, "/%s/%s", j->spec.queue, j->id);
-  body = codec_text (&job_spec_desc, &hand_in);
-  j->sent_ms = sim->now_ms;
+  body = codec_text (&job_spec_desc, &submitted);
+  j->submitted_ms = sim->now_ms;
   lua_pushinteger (l, (lua_Integer)fsim_request (sim, inst, FLEET_VERB_SUBMIT,
                                                  path, body,
                                                  luaL_optstring (l, 3, "k")));
@@ -149,11 +174,12 @@
   return 1;
 }
 
-/* ask(instance, id [, "cancel"]): number of the call */
+/* request(instance, id [, "cancel"]): queries the state of the job or cancels
+   the job; returns the number of the request, for answer() */
 static int
-verb_ask (lua_State *l)
+verb_request (lua_State *l)
 {
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 2));
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 2));
   const char *what = luaL_optstring (l, 3, "state");
   char path[128];
 
@@ -167,7 +193,8 @@
   return 1;
 }
 
-/* waiting(instance, queue): number of the call */
+/* waiting(instance, queue [, key]): queries how many jobs wait in the queue;
+   returns the number of the request, for answer() */
 static int
 verb_waiting (lua_State *l)
 {
@@ -180,11 +207,14 @@
   return 1;
 }
 
-/* answer(call): status or 0, body, milliseconds until it may come back */
+/* answer(n): returns three values of the answer to request n:
+   the HTTP status, 0 if no answer has arrived;
+   the body, which may be empty;
+   the delay in ms after which the caller may retry, 0 if none is given */
 static int
 verb_answer (lua_State *l)
 {
-  const struct fcall *c = &sim->calls[luaL_checkinteger (l, 1)];
+  const struct fsim_call *c = &sim->calls[luaL_checkinteger (l, 1)];
 
   lua_pushinteger (l, c->status);
   lua_pushstring (l, c->body ? c->body : "");
@@ -192,39 +222,52 @@
   return 3;
 }
 
-/* task(id, step, index): starts, failures, whether done */
+/* task(id [, step [, index]]): returns three values of a task of the job:
+   the number of starts;
+   the number of failed runs whose ends the leader acknowledged;
+   true if the leader acknowledged the end of a successful run, otherwise
+   false */
 static int
 verb_task (lua_State *l)
 {
-  struct fjob *j = fsim_job (sim, luaL_checkstring (l, 1));
-  int at = (int)luaL_optinteger (l, 3, 0);
+  struct fjob *j = fsim_find_job (sim, luaL_checkstring (l, 1));
+  int stats_index = (int)luaL_optinteger (l, 3, 0);
 
   for (int i = 0; i < luaL_optinteger (l, 2, 0); i++)
-    at += (int)j->spec.steps[i].tasks;
-  lua_pushinteger (l, j->marks[at].starts);
-  lua_pushinteger (l, j->marks[at].failed);
-  lua_pushboolean (l, j->marks[at].done);
+    stats_index += (int)j->spec.steps[i].tasks;
+  lua_pushinteger (l, j->stats[stats_index].n_starts);
+  lua_pushinteger (l, j->stats[stats_index].n_failed);
+  lua_pushboolean (l, j->stats[stats_index].done);
   return 3;
 }
 
-/* instance(i, what [, ms]): kill, start, stop, freeze, cut, cut-store,
-   turn-away */
+/* instance(i, what [, ms]): changes the state of instance i.  The argument
+   "what" is one of:
+   kill             ends the process at once
+   start            starts a new process if none is up
+   stop             orders the process to stop
+   freeze           the process makes no progress for ms
+   clock            sets the instance's wall clock ahead of the others by ms
+   partition        no message between the instance and other instances or
+                    executors arrives for ms
+   partition-store  the instance's calls to the table get no answer for ms
+   refuse-store     the table refuses the instance's calls for ms */
 static int
 verb_instance (lua_State *l)
 {
   int i = (int)luaL_checkinteger (l, 1);
   const char *what = luaL_checkstring (l, 2);
   int64_t until = sim->now_ms + (int64_t)luaL_optnumber (l, 3, 0);
-  struct finst *in = sim->inst[i];
+  struct fsim_instance *in = sim->inst[i];
 
   if (strcmp (what, "kill") == 0)
-    fsim_kill (sim, i);
+    fsim_kill_instance (sim, i);
   else if (strcmp (what, "start") == 0 && !in->up)
-    fsim_start (sim, i);
+    fsim_start_instance (sim, i);
   else if (strcmp (what, "stop") == 0 && in->up)
     {
       fleet_stop (&in->fleet, sim->now_ms);
-      fsim_pump (sim, i);
+      fsim_process_outputs (sim, i);
     }
   else if (strcmp (what, "freeze") == 0)
     {
@@ -232,69 +275,94 @@
       in->frozen_until_ms = until;
     }
   else if (strcmp (what, "clock") == 0)
-    in->clock_ms = until - sim->now_ms;
-  else if (strcmp (what, "cut") == 0)
-    in->cut_until_ms = until;
-  else if (strcmp (what, "cut-store") == 0)
-    in->store_cut_until_ms = until;
-  else if (strcmp (what, "turn-away") == 0)
-    in->turned_away_until_ms = until;
+    in->clock_offset_ms = until - sim->now_ms;
+  else if (strcmp (what, "partition") == 0)
+    in->partitioned_until_ms = until;
+  else if (strcmp (what, "partition-store") == 0)
+    in->store_partitioned_until_ms = until;
+  else if (strcmp (what, "refuse-store") == 0)
+    in->store_refused_until_ms = until;
   return 0;
 }
 
-/* exec(i, what [, ms or share]) */
+/* exec(i, what [, value]): changes the state of executor i.  The argument
+   "what" is one of:
+   crash               ends the boot; all its runs are lost
+   reboot              begins a new boot
+   partition           orders and results do not arrive for value ms
+   lose-results        the share value (0 to 1) of results is lost
+   delay-orders        the share value (0 to 1) of start and stop orders is not
+                       answered, and is executed 2 to 12 seconds later
+   fail-runs           with value 1, every run that starts fails; 0 ends the
+                       fault
+   refuse-connections  with value 1, connections fail at once; 0 ends the
+                       fault
+   hang-runs           with value 1, runs that start never end by themselves;
+                       0 ends the fault
+   drain               with value 1, the discovery entry says that the
+                       executor drains; with 0, that it does not drain */
 static int
 verb_exec (lua_State *l)
 {
   struct fexec *e = sim->exec[luaL_checkinteger (l, 1)];
   const char *what = luaL_checkstring (l, 2);
-  double x = luaL_optnumber (l, 3, 0);
+  double value = luaL_optnumber (l, 3, 0);
 
   if (strcmp (what, "crash") == 0)
     fexec_crash (sim, e);
-  else if (strcmp (what, "reborn") == 0)
-    fexec_reborn (sim, e);
-  else if (strcmp (what, "cut") == 0)
-    e->cut_until_ms = sim->now_ms + (int64_t)x;
-  else if (strcmp (what, "lost") == 0)
-    e->lost = x;
-  else if (strcmp (what, "late") == 0)
-    e->late = x;
-  else if (strcmp (what, "fails") == 0)
-    e->fails = x > 0;
-  else if (strcmp (what, "unreached") == 0)
-    e->unreached = x > 0;
-  else if (strcmp (what, "hangs") == 0)
-    e->hangs = x > 0;
+  else if (strcmp (what, "reboot") == 0)
+    fexec_reboot (sim, e);
+  else if (strcmp (what, "partition") == 0)
+    e->partitioned_until_ms = sim->now_ms + (int64_t)value;
+  else if (strcmp (what, "lose-results") == 0)
+    e->lost_result_share = value;
+  else if (strcmp (what, "delay-orders") == 0)
+    e->delayed_order_share = value;
+  else if (strcmp (what, "fail-runs") == 0)
+    e->fails_runs = value > 0;
+  else if (strcmp (what, "refuse-connections") == 0)
+    e->refuses_connections = value > 0;
+  else if (strcmp (what, "hang-runs") == 0)
+    e->hangs_runs = value > 0;
   else if (strcmp (what, "drain") == 0)
     {
-      e->draining = x > 0;
-      fexec_list (sim, e);
+      e->draining = value > 0;
+      fexec_update_discovery_entry (sim, e);
     }
   return 0;
 }
 
-/* store(what, value): down (ms), slow (times), lost, late (shares), compact */
+/* store(what [, value]): changes the state of the table service.  The argument
+   "what" is one of:
+   down          the table refuses all calls for value ms
+   slow          the table's latencies are multiplied by value
+   lose-replies  the share value (0 to 1) of writes is executed but not
+                 answered
+   delay-writes  the share value (0 to 1) of writes is not answered, and is
+                 executed 1 to 6 seconds later
+   compact       compacts the table: from now on, a feed of changes since a
+                 version before the present one fails */
 static int
 verb_store (lua_State *l)
 {
   const char *what = luaL_checkstring (l, 1);
-  double x = luaL_optnumber (l, 2, 0);
+  double value = luaL_optnumber (l, 2, 0);
   struct ftable *t = &sim->table;
 
   if (strcmp (what, "down") == 0)
-    t->down_until_ms = sim->now_ms + (int64_t)x;
+    t->down_until_ms = sim->now_ms + (int64_t)value;
   else if (strcmp (what, "slow") == 0)
-    t->slow = (int64_t)x;
-  else if (strcmp (what, "lost") == 0)
-    t->lost = x;
-  else if (strcmp (what, "late") == 0)
-    t->late = x;
+    t->slow_factor = (int64_t)value;
+  else if (strcmp (what, "lose-replies") == 0)
+    t->lost_reply_share = value;
+  else if (strcmp (what, "delay-writes") == 0)
+    t->delayed_write_share = value;
   else if (strcmp (what, "compact") == 0)
-    t->oldest = t->ver;
+    t->compacted_ver = t->ver;
   return 0;
 }
 
+/* leader(): returns the index of the leading instance, -1 if none leads */
 static int
 verb_leader (lua_State *l)
 {
@@ -302,7 +370,8 @@
   return 1;
 }
 
-/* running(): tasks at work on all executors; on one if a number is given */
+/* running([i]): returns the number of running tasks on executor i; on all
+   executors if i is missing */
 static int
 verb_running (lua_State *l)
 {
@@ -315,15 +384,18 @@
   return 1;
 }
 
+/* calls(): returns two values, the number of calls to the table and the number
+   of queries for advice */
 static int
 verb_calls (lua_State *l)
 {
-  lua_pushinteger (l, (lua_Integer)sim->table.calls);
-  lua_pushinteger (l, sim->advice_calls);
+  lua_pushinteger (l, (lua_Integer)sim->table.n_calls);
+  lua_pushinteger (l, sim->n_advice_queries);
   return 2;
 }
 
-/* proxied(): calls to the table that went through another instance */
+/* proxied(): returns the number of calls to the table that instances have sent
+   through another instance */
 static int
 verb_proxied (lua_State *l)
 {
@@ -335,46 +407,51 @@
   return 1;
 }
 
+/* violations(): returns two values, the number of violations and the text of
+   the first, which is empty if there is none */
 static int
 verb_violations (lua_State *l)
 {
-  lua_pushinteger (l, sim->violations);
-  lua_pushstring (l, sim->first);
+  lua_pushinteger (l, sim->n_violations);
+  lua_pushstring (l, sim->first_violation);
   return 2;
 }
 
+/* expect(condition [, message]): fails the scenario with the message if the
+   condition is false or nil */
 static int
 verb_expect (lua_State *l)
 {
   if (!lua_toboolean (l, 1))
     return luaL_error (l, "%s (seed %d, at %d ms)",
-                       luaL_optstring (l, 2, "not as expected"), (int)seed,
+                       luaL_optstring (l, 2, "expectation not met"), (int)seed,
                        sim ? (int)sim->now_ms : 0);
   return 0;
 }
 
-/* scenario(name, function) */
+/* scenario(name, function): calls the function.  The scenario passes if the
+   function raises no error and the last simulation reported no violation. */
 static int
 verb_scenario (lua_State *l)
 {
   const char *name = luaL_checkstring (l, 1);
-  int bad = 0;
+  int is_failed = 0;
 
   lua_pushvalue (l, 2);
   if (lua_pcall (l, 0, 0, 0))
     {
       printf ("FAIL %s: %s\n", name, lua_tostring (l, -1));
       lua_pop (l, 1);
-      bad = 1;
+      is_failed = 1;
     }
-  else if (sim && sim->violations)
+  else if (sim && sim->n_violations)
     {
-      printf ("FAIL %s: %d violations, %s (seed %d)\n", name, sim->violations,
-              sim->first, (int)seed);
-      bad = 1;
+      printf ("FAIL %s: %d violations, %s (seed %d)\n", name,
+              sim->n_violations, sim->first_violation, (int)seed);
+      is_failed = 1;
     }
-  failed += bad;
-  passed += !bad;
+  n_failed += is_failed;
+  n_passed += !is_failed;
   return 0;
 }
 
@@ -386,7 +463,7 @@
   { "random", verb_random },
   { "job", verb_job },
   { "submit", verb_submit },
-  { "ask", verb_ask },
+  { "request", verb_request },
   { "waiting", verb_waiting },
   { "answer", verb_answer },
   { "task", verb_task },
@@ -426,12 +503,12 @@
       if (luaL_dofile (l, argv[optind]))
         {
           printf ("FAIL %s: %s\n", argv[optind], lua_tostring (l, -1));
-          failed++;
+          n_failed++;
         }
       lua_close (l);
     }
   if (sim)
     fsim_free (sim);
-  printf ("%d passed, %d failed\n", passed, failed);
-  return failed ? 1 : 0;
+  printf ("%d passed, %d failed\n", n_passed, n_failed);
+  return n_failed ? 1 : 0;
 }
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -1,16 +1,29 @@
 /*
- * fleet-standin - the fleet's platform on loopback: table, executors, advice.
+ * fleet-standin - serves a stand-in of the fleet's platform on the loopback
+ * interface: the table service, the executors and the advice service.
  *
- * It speaks what platform/ speaks, over the table and the executors of the
- * simulation (regress/fsim), in real time.  Executor K listens on the port
- * after the table's by 1 + K; the advice service on the one after the last.
+ * usage: fleet-standin PORT EXECUTORS CONFIG [ADVERTISED-OFFSET]
  *
- * Each broken promise that its executors see is a line "violation ...".  Lines
- * of standard input are faults and questions:
- *   table down MS | table lost SHARE | table compact
- *   exec K crash | exec K reborn | exec K cut MS | exec K fails 0 or 1
- *   config FILE      the operator's next configuration
- *   started FILE     write the ids of all jobs that have started
+ * The program serves the HTTP interfaces that platform/ calls.  It answers
+ * with the table and the executors of the simulation (regress/fsim), which it
+ * runs in real time.  The table listens on PORT, executor K on PORT + 1 + K,
+ * and the advice service on the port after that of the last executor.
+ *
+ * The program prints a line "violation ..." when the executors have detected
+ * further violations (see regress/fsim/execs.c).  It reads commands from
+ * standard input, one per line (MS is a time in ms):
+ *   table down MS       the table refuses all calls for MS
+ *   table lost SHARE    SHARE (0 to 1) of the writes is executed but not
+ *                       answered
+ *   table compact       compacts the table: from now on, a feed of changes
+ *                       since a version before the present one fails
+ *   exec K crash        ends the boot of executor K; all its runs are lost
+ *   exec K reborn       begins a new boot of executor K
+ *   exec K cut MS       executor K does not answer for MS
+ *   exec K fails 0|1    with 1, every run that starts on executor K fails;
+ *                       0 ends the fault
+ *   config FILE         replaces the fleet's configuration by the text in FILE
+ *   started FILE        writes the ids of all jobs with a started task to FILE
  */
 #include "fsim.h"
 #include "httpd.h"
@@ -26,61 +39,74 @@
 
 enum
 {
-  RETRY_MS = 5, /* how often a waiting question is looked at */
+  /* Interval at which unanswered feeds and polls are tried again. */
+  PENDING_RETRY_MS = 5,
   ADVICE_MS = 2,
+  /* Largest accepted body of a request, in bytes. */
   BODY_MAX = 4 << 20,
 };
 
+/* struct server - a listening socket of the stand-in */
 struct server
 {
   struct httpd *http;
-  struct fexec *exec; /* NULL: the table or the advice service */
+  /* Executor that is served; NULL for the table and the advice service. */
+  struct fexec *exec;
   char addr[CLB_ADDR_MAX];
 };
 
-/* struct wait - a feed or a question for ends that may be answered later */
-struct wait
+/* struct pending_request - a feed that waits for changes of the table, or a
+   poll that waits for ends of an executor's runs */
+struct pending_request
 {
-  TAILQ_ENTRY (wait) link;
+  TAILQ_ENTRY (pending_request) link;
   struct server *server;
-  uint64_t no;
-  int64_t until_ms;
-  struct store_op op;
-  struct order order;
+  uint64_t request_id;
+  /* Time at which the request is answered at the latest. */
+  int64_t deadline_ms;
+  struct store_op op; /* the feed; used if server->exec is NULL */
+  struct order order; /* the poll; used if server->exec is not NULL */
 };
 
-static TAILQ_HEAD (, wait) waits = TAILQ_HEAD_INITIALIZER (waits);
+static TAILQ_HEAD (, pending_request)
+    pending_requests = TAILQ_HEAD_INITIALIZER (pending_requests);
 static struct fsim *sim;
-static struct server table;
-static struct server *execs;
+static struct server table_server;
+static struct server *exec_servers;
 static int n_execs;
-static int advertise; /* executors' entries name their ports and so much */
-static struct server advice;
-static int64_t began_ms;
+/* Added to an executor's port to give the port in its discovery entry. */
+static int advertised_offset;
+static struct server advice_server;
+/* Start of the stand-in, by CLOCK_MONOTONIC. */
+static int64_t start_ms;
 
+/* Return: time in ms since the start of the stand-in. */
 static int64_t
 now (void)
 {
   struct timespec ts;
 
   clock_gettime (CLOCK_MONOTONIC, &ts);
-  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - began_ms;
+  return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000 - start_ms;
 }
 
+/* Answers a request with @json.  The function takes ownership of @json. */
 static void
-answer (struct server *s, uint64_t no, int status, json_t *json)
+answer_json (struct server *s, uint64_t request_id, int status, json_t *json)
 {
   clb_auto char *text = json_dumps (json, JSON_COMPACT);
 
-  httpd_answer (s->http, no, status, "application/json", text, strlen (text),
-                0);
+  httpd_answer (s->http, request_id, status, "application/json", text,
+                strlen (text), 0);
   json_decref (json);
 }
 
-/* The table. */
+/* Functions of the table service. */
 
+/* Return: the key of a row in the simulated table, "TABLE[:PART]/KEY", to be
+   freed. */
 static char *
-key_text (const json_t *row)
+row_key (const json_t *row)
 {
   const char *part = json_string_value (json_object_get (row, "part"));
   char *text;
@@ -94,8 +120,9 @@
   return text;
 }
 
+/* Return: the decoded base64 text, to be freed. */
 static char *
-decode (const char *text)
+decode_base64 (const char *text)
 {
   size_t len = strlen (text);
   char *out = calloc (1, len + 4);
@@ -134,7 +161,7 @@
 }
 
 static void
-answer_rep (uint64_t no, const struct store_rep *rep)
+answer_table_call (uint64_t request_id, const struct store_rep *rep)
 {
   json_t *rows = json_array ();
   int status = rep->err == CLB_ECONFLICT   ? 412
@@ -143,14 +170,16 @@
 
   for (size_t i = 0; i < rep->n_rows; i++)
     json_array_append_new (rows, row_json (&rep->rows[i]));
-  answer (&table, no, status,
-          json_pack ("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more",
-                     rep->more, "ver", (json_int_t)rep->ver, "now_ms",
-                     (json_int_t)now ()));
+  answer_json (&table_server, request_id, status,
+               json_pack ("{s:o, s:b, s:I, s:I}", "rows", rows, "has_more",
+                          rep->more, "ver", (json_int_t)rep->ver, "now_ms",
+                          (json_int_t)now ()));
 }
 
+/* Copies the decoded parameter @name of the query string of @path to @out.
+   @out becomes an empty string if there is no such parameter. */
 static void
-query (const char *path, const char *name, char *out, size_t size)
+query_param (const char *path, const char *name, char *out, size_t size)
 {
   const char *at = strchr (path, '?');
   size_t len = strlen (name);
@@ -172,9 +201,11 @@
   out[n] = '\0';
 }
 
-/* 0, or -1 for a transaction that cannot be read. */
+/* Reads a call to the table from its HTTP request.
+
+   Return: 0; -1 if the call is a transaction without rows to write. */
 static int
-read_op (const struct httpd_req *rq, struct store_op *op)
+read_table_op (const struct httpd_req *rq, struct store_op *op)
 {
   char name[128], part[128], from[256], number[32];
   json_auto_t *body = NULL;
@@ -187,30 +218,30 @@
       body = json_loadb (rq->body, rq->body_len, 0, &je);
       json_array_foreach (json_object_get (body, "expect"), i, row)
         {
-          clb_auto char *key = key_text (row);
+          clb_auto char *key = row_key (row);
           store_cond (op, key,
                       json_integer_value (json_object_get (row, "ver")));
         }
       json_array_foreach (json_object_get (body, "puts"), i, row)
         {
-          clb_auto char *key = key_text (row);
-          clb_auto char *value
-              = decode (json_string_value (json_object_get (row, "value")));
+          clb_auto char *key = row_key (row);
+          clb_auto char *value = decode_base64 (
+              json_string_value (json_object_get (row, "value")));
           store_put (op, key, value);
         }
       op->kind = STORE_TXN;
       return op->n_puts ? 0 : -1;
     }
-  query (rq->path, "table", name, sizeof name);
-  query (rq->path, "part", part, sizeof part);
-  query (rq->path, "from", from, sizeof from);
+  query_param (rq->path, "table", name, sizeof name);
+  query_param (rq->path, "part", part, sizeof part);
+  query_param (rq->path, "from", from, sizeof from);
   if (strncmp (rq->path, "/api/rows-feed", 14) == 0)
     {
       op->kind = STORE_FEED;
       op->key = strdup (name);
-      query (rq->path, "after", number, sizeof number);
+      query_param (rq->path, "after", number, sizeof number);
       op->since = atoll (number);
-      query (rq->path, "wait_ms", number, sizeof number);
+      query_param (rq->path, "wait_ms", number, sizeof number);
       op->wait_ms = atoll (number);
       return 0;
     }
@@ -221,92 +252,99 @@
   return 0;
 }
 
-/* A list begins with the row that it is asked from, which the simulated table
-   leaves out. */
+/* Inserts the row at which a list begins.  The platform's list includes the
+   row that the request names as its start; the simulated table omits that row.
+ */
 static void
-add_first (const struct store_op *op, struct store_rep *rep)
+insert_start_row (const struct store_op *op, struct store_rep *rep)
 {
-  struct store_op one = { .kind = STORE_GET, .key = op->after };
-  struct store_rep got = { 0 };
+  struct store_op get_op = { .kind = STORE_GET, .key = op->after };
+  struct store_rep get_rep = { 0 };
 
   if (op->kind != STORE_LIST || !op->after)
     return;
-  ftable_apply (&sim->table, &one, &got);
-  if (got.n_rows)
+  ftable_apply (&sim->table, &get_op, &get_rep);
+  if (get_rep.n_rows)
     {
       rep->rows = realloc (rep->rows, (rep->n_rows + 1) * sizeof *rep->rows);
       memmove (rep->rows + 1, rep->rows, rep->n_rows * sizeof *rep->rows);
-      rep->rows[0] = got.rows[0];
+      rep->rows[0] = get_rep.rows[0];
       rep->n_rows++;
     }
-  free (got.rows);
+  free (get_rep.rows);
 }
 
+/* Executes a call to the table and answers it.  A feed that finds no changes
+   is not answered before @deadline_ms; the function must then be called again.
+
+   Return: true if the call was answered. */
 static bool
-try_op (uint64_t no, const struct store_op *op, int64_t until_ms)
+try_table_op (uint64_t request_id, const struct store_op *op,
+              int64_t deadline_ms)
 {
   struct store_rep rep = { 0 };
-  bool waits;
+  bool must_wait;
 
   ftable_apply (&sim->table, op, &rep);
-  add_first (op, &rep);
-  waits
-      = op->kind == STORE_FEED && !rep.err && !rep.n_rows && now () < until_ms;
-  if (!waits)
-    answer_rep (no, &rep);
+  insert_start_row (op, &rep);
+  must_wait = op->kind == STORE_FEED && !rep.err && !rep.n_rows
+              && now () < deadline_ms;
+  if (!must_wait)
+    answer_table_call (request_id, &rep);
   codec_free (&store_rep_desc, &rep);
-  return !waits;
+  return !must_wait;
 }
 
 static void
-on_table (void *arg, const struct httpd_req *rq)
+on_table_request (void *arg, const struct httpd_req *rq)
 {
-  struct wait *w = calloc (1, sizeof *w);
+  struct pending_request *p = calloc (1, sizeof *p);
 
-  w->server = arg;
-  w->no = rq->id;
-  if (read_op (rq, &w->op))
+  p->server = arg;
+  p->request_id = rq->id;
+  if (read_table_op (rq, &p->op))
     {
-      answer (&table, rq->id, 400, json_object ());
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      answer_json (&table_server, rq->id, 400, json_object ());
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  w->until_ms = now () + w->op.wait_ms;
+  p->deadline_ms = now () + p->op.wait_ms;
   if (now () < sim->table.down_until_ms)
     {
-      answer (&table, rq->id, 503, json_object ());
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      answer_json (&table_server, rq->id, 503, json_object ());
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  if (w->op.kind == STORE_TXN && fsim_random (sim) < sim->table.lost)
+  if (p->op.kind == STORE_TXN
+      && fsim_random (sim) < sim->table.lost_reply_share)
     {
       struct store_rep rep = { 0 };
-      /* Done, and never answered. */
-      ftable_apply (&sim->table, &w->op, &rep);
+      /* Inject the fault: execute the write without answering it. */
+      ftable_apply (&sim->table, &p->op, &rep);
       codec_free (&store_rep_desc, &rep);
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
       return;
     }
-  if (!try_op (rq->id, &w->op, w->until_ms))
+  if (!try_table_op (rq->id, &p->op, p->deadline_ms))
     {
-      TAILQ_INSERT_TAIL (&waits, w, link);
+      TAILQ_INSERT_TAIL (&pending_requests, p, link);
       return;
     }
-  codec_free (&store_op_desc, &w->op);
-  free (w);
+  codec_free (&store_op_desc, &p->op);
+  free (p);
 }
 
-/* Executors. */
+/* Functions of the executors and the advice service. */
 
 static json_t *
 result_json (const struct order_result *res)
 {
   static const char *const reasons[]
       = { "other", "fence", "old", "late", "room", "ticket" };
-  static const char *const hows[]
+  static const char *const end_names[]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
   json_t *running = json_array ();
   json_t *finished = json_array ();
@@ -327,7 +365,7 @@
       json_array_append_new (finished,
                              json_pack ("[I,s,I,s,s]", (json_int_t)e->seq,
                                         name, (json_int_t)e->run_id,
-                                        hows[e->run_end], e->checkpoint));
+                                        end_names[e->run_end], e->checkpoint));
     }
   return json_pack ("{s:I, s:I, s:o, s:o, s:s}", "clock_ms",
                     (json_int_t)res->clock_ms, "born",
@@ -336,7 +374,7 @@
 }
 
 static int64_t
-number (const json_t *body, const char *name)
+int_member (const json_t *body, const char *name)
 {
   return json_integer_value (json_object_get (body, name));
 }
@@ -353,32 +391,42 @@
                                                       : ORDER_POLL;
   if (task)
     pf_task_parse (task, &o->task);
-  o->run_id = number (body, "run");
-  o->fencing_token = number (body, "fencing_token");
-  o->lease_deadline_ms = number (body, "deadline_ms");
-  o->recorded_end_seq = number (body, "last_seen");
-  o->wait_ms = number (body, "wait_ms");
+  o->run_id = int_member (body, "run");
+  o->fencing_token = int_member (body, "fencing_token");
+  o->lease_deadline_ms = int_member (body, "deadline_ms");
+  o->recorded_end_seq = int_member (body, "last_seen");
+  o->wait_ms = int_member (body, "wait_ms");
 }
 
+/* Executes an order and answers it.  A poll is not answered while the executor
+   has no ended runs to report and @waited is false; the function must then be
+   called again.
+   @first: true in the first call for the order
+   @waited: true if the wait time of a poll is over
+
+   Return: true if the order was answered. */
 static bool
-try_order (struct server *s, uint64_t no, const struct order *o, bool first,
-           bool waited)
+try_order (struct server *s, uint64_t request_id, const struct order *o,
+           bool first, bool waited)
 {
   struct order_result res = { 0 };
   bool done = fexec_apply (sim, s->exec, o, first, waited, &res);
 
   if (done)
-    answer (s, no, res.outcome == ORDER_DONE ? 200 : 409, result_json (&res));
+    answer_json (s, request_id, res.outcome == ORDER_DONE ? 200 : 409,
+                 result_json (&res));
   order_result_clear (&res);
   return done;
 }
 
-/* The stand-in learns of a job when its first task starts; it stands for all
-   that it may be. */
+/* Registers the job of a start order in the simulation.  The stand-in does
+   not see submissions, so it registers a job when the first of its tasks
+   starts.  The stand-in does not know the job's size and registers four steps
+   with the maximum number of tasks, and unlimited attempts. */
 static void
-learn_job (const struct order *o)
+register_job (const struct order *o)
 {
-  struct fjob *j = fsim_job (sim, o->task.job);
+  struct fjob *j = fsim_find_job (sim, o->task.job);
 
   if (j || o->kind != ORDER_START)
     return;
@@ -392,108 +440,113 @@
       j->spec.steps[i].tasks = JOB_STEP_TASKS_MAX;
       j->task_ms[i] = 300;
     }
-  j->marks = calloc (4 * JOB_STEP_TASKS_MAX, sizeof *j->marks);
+  j->stats = calloc (4 * JOB_STEP_TASKS_MAX, sizeof *j->stats);
   RB_INSERT (fjob_tree, &sim->jobs, j);
 }
 
 static void
-on_exec (void *arg, const struct httpd_req *rq)
+on_exec_request (void *arg, const struct httpd_req *rq)
 {
-  struct wait *w = calloc (1, sizeof *w);
+  struct pending_request *p = calloc (1, sizeof *p);
 
   sim->now_ms = now ();
-  w->server = arg;
-  w->no = rq->id;
-  if (!w->server->exec->up || now () < w->server->exec->cut_until_ms)
+  p->server = arg;
+  p->request_id = rq->id;
+  if (!p->server->exec->up || now () < p->server->exec->partitioned_until_ms)
     {
-      /* Dark: the caller gives up. */
-      free (w);
+      /* The order gets no answer, so it times out at the instance. */
+      free (p);
       return;
     }
-  read_order (rq, &w->order);
-  learn_job (&w->order);
-  w->until_ms = now () + w->order.wait_ms;
-  if (!try_order (w->server, rq->id, &w->order, true, w->order.wait_ms == 0))
-    TAILQ_INSERT_TAIL (&waits, w, link);
+  read_order (rq, &p->order);
+  register_job (&p->order);
+  p->deadline_ms = now () + p->order.wait_ms;
+  if (!try_order (p->server, rq->id, &p->order, true, p->order.wait_ms == 0))
+    TAILQ_INSERT_TAIL (&pending_requests, p, link);
   else
-    free (w);
+    free (p);
 }
 
 static void
-on_advice (void *arg, const struct httpd_req *rq)
+on_advice_query (void *arg, const struct httpd_req *rq)
 {
   struct server *s = arg;
   json_error_t je;
   json_auto_t *body = json_loadb (rq->body, rq->body_len, 0, &je);
-  json_t *good = json_array ();
+  json_t *permitted = json_array ();
   size_t i;
   json_t *name;
 
   json_array_foreach (json_object_get (body, "workers"), i, name)
     json_array_append_new (
-        good, json_pack ("[s,s]", json_string_value (name), "ticket"));
-  answer (s, rq->id, 200,
-          json_pack ("{s:o, s:i}", "good", good, "valid_ms", 2000));
+        permitted, json_pack ("[s,s]", json_string_value (name), "ticket"));
+  answer_json (s, rq->id, 200,
+               json_pack ("{s:o, s:i}", "good", permitted, "valid_ms", 2000));
 }
 
+/* Drops the pending request of a closed connection. */
 static void
-on_gone (void *arg, uint64_t no)
+on_disconnect (void *arg, uint64_t request_id)
 {
-  struct wait *w, *next;
+  struct pending_request *p, *next;
 
-  TAILQ_FOREACH_SAFE (w, &waits, link, next)
-    if (w->server == arg && w->no == no)
+  TAILQ_FOREACH_SAFE (p, &pending_requests, link, next)
+    if (p->server == arg && p->request_id == request_id)
       {
-        TAILQ_REMOVE (&waits, w, link);
-        codec_free (&store_op_desc, &w->op);
-        free (w);
+        TAILQ_REMOVE (&pending_requests, p, link);
+        codec_free (&store_op_desc, &p->op);
+        free (p);
       }
 }
 
+/* Prints a line if violations were detected since the last such line. */
 static void
-tell_violations (void)
+report_violations (void)
 {
-  static int told;
+  static int reported;
 
-  if (sim->violations == told)
+  if (sim->n_violations == reported)
     return;
-  printf ("violation %d, first %s\n", sim->violations, sim->first);
+  printf ("violation %d, first %s\n", sim->n_violations, sim->first_violation);
   fflush (stdout);
-  told = sim->violations;
+  reported = sim->n_violations;
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
-  struct wait *w, *next;
+  struct pending_request *p, *next;
 
   (void)t;
   sim->now_ms = now ();
   fexec_tick (sim);
-  tell_violations ();
-  TAILQ_FOREACH_SAFE (w, &waits, link, next)
+  report_violations ();
+  TAILQ_FOREACH_SAFE (p, &pending_requests, link, next)
     {
-      bool over = now () >= w->until_ms;
-      bool done = w->server->exec
-                      ? try_order (w->server, w->no, &w->order, false, over)
-                      : try_op (w->no, &w->op, w->until_ms);
+      bool deadline_passed = now () >= p->deadline_ms;
+      bool done = p->server->exec
+                      ? try_order (p->server, p->request_id, &p->order, false,
+                                   deadline_passed)
+                      : try_table_op (p->request_id, &p->op, p->deadline_ms);
       if (!done)
         continue;
-      TAILQ_REMOVE (&waits, w, link);
-      codec_free (&store_op_desc, &w->op);
-      free (w);
+      TAILQ_REMOVE (&pending_requests, p, link);
+      codec_free (&store_op_desc, &p->op);
+      free (p);
     }
 }
 
+/* Listens on @port of the loopback interface.  The program exits on an error.
+ */
 static void
-serve (struct server *s, int port,
-       void (*on_request) (void *arg, const struct httpd_req *rq))
+start_server (struct server *s, int port,
+              void (*on_request) (void *arg, const struct httpd_req *rq))
 {
   struct httpd_conf conf = { .addr = s->addr,
                              .max_body_bytes = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
-                             .on_disconnect = on_gone };
+                             .on_disconnect = on_disconnect };
   int err;
 
   snprintf (s->addr, sizeof s->addr, "127.0.0.1:%d", port);
@@ -504,26 +557,29 @@
   exit (1);
 }
 
+/* Writes the discovery entry of an executor to the table. */
 static void
-list_exec (const struct server *s)
+write_discovery_entry (const struct server *s)
 {
   char key[CLB_ID_MAX + 16];
   json_auto_t *entry = json_pack (
       "{s:s, s:s, s:s, s:s, s:{s:I, s:I, s:i}, s:[s,s]}", "service", "svc",
       "address", s->addr, "zone", "a", "state", "ready", "capacity", "cpu",
-      (json_int_t)s->exec->room.millicores, "mem_mb",
-      (json_int_t)s->exec->room.mem_mb, "gpu", 0, "labels", "kind", "r1");
+      (json_int_t)s->exec->capacity.millicores, "mem_mb",
+      (json_int_t)s->exec->capacity.mem_mb, "gpu", 0, "labels", "kind", "r1");
   char addr[CLB_ADDR_MAX];
   clb_auto char *text = NULL;
 
   snprintf (addr, sizeof addr, "127.0.0.1:%d",
-            atoi (strchr (s->addr, ':') + 1) + advertise);
+            atoi (strchr (s->addr, ':') + 1) + advertised_offset);
   json_object_set_new (entry, "address", json_string (addr));
   text = json_dumps (entry, JSON_COMPACT);
   snprintf (key, sizeof key, "servers/%s", s->exec->id);
   ftable_put (sim, key, text);
 }
 
+/* Return: the contents of the file, to be freed.  The program exits if the
+   file is empty or cannot be read. */
 static char *
 read_file (const char *path)
 {
@@ -539,8 +595,9 @@
   return text;
 }
 
+/* Writes the ids of all jobs with a started task to a file, one per line. */
 static void
-write_started (const char *path)
+write_started_jobs (const char *path)
 {
   FILE *f = fopen (path, "w");
   struct fjob *j;
@@ -553,57 +610,57 @@
 }
 
 static void
-spoil_table (const char *what, double x)
-{
-  if (strcmp (what, "down") == 0)
-    sim->table.down_until_ms = now () + (int64_t)x;
-  else if (strcmp (what, "lost") == 0)
-    sim->table.lost = x;
-  else if (strcmp (what, "compact") == 0)
-    sim->table.oldest = sim->table.ver;
+inject_table_fault (const char *fault, double value)
+{
+  if (strcmp (fault, "down") == 0)
+    sim->table.down_until_ms = now () + (int64_t)value;
+  else if (strcmp (fault, "lost") == 0)
+    sim->table.lost_reply_share = value;
+  else if (strcmp (fault, "compact") == 0)
+    sim->table.compacted_ver = sim->table.ver;
 }
 
 static void
-spoil_exec (int k, const char *what, double x)
+inject_exec_fault (int exec_index, const char *fault, double value)
 {
   struct fexec *e;
 
-  if (k < 0 || k >= n_execs)
+  if (exec_index < 0 || exec_index >= n_execs)
     return;
-  e = execs[k].exec;
+  e = exec_servers[exec_index].exec;
   sim->now_ms = now ();
-  if (strcmp (what, "crash") == 0)
+  if (strcmp (fault, "crash") == 0)
     fexec_crash (sim, e);
-  else if (strcmp (what, "reborn") == 0)
+  else if (strcmp (fault, "reborn") == 0)
     {
-      fexec_reborn (sim, e);
-      list_exec (&execs[k]);
+      fexec_reboot (sim, e);
+      write_discovery_entry (&exec_servers[exec_index]);
     }
-  else if (strcmp (what, "cut") == 0)
-    e->cut_until_ms = now () + (int64_t)x;
-  else if (strcmp (what, "fails") == 0)
-    e->fails = x > 0;
+  else if (strcmp (fault, "cut") == 0)
+    e->partitioned_until_ms = now () + (int64_t)value;
+  else if (strcmp (fault, "fails") == 0)
+    e->fails_runs = value > 0;
 }
 
 static void
-command (const char *line)
+run_command (const char *line)
 {
-  char what[16] = "";
+  char fault[16] = "";
   char path[256] = "";
-  double x = 0;
-  int k = -1;
+  double value = 0;
+  int exec_index = -1;
 
-  if (sscanf (line, "table %15s %lf", what, &x) >= 1)
-    spoil_table (what, x);
-  else if (sscanf (line, "exec %d %15s %lf", &k, what, &x) >= 2)
-    spoil_exec (k, what, x);
+  if (sscanf (line, "table %15s %lf", fault, &value) >= 1)
+    inject_table_fault (fault, value);
+  else if (sscanf (line, "exec %d %15s %lf", &exec_index, fault, &value) >= 2)
+    inject_exec_fault (exec_index, fault, value);
   else if (sscanf (line, "config %255s", path) == 1)
     {
       clb_auto char *text = read_file (path);
       ftable_put (sim, "op/config", text);
     }
   else if (sscanf (line, "started %255s", path) == 1)
-    write_started (path);
+    write_started_jobs (path);
 }
 
 static void
@@ -628,7 +685,7 @@
     if (buf->base[i] == '\n')
       {
         line[len] = '\0';
-        command (line);
+        run_command (line);
         len = 0;
       }
     else if (len + 1 < sizeof line)
@@ -638,7 +695,7 @@
 int
 main (int argc, char **argv)
 {
-  struct job_need room = { .millicores = 16000, .mem_mb = 32768 };
+  struct job_need capacity = { .millicores = 16000, .mem_mb = 32768 };
   static uv_timer_t timer;
   static uv_pipe_t in;
   int port, n;
@@ -649,24 +706,26 @@
                        "[ADVERTISED-OFFSET]\n");
       return 64;
     }
-  signal (SIGPIPE, SIG_IGN); /* connections may be reset at any time */
+  /* Writing to a connection that the peer has closed must not end the process.
+   */
+  signal (SIGPIPE, SIG_IGN);
   port = atoi (argv[1]);
   n = n_execs = atoi (argv[2]);
-  advertise = argc == 5 ? atoi (argv[4]) : 0;
-  began_ms = now ();
-  sim = fsim_new (1, 0, n, &room);
-  serve (&table, port, on_table);
-  execs = calloc ((size_t)n, sizeof *execs);
+  advertised_offset = argc == 5 ? atoi (argv[4]) : 0;
+  start_ms = now ();
+  sim = fsim_new (1, 0, n, &capacity);
+  start_server (&table_server, port, on_table_request);
+  exec_servers = calloc ((size_t)n, sizeof *exec_servers);
   for (int i = 0; i < n; i++)
     {
-      execs[i].exec = sim->exec[i];
-      serve (&execs[i], port + 1 + i, on_exec);
-      list_exec (&execs[i]);
+      exec_servers[i].exec = sim->exec[i];
+      start_server (&exec_servers[i], port + 1 + i, on_exec_request);
+      write_discovery_entry (&exec_servers[i]);
     }
-  serve (&advice, port + 1 + n, on_advice);
+  start_server (&advice_server, port + 1 + n, on_advice_query);
   ftable_put (sim, "op/config", read_file (argv[3]));
   uv_timer_init (uv_default_loop (), &timer);
-  uv_timer_start (&timer, on_timer, RETRY_MS, RETRY_MS);
+  uv_timer_start (&timer, on_timer, PENDING_RETRY_MS, PENDING_RETRY_MS);
   uv_pipe_init (uv_default_loop (), &in, 0);
   if (uv_guess_handle (0) == UV_NAMED_PIPE && uv_pipe_open (&in, 0) == 0)
     uv_read_start ((uv_stream_t *)&in, on_alloc, on_commands);
--- a/regress/standin/fleetload.c
+++ b/regress/standin/fleetload.c
@@ -1,13 +1,23 @@
 /*
- * fleet-load - hands jobs in at a rate, asks for their states, and tells how
- * long they took.  The last line is "N passed, N failed": a job passes when
- * it was accepted and is shown as completed.
+ * fleet-load - submits jobs at a given rate, polls their states and prints how
+ * long it took until they were reported as completed.
  *
- * With -r a job that is not accepted is handed in again under its id, at the
- * next instance, as a caller does.  One that every instance refused passes
- * too, and "refused ID" is printed: it must never run.  One whose acceptance
- * is not known, or that is accepted, must be completed; "lost ID" tells of one
- * that is not.
+ * usage: fleet-load [-r] JOBS RATE FIRST-ID IP:PORT...
+ *
+ * The last line of output is "N passed, N failed".  A job passes if it was
+ * accepted and is reported as completed.
+ *
+ * With -r the program retries submissions, as a caller would.  If a submission
+ * is not accepted, the program submits the job again, under the same id, to
+ * the next instance, until TRIES_MAX submissions were sent.  The results are:
+ * - A job passes if every submission was refused.  The program prints a line
+ *   "refused ID".  The job must never run.
+ * - A job that was accepted must be completed.
+ * - A job must also be completed if the outcome of a submission is unknown.
+ *   Such a job passes as well if all tries are used up and the job does not
+ *   exist (HTTP status 410).
+ * - The program prints a line "lost ID" for a job that is not completed in
+ *   time.
  */
 #include "httpc.h"
 
@@ -19,37 +29,49 @@
 
 enum
 {
-  ASK_MS = 250,
-  AGAIN_MS = 400, /* to the next try */
+  /* Interval between two queries for the state of the same job. */
+  STATE_POLL_MS = 250,
+  /* With -r: time from the failure of a submission to the next submission of
+     the job. */
+  RESUBMIT_MS = 400,
+  /* With -r: largest number of submissions of one job. */
   TRIES_MAX = 8,
+  /* A job fails if it is not completed within this time of its first
+     submission. */
   GIVE_UP_MS = 30000,
   JOBS_MAX = 100000,
 };
 
+/* struct load_job - a job, its submissions and its result */
 struct load_job
 {
-  int64_t sent_ms;
-  int64_t done_ms;
-  bool accepted;
-  bool maybe; /* a try may have been accepted */
+  int64_t first_sent_ms; /* time of the first submission */
+  int64_t finished_ms;   /* time when the job passed or failed; 0: not yet */
+  /* True if the next request queries the job's state instead of submitting the
+     job: a submission was accepted, or all tries are used up and one of them
+     may have been accepted. */
+  bool polls_state;
+  /* True if a submission ended without a clear answer, so that it may have
+     been accepted. */
+  bool outcome_unknown;
   bool failed;
-  int tries;
-  bool asking;
-  int64_t next_ask_ms;
+  int n_tries;             /* number of submissions of the job so far */
+  bool request_pending;    /* a request is waiting for its answer */
+  int64_t next_request_ms; /* time of the next request */
 };
 
 static struct httpc *http;
 static uv_loop_t *loop;
 static struct load_job jobs[JOBS_MAX];
-static int n_jobs;
-static int n_open;
-static int wanted;
-static double rate;
-static int64_t began_ms;
+static int n_jobs;           /* number of jobs submitted so far */
+static int n_unfinished;     /* number of submitted jobs without a result */
+static int n_jobs_to_submit; /* number of jobs to submit in all */
+static double jobs_per_s;    /* rate of first submissions */
+static int64_t started_ms;   /* start of the program, by CLOCK_MONOTONIC */
 static char **addrs;
 static int n_addrs;
-static int first_id;
-static bool repeats;
+static int first_id;  /* job i has the id first_id + i */
+static bool resubmit; /* option -r: submit jobs again that are not accepted */
 
 static int64_t
 now (void)
@@ -61,57 +83,66 @@
 }
 
 static void
-finish (struct load_job *j, bool good)
+finish_job (struct load_job *j, bool passed)
 {
-  j->failed = !good;
-  j->done_ms = now ();
-  n_open--;
+  j->failed = !passed;
+  j->finished_ms = now ();
+  n_unfinished--;
 }
 
+/* Handles the answer to a query for the state of a job.
+   @result: enum httpc_result */
 static void
-on_state (void *arg, int end, int status, const char *body, size_t len)
+on_state_answer (void *arg, int result, int status, const char *body,
+                 size_t len)
 {
   struct load_job *j = arg;
 
   (void)len;
-  j->asking = false;
-  j->next_ask_ms = now () + ASK_MS;
-  if (end == HTTPC_OK && status == 410 && j->tries >= TRIES_MAX)
-    finish (j, true);
-  if (end != HTTPC_OK || status != 200 || !body)
+  j->request_pending = false;
+  j->next_request_ms = now () + STATE_POLL_MS;
+  if (result == HTTPC_OK && status == 410 && j->n_tries >= TRIES_MAX)
+    finish_job (j, true);
+  if (result != HTTPC_OK || status != 200 || !body)
     return;
   if (strstr (body, "completed"))
-    finish (j, true);
+    finish_job (j, true);
   else if (strstr (body, "failed"))
-    finish (j, false);
+    finish_job (j, false);
 }
 
+/* Handles the answer to a submission.
+   @result: enum httpc_result */
 static void
-on_accept (void *arg, int end, int status, const char *body, size_t len)
+on_submit_answer (void *arg, int result, int status, const char *body,
+                  size_t len)
 {
   struct load_job *j = arg;
 
   (void)body;
   (void)len;
-  j->asking = false;
-  j->accepted = end == HTTPC_OK && status == 200;
-  j->next_ask_ms = now () + (j->accepted ? ASK_MS : AGAIN_MS);
-  if (end != HTTPC_OK || status != 503)
-    j->maybe = true;
-  if (j->accepted || (repeats && j->tries < TRIES_MAX))
+  j->request_pending = false;
+  j->polls_state = result == HTTPC_OK && status == 200;
+  j->next_request_ms = now () + (j->polls_state ? STATE_POLL_MS : RESUBMIT_MS);
+  if (result != HTTPC_OK || status != 503)
+    j->outcome_unknown = true;
+  if (j->polls_state || (resubmit && j->n_tries < TRIES_MAX))
     return;
-  if (repeats && !j->maybe)
+  if (resubmit && !j->outcome_unknown)
     printf ("refused %016x\n", first_id + (int)(j - jobs));
-  /* What may have been accepted is asked for, and may also not be there. */
-  if (!repeats || !j->maybe)
-    finish (j, repeats);
+  /* If a submission may have been accepted, query the job's state.  The job
+     may not exist; on_state_answer() lets such a job pass. */
+  if (!resubmit || !j->outcome_unknown)
+    finish_job (j, resubmit);
   else
-    j->accepted = true;
+    j->polls_state = true;
 }
 
+/* Sends a request for job @i to an instance; each submission of the job goes
+   to the next instance. */
 static void
-send_to (int i, const char *method, const char *body,
-         void (*on_end) (void *, int, int, const char *, size_t))
+send_request (int i, const char *method, const char *body,
+              void (*on_end) (void *, int, int, const char *, size_t))
 {
   char url[160];
   struct httpc_req rq = { .method = method,
@@ -126,55 +157,58 @@
                           .on_end = on_end };
 
   snprintf (url, sizeof url, "http://%s/q/%016x",
-            addrs[(i + jobs[i].tries) % n_addrs], first_id + i);
-  jobs[i].asking = true;
+            addrs[(i + jobs[i].n_tries) % n_addrs], first_id + i);
+  jobs[i].request_pending = true;
   httpc_send (http, &rq);
 }
 
 static void
-hand_in (int i)
+submit_job (int i)
 {
-  send_to (i, "POST",
-           "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
-           "\"mem_mb\":100,\"estimate_ms\":300}]}",
-           on_accept);
-  jobs[i].tries++;
+  send_request (i, "POST",
+                "{\"spec\":\"s\",\"steps\":[{\"task_count\":3,\"cpu\":500,"
+                "\"mem_mb\":100,\"estimate_ms\":300}]}",
+                on_submit_answer);
+  jobs[i].n_tries++;
 }
 
+/* Sends the next request for job @i.  If GIVE_UP_MS have passed since the
+   first submission, the job fails and no request is sent. */
 static void
-go_on (int i)
+send_next_request (int i)
 {
   struct load_job *j = &jobs[i];
 
-  if (now () - j->sent_ms > GIVE_UP_MS)
+  if (now () - j->first_sent_ms > GIVE_UP_MS)
     {
-      if (repeats)
-        printf ("lost %016x accepted %d\n", first_id + i, j->accepted);
-      finish (j, false);
+      if (resubmit)
+        printf ("lost %016x accepted %d\n", first_id + i, j->polls_state);
+      finish_job (j, false);
     }
-  else if (!j->accepted)
-    hand_in (i);
+  else if (!j->polls_state)
+    submit_job (i);
   else
-    send_to (i, "GET", NULL, on_state);
+    send_request (i, "GET", NULL, on_state_answer);
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
-  int64_t at = now ();
+  int64_t now_ms = now ();
 
-  while (n_jobs < wanted
-         && n_jobs < (int)((double)(at - began_ms) * rate / 1000))
+  while (n_jobs < n_jobs_to_submit
+         && n_jobs < (int)((double)(now_ms - started_ms) * jobs_per_s / 1000))
     {
-      jobs[n_jobs].sent_ms = at;
-      n_open++;
-      hand_in (n_jobs);
+      jobs[n_jobs].first_sent_ms = now_ms;
+      n_unfinished++;
+      submit_job (n_jobs);
       n_jobs++;
     }
   for (int i = 0; i < n_jobs; i++)
-    if (!jobs[i].done_ms && !jobs[i].asking && at >= jobs[i].next_ask_ms)
-      go_on (i);
-  if (n_jobs == wanted && n_open == 0)
+    if (!jobs[i].finished_ms && !jobs[i].request_pending
+        && now_ms >= jobs[i].next_request_ms)
+      send_next_request (i);
+  if (n_jobs == n_jobs_to_submit && n_unfinished == 0)
     {
       uv_timer_stop (t);
       uv_stop (loop);
@@ -182,7 +216,7 @@
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_ms (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -194,38 +228,38 @@
 main (int argc, char **argv)
 {
   static uv_timer_t timer;
-  static int64_t took[JOBS_MAX];
+  static int64_t durations_ms[JOBS_MAX];
   int passed = 0;
 
-  repeats = argc > 1 && strcmp (argv[1], "-r") == 0;
-  argc -= repeats;
-  argv += repeats;
+  resubmit = argc > 1 && strcmp (argv[1], "-r") == 0;
+  argc -= resubmit;
+  argv += resubmit;
   if (argc < 5)
     {
       fprintf (stderr,
                "usage: fleet-load [-r] JOBS RATE FIRST-ID IP:PORT...\n");
       return 64;
     }
-  wanted = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
-  rate = atof (argv[2]);
+  n_jobs_to_submit = atoi (argv[1]) < JOBS_MAX ? atoi (argv[1]) : JOBS_MAX;
+  jobs_per_s = atof (argv[2]);
   first_id = atoi (argv[3]);
   addrs = argv + 4;
   n_addrs = argc - 4;
   curl_global_init (CURL_GLOBAL_DEFAULT);
   loop = uv_default_loop ();
   http = httpc_new (loop);
-  began_ms = now ();
+  started_ms = now ();
   uv_timer_init (loop, &timer);
   uv_timer_start (&timer, on_timer, 0, 5);
   uv_run (loop, UV_RUN_DEFAULT);
   for (int i = 0; i < n_jobs; i++)
     if (!jobs[i].failed)
-      took[passed++] = jobs[i].done_ms - jobs[i].sent_ms;
-  qsort (took, (size_t)passed, sizeof *took, by_time);
+      durations_ms[passed++] = jobs[i].finished_ms - jobs[i].first_sent_ms;
+  qsort (durations_ms, (size_t)passed, sizeof *durations_ms, compare_ms);
   if (passed)
     printf ("shown as completed after p50 %lld ms, p99 %lld ms\n",
-            (long long)took[passed / 2],
-            (long long)took[(passed - 1) * 99 / 100]);
+            (long long)durations_ms[passed / 2],
+            (long long)durations_ms[(passed - 1) * 99 / 100]);
   printf ("%d passed, %d failed\n", passed, n_jobs - passed);
   return passed == n_jobs ? 0 : 1;
 }
--- a/regress/unit/codec_test.c
+++ b/regress/unit/codec_test.c
@@ -1,3 +1,4 @@
+/* Tests that encode and decode messages, rows and documents. */
 #include "msg.h"
 #include "unit.h"
 
@@ -6,20 +7,23 @@
 
 enum
 {
-  MUTATIONS = 20000, /* damaged copies of each message */
+  /* Number of damaged copies of each message or text that are decoded. */
+  N_DAMAGED_COPIES = 20000,
 };
 
-static uint32_t rng = 1;
+static uint32_t rng_state = 1;
 
+/* Return: a pseudorandom number from 0 up to, but not including, @below. */
 static uint32_t
 next_random (uint32_t below)
 {
-  rng = rng * 1664525u + 1013904223u;
-  return (rng >> 8) % below;
+  rng_state = rng_state * 1664525u + 1013904223u;
+  return (rng_state >> 8) % below;
 }
 
+/* Return: a sample message: an acquire call from instance a1 for team red. */
 static struct pmsg
-sample_call (void)
+sample_message (void)
 {
   struct pmsg m = { .kind = PM_CALL, .boot = 7 };
 
@@ -37,99 +41,109 @@
 static void
 test_round_trip (void)
 {
-  struct pmsg m = sample_call ();
-  struct pmsg back;
+  struct pmsg m = sample_message ();
+  struct pmsg decoded;
   struct codec_err ce;
   char *buf;
   size_t len;
 
   CU_ASSERT_EQUAL (pmsg_pack (&m, &buf, &len), 0);
-  CU_ASSERT_EQUAL (pmsg_unpack (buf, len, &back, &ce), 0);
-  CU_ASSERT_EQUAL (back.kind, PM_CALL);
-  CU_ASSERT_EQUAL (back.boot, 7);
-  CU_ASSERT_STRING_EQUAL (back.from, "a1");
-  CU_ASSERT_EQUAL (back.u.call.seq, 99);
-  CU_ASSERT_EQUAL (back.u.call.verb, CALL_ACQUIRE);
-  CU_ASSERT_STRING_EQUAL (back.u.call.id, "a.a1-7-99");
-  CU_ASSERT_STRING_EQUAL (back.u.call.team, "red");
-  CU_ASSERT_EQUAL (back.u.call.spec.need.cores, 4);
-  CU_ASSERT_EQUAL (back.u.call.spec.members, 2);
-  CU_ASSERT (back.u.call.idempotent);
+  CU_ASSERT_EQUAL (pmsg_unpack (buf, len, &decoded, &ce), 0);
+  CU_ASSERT_EQUAL (decoded.kind, PM_CALL);
+  CU_ASSERT_EQUAL (decoded.boot, 7);
+  CU_ASSERT_STRING_EQUAL (decoded.from, "a1");
+  CU_ASSERT_EQUAL (decoded.u.call.seq, 99);
+  CU_ASSERT_EQUAL (decoded.u.call.verb, CALL_ACQUIRE);
+  CU_ASSERT_STRING_EQUAL (decoded.u.call.id, "a.a1-7-99");
+  CU_ASSERT_STRING_EQUAL (decoded.u.call.team, "red");
+  CU_ASSERT_EQUAL (decoded.u.call.spec.need.cores, 4);
+  CU_ASSERT_EQUAL (decoded.u.call.spec.members, 2);
+  CU_ASSERT (decoded.u.call.idempotent);
   free (buf);
 }
 
-/* No damage may crash, leak or be taken for something out of range. */
+/* Decoding a damaged message must not crash, leak memory or return a message
+   whose kind is out of range. */
 static void
 test_damaged_peer_message (void)
 {
-  struct pmsg m = sample_call ();
-  struct pmsg back;
+  struct pmsg m = sample_message ();
+  struct pmsg decoded;
   struct codec_err ce;
   char *buf;
   size_t len;
 
   pmsg_pack (&m, &buf, &len);
-  for (int i = 0; i < MUTATIONS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
-      char *bad = malloc (len);
-      memcpy (bad, buf, len);
+      char *damaged = malloc (len);
+      memcpy (damaged, buf, len);
       for (uint32_t n = next_random (4) + 1; n > 0; n--)
-        bad[next_random ((uint32_t)len)] = (char)next_random (256);
+        damaged[next_random ((uint32_t)len)] = (char)next_random (256);
       size_t cut = next_random (8) == 0 ? next_random ((uint32_t)len) : len;
-      if (pmsg_unpack (bad, cut, &back, &ce) == 0)
+      if (pmsg_unpack (damaged, cut, &decoded, &ce) == 0)
         {
-          CU_ASSERT (back.kind >= 0 && back.kind < PM_N);
-          pmsg_free (&back);
+          CU_ASSERT (decoded.kind >= 0 && decoded.kind < PM_N);
+          pmsg_free (&decoded);
         }
-      free (bad);
+      free (damaged);
     }
   free (buf);
 }
 
+/* Checks that decoding damaged copies of @text does not crash or leak memory,
+   and that a decoding error names the field. */
 static void
-mutate_text (const struct desc *d, const char *text)
+check_damaged_text (const struct desc *d, const char *text)
 {
   size_t len = strlen (text);
   struct codec_err ce;
-  void *s = calloc (1, d->size);
+  void *decoded = calloc (1, d->size);
 
-  for (int i = 0; i < MUTATIONS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
-      char *bad = malloc (len);
-      memcpy (bad, text, len);
+      char *damaged = malloc (len);
+      memcpy (damaged, text, len);
       for (uint32_t n = next_random (3) + 1; n > 0; n--)
-        bad[next_random ((uint32_t)len)] = (char)(next_random (94) + 32);
-      if (codec_parse (d, bad, len, i % 2 ? CODEC_STRICT : CODEC_LENIENT, s,
-                       &ce)
+        damaged[next_random ((uint32_t)len)] = (char)(next_random (94) + 32);
+      if (codec_parse (d, damaged, len, i % 2 ? CODEC_STRICT : CODEC_LENIENT,
+                       decoded, &ce)
           == 0)
-        codec_free (d, s);
+        codec_free (d, decoded);
       else
         CU_ASSERT (ce.err < 0 && *ce.path);
-      free (bad);
+      free (damaged);
     }
-  free (s);
+  free (decoded);
 }
 
 static void
 test_damaged_text (void)
 {
-  mutate_text (&spec_desc,
-               "{\"request_id\":\"r1\",\"queue\":\"q\",\"need\":{\"cores\":1,"
-               "\"mem_mb\":2},\"members\":3,\"spread\":true}");
-  mutate_text (&journal_row_desc,
-               "{\"nonce\":\"n\",\"recs\":[{\"kind\":\"intent\",\"id\":\"a.1."
-               "1\",\"places\":[{\"worker\":\"w\",\"boot\":3}]}]}");
-  mutate_text (&store_rep_desc,
-               "{\"rows\":[{\"key\":\"k\",\"ver\":4,\"value\":\"v\"}]}");
-  mutate_text (&sync_rep_desc,
-               "{\"boot\":1,\"runs\":[{\"id\":\"a/0/0\",\"state\":\"ok\"}]}");
-  mutate_text (&inst_list_desc,
-               "{\"items\":[{\"id\":\"w\",\"kind\":\"worker\",\"domain\":"
-               "\"a\",\"addr\":\"x:1\",\"room\":{\"cores\":4}}]}");
+  check_damaged_text (
+      &spec_desc,
+      "{\"request_id\":\"r1\",\"queue\":\"q\",\"need\":{\"cores\":1,"
+      "\"mem_mb\":2},\"members\":3,\"spread\":true}");
+  check_damaged_text (
+      &journal_row_desc,
+      "{\"nonce\":\"n\",\"recs\":[{\"kind\":\"intent\",\"id\":\"a.1."
+      "1\",\"places\":[{\"worker\":\"w\",\"boot\":3}]}]}");
+  check_damaged_text (
+      &store_rep_desc,
+      "{\"rows\":[{\"key\":\"k\",\"ver\":4,\"value\":\"v\"}]}");
+  check_damaged_text (
+      &sync_rep_desc,
+      "{\"boot\":1,\"runs\":[{\"id\":\"a/0/0\",\"state\":\"ok\"}]}");
+  check_damaged_text (
+      &inst_list_desc,
+      "{\"items\":[{\"id\":\"w\",\"kind\":\"worker\",\"domain\":"
+      "\"a\",\"addr\":\"x:1\",\"room\":{\"cores\":4}}]}");
 }
 
+/* The decoder must ignore an unknown field in lenient mode and refuse it in
+   strict mode. */
 static void
-test_strict_and_lenient (void)
+test_unknown_field (void)
 {
   const char text[] = "{\"version\":1,\"hash\":\"h\",\"change_id\":\"c\","
                       "\"later\":true}";
@@ -145,7 +159,8 @@
   CU_ASSERT_STRING_EQUAL (ce.path, "later");
 }
 
-UNIT_MAIN ("codec", { "round trip", test_round_trip },
-           { "damaged peer messages", test_damaged_peer_message },
-           { "damaged text", test_damaged_text },
-           { "unknown fields", test_strict_and_lenient })
+UNIT_MAIN (
+    "codec", { "a decoded message equals the encoded one", test_round_trip },
+    { "damaged peer messages are decoded safely", test_damaged_peer_message },
+    { "damaged text is decoded safely", test_damaged_text },
+    { "unknown fields are refused in strict mode only", test_unknown_field })
--- a/regress/unit/fleet_test.c
+++ b/regress/unit/fleet_test.c
@@ -1,10 +1,12 @@
+/* Tests of a single instance of the fleet's scheduler. */
 #include "fleet.h"
 #include "unit.h"
 
 #include <string.h>
 
+/* Refuses every text; a configuration decoder for struct fleet_codec. */
 static int
-no_conf (const char *text, struct fconf **out, struct codec_err *ce)
+refuse_conf (const char *text, struct fconf **out, struct codec_err *ce)
 {
   (void)text;
   (void)out;
@@ -12,55 +14,64 @@
   return CLB_EFIELD;
 }
 
+/* Initializes @f as a new process with boot number @boot and calls its first
+   tick, at 1000 ms. */
 static void
-start (struct fleet *f, int64_t boot)
+start_instance (struct fleet *f, int64_t boot)
 {
-  struct fleet_settings set = {
-    .boot = boot,
-    .codec = { .decode_conf = no_conf, .conf_table = "op", .exec_table = "ex" }
-  };
-
-  clb_copy (set.id, "n1", sizeof set.id);
-  clb_copy (set.mesh_addr, "a", sizeof set.mesh_addr);
-  fleet_init (f, &set, 1000);
+  struct fleet_settings settings = { .boot = boot,
+                                     .codec = { .decode_conf = refuse_conf,
+                                                .conf_table = "op",
+                                                .exec_table = "ex" } };
+
+  clb_copy (settings.id, "n1", sizeof settings.id);
+  clb_copy (settings.mesh_addr, "a", sizeof settings.mesh_addr);
+  fleet_init (f, &settings, 1000);
   fleet_tick (f, 1000, 1000);
 }
 
-/* The number of its next call to the table. */
+/* Takes the next output of an instance.
+
+   Return: the token of the output if it is a call to the table, otherwise 0.
+ */
 static uint64_t
-call_no (struct fleet *f)
+next_store_token (struct fleet *f)
 {
   struct out *o = fleet_next_out (f);
-  uint64_t no = o && o->kind == OUT_STORE ? o->u.store.token : 0;
+  uint64_t token = o && o->kind == OUT_STORE ? o->u.store.token : 0;
 
   if (o)
     out_free (o);
-  return no;
+  return token;
 }
 
-/* A reply that was sent to a process may reach the next one on the same
-   address, through another instance. */
+/* Another instance may pass a table reply for a process to the next process on
+   the same address.  The tokens of the two processes must differ, or the next
+   process takes the reply for an answer to one of its own calls. */
 static void
-test_lives_share_no_numbers (void)
+test_store_tokens_of_restarted_process (void)
 {
   struct fleet first, second;
-  uint64_t a, b;
-
-  start (&first, 1796352007000);
-  start (&second, 1796352007741);
-  a = call_no (&first);
-  b = call_no (&second);
-  CU_ASSERT_NOT_EQUAL (a, 0);
-  CU_ASSERT_NOT_EQUAL (b, 0);
-  CU_ASSERT (b - a > 1000000);
-  CU_ASSERT (b < INT64_MAX);
+  uint64_t first_token, second_token;
+
+  start_instance (&first, 1796352007000);
+  start_instance (&second, 1796352007741);
+  first_token = next_store_token (&first);
+  second_token = next_store_token (&second);
+  CU_ASSERT_NOT_EQUAL (first_token, 0);
+  CU_ASSERT_NOT_EQUAL (second_token, 0);
+  CU_ASSERT (second_token - first_token > 1000000);
+  CU_ASSERT (second_token < INT64_MAX);
   fleet_fini (&first);
   fleet_fini (&second);
 }
 
-/* The rank that a leader tells whoever greets it now. */
+/* Passes a hello of instance @from to the leader @f.
+
+   Return: the rank in the leader's reply; 0 if the reply contains no rank, -1
+   if the leader does not reply. */
 static int64_t
-rank_told (struct fleet *f, int64_t now_ms, const char *from)
+rank_in_hello_reply (struct fleet *f, int64_t now_ms, const char *from)
 {
   struct mesh_msg hello = { .kind = MESH_HELLO, .millicores = 120 };
   struct out *o;
@@ -78,23 +89,26 @@
   return rank;
 }
 
-/* The first to greet a new leader is not the strongest for that. */
+/* A recently elected leader has not received the hellos of all instances yet.
+   It must not rank the first sender of a hello as the strongest instance. */
 static void
-test_young_leader_ranks_nobody (void)
+test_recently_elected_leader_sends_no_rank (void)
 {
   struct fleet f;
 
-  start (&f, 1796352007000);
+  start_instance (&f, 1796352007000);
   f.leader.state = LEADER_LEADING;
   f.leader.renewed_ms = 1000;
   f.fsched = fsched_new (&f.out, &f.last_token, 1000, 1, 0, &f.stats.fsched);
-  CU_ASSERT_EQUAL (rank_told (&f, 1100, "n2"), 0);
-  CU_ASSERT_EQUAL (rank_told (&f, 2600, "n2"), 1);
+  CU_ASSERT_EQUAL (rank_in_hello_reply (&f, 1100, "n2"), 0);
+  CU_ASSERT_EQUAL (rank_in_hello_reply (&f, 2600, "n2"), 1);
   fleet_fini (&f);
 }
 
+/* A new leader may send a message without a rank (-1).  Such a message must
+   not replace the rank that an earlier leader sent. */
 static void
-test_earlier_rank_stands (void)
+test_missing_rank_keeps_last_rank (void)
 {
   struct leader l;
   struct outq out = TAILQ_HEAD_INITIALIZER (out);
@@ -108,6 +122,9 @@
 }
 
 UNIT_MAIN ("fleet",
-           { "two lives share no numbers", test_lives_share_no_numbers },
-           { "a young leader ranks nobody", test_young_leader_ranks_nobody },
-           { "an earlier rank stands", test_earlier_rank_stands })
+           { "a restarted process uses other store tokens",
+             test_store_tokens_of_restarted_process },
+           { "a recently elected leader sends no rank",
+             test_recently_elected_leader_sends_no_rank },
+           { "a message without a rank keeps the last rank",
+             test_missing_rank_keeps_last_rank })
--- a/regress/unit/platform_test.c
+++ b/regress/unit/platform_test.c
@@ -1,5 +1,6 @@
-/* The adapter's decoders: what they take, what they refuse, and that nothing
-   that comes over the wire harms them. */
+/* Tests of the decoders for documents of the fleet's platform.  The decoders
+   must accept valid documents, refuse invalid ones and not crash on damaged
+   ones. */
 #include "platform.h"
 #include "unit.h"
 
@@ -8,14 +9,15 @@
 
 enum
 {
-  FUZZ_ROUNDS = 20000,
+  /* Number of damaged copies of each document that are decoded. */
+  N_DAMAGED_COPIES = 20000,
 };
 
-static const char entry[]
+static const char entry_json[]
     = "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"a\","
       "\"state\":\"ready\",\"capacity\":{\"cpu\":16000,\"mem_mb\":32768},"
       "\"labels\":[\"kind\",\"r1-3\"],\"sequence\":4,\"born\":7}";
-static const char config[]
+static const char config_json[]
     = "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"prefix\":"
       "\"/p/\",\"service\":\"s\",\"priority\":1,\"attempts\":3,"
       "\"slack_factor\":2.2,\"advice\":{\"decide_ms\":310.0,\"each_ms\":4.4,"
@@ -23,11 +25,11 @@
       "\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k1\",\"k2\"],\"weight\":"
       "38,"
       "\"cap\":{\"cpu\":424162}}]}";
-static const char job[]
+static const char job_json[]
     = "{\"spec\":\"x\",\"steps\":[{\"task_count\":4,\"cpu\":500,\"mem_mb\":"
       "256,"
       "\"estimate_ms\":900},{\"task_count\":2,\"after\":[0],\"gang\":true}]}";
-static const char hold[]
+static const char poll_json[]
     = "{\"clock_ms\":5,\"born\":9,\"running\":[[\"00000000000000ab.0.1.2\",3,"
       "\"c\",41,7]],\"finished\":[[58,\"00000000000000ab.0.1.9\",1,\"done\","
       "\"\"],[59,\"not a "
@@ -35,11 +37,11 @@
       "1,\"unheard of\",\"\"]]}";
 
 static void
-test_entry (void)
+test_discovery_entry (void)
 {
   struct exec_report rep;
 
-  CU_ASSERT_EQUAL (pf_codec.decode_exec ("i-1", entry, &rep), 0);
+  CU_ASSERT_EQUAL (pf_codec.decode_exec ("i-1", entry_json, &rep), 0);
   CU_ASSERT_STRING_EQUAL (rep.addr, "10.0.0.9:80");
   CU_ASSERT_STRING_EQUAL (rep.rack, "r1-3");
   CU_ASSERT_STRING_EQUAL (rep.labels, ",kind,r1-3,");
@@ -48,7 +50,7 @@
 }
 
 static void
-test_bad_entries (void)
+test_refused_discovery_entries (void)
 {
   static const char *const bad[] = {
     "",
@@ -76,7 +78,7 @@
   struct codec_err ce;
   const struct fconf_queue *q;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.decode_conf (config, &c, &ce), 0);
+  CU_ASSERT_EQUAL_FATAL (pf_codec.decode_conf (config_json, &c, &ce), 0);
   q = fconf_queue_for (c, "H", "/p/00000000000000ab");
   CU_ASSERT_PTR_NOT_NULL (q);
   if (!q)
@@ -102,14 +104,15 @@
   struct job_spec spec;
   struct codec_err ce;
 
-  CU_ASSERT_EQUAL_FATAL (pf_codec.decode_job (job, strlen (job), &spec, &ce),
-                         0);
+  CU_ASSERT_EQUAL_FATAL (
+      pf_codec.decode_job (job_json, strlen (job_json), &spec, &ce), 0);
   CU_ASSERT_EQUAL (spec.n_steps, 2);
   CU_ASSERT_EQUAL (spec.steps[0].need.millicores, 500);
   CU_ASSERT_EQUAL (spec.steps[1].after, 1);
   CU_ASSERT_TRUE (spec.steps[1].gang);
   CU_ASSERT_EQUAL (job_check (&spec, &ce), 0);
-  spec.steps[1].after = 2; /* itself */
+  /* Bit 1 means that step 1 waits for itself. */
+  spec.steps[1].after = 2;
   CU_ASSERT_EQUAL (job_check (&spec, &ce), CLB_EREF);
   codec_free (&job_spec_desc, &spec);
 }
@@ -141,29 +144,31 @@
 }
 
 static void
-test_lists (void)
+test_poll_lists (void)
 {
   struct order_result res;
 
-  pf_order_decode (ORDER_POLL, HTTPC_OK, 200, hold, strlen (hold), &res);
+  pf_order_decode (ORDER_POLL, HTTPC_OK, 200, poll_json, strlen (poll_json),
+                   &res);
   CU_ASSERT_EQUAL (res.outcome, ORDER_DONE);
   CU_ASSERT_EQUAL (res.clock_ms, 5);
   CU_ASSERT_EQUAL (res.boot_start_ms, 9);
   CU_ASSERT_EQUAL_FATAL (res.n_runs, 1);
   CU_ASSERT_EQUAL (res.runs[0].percent, 41);
   CU_ASSERT_EQUAL (res.runs[0].task.index, 2);
-  /* Rows that make no sense are left out, the others hold. */
+  /* The decoder must keep the ended run with number 58 and omit only those
+     with 59 and 60, which are invalid. */
   CU_ASSERT_EQUAL_FATAL (res.n_ends, 1);
   CU_ASSERT_EQUAL (res.ends[0].seq, 58);
   order_result_clear (&res);
 }
 
 static void
-test_outcomes (void)
+test_order_outcomes (void)
 {
   static const struct
   {
-    int end, status;
+    int result, status; /* enum httpc_result; HTTP status */
     const char *body;
     int outcome, reason;
   } cases[] = {
@@ -185,7 +190,7 @@
   for (size_t i = 0; i < CLB_COUNT (cases); i++)
     {
       struct order_result res;
-      pf_order_decode (ORDER_START, cases[i].end, cases[i].status,
+      pf_order_decode (ORDER_START, cases[i].result, cases[i].status,
                        cases[i].body, strlen (cases[i].body), &res);
       CU_ASSERT_EQUAL (res.outcome, cases[i].outcome);
       CU_ASSERT_EQUAL (res.reason, cases[i].reason);
@@ -209,20 +214,24 @@
   CU_ASSERT_TRUE (pf_task_parse ("5c0e7a21d94b36f8.0.1.17x", &t) < 0);
 }
 
-static uint64_t rng = 88172645463325252ULL;
+static uint64_t rng_state = 88172645463325252ULL;
 
+/* Return: a pseudorandom number of 64 bits. */
 static uint64_t
 next_random (void)
 {
-  rng ^= rng << 13;
-  rng ^= rng >> 7;
-  rng ^= rng << 17;
-  return rng;
+  rng_state ^= rng_state << 13;
+  rng_state ^= rng_state >> 7;
+  rng_state ^= rng_state << 17;
+  return rng_state;
 }
 
-/* A document with some bytes changed, cut or doubled. */
+/* Copies the document @from to @to, of @size bytes, with some bytes changed or
+   its end cut off.
+
+   Return: length of the copy. */
 static size_t
-damage (const char *from, char *to, size_t size)
+copy_damaged (const char *from, char *to, size_t size)
 {
   size_t len = strlen (from);
 
@@ -243,40 +252,45 @@
 }
 
 static void
-test_fuzz (void)
+test_damaged_documents (void)
 {
   char text[2048];
   struct codec_err ce;
 
-  for (int i = 0; i < FUZZ_ROUNDS; i++)
+  for (int i = 0; i < N_DAMAGED_COPIES; i++)
     {
       struct exec_report rep;
       struct fconf *conf;
       struct job_spec spec;
       struct order_result res;
       size_t len;
-      damage (entry, text, sizeof text);
+      copy_damaged (entry_json, text, sizeof text);
       pf_codec.decode_exec ("i-1", text, &rep);
-      damage (config, text, sizeof text);
+      copy_damaged (config_json, text, sizeof text);
       if (!pf_codec.decode_conf (text, &conf, &ce))
         fconf_free (conf);
-      len = damage (job, text, sizeof text);
+      len = copy_damaged (job_json, text, sizeof text);
       if (!pf_codec.decode_job (text, len, &spec, &ce))
         {
           job_check (&spec, &ce);
           codec_free (&job_spec_desc, &spec);
         }
-      len = damage (hold, text, sizeof text);
+      len = copy_damaged (poll_json, text, sizeof text);
       pf_order_decode (ORDER_POLL, HTTPC_OK, 200, text, len, &res);
       order_result_clear (&res);
     }
-  CU_PASS ("nothing crashed");
+  CU_PASS ("no decoder crashed");
 }
 
-UNIT_MAIN ("platform", { "executor's entry", test_entry },
-           { "entries that name no executor", test_bad_entries },
-           { "configuration", test_config }, { "job", test_job },
-           { "jobs that are refused", test_refused_jobs },
-           { "lists of an executor", test_lists },
-           { "outcomes of orders", test_outcomes },
-           { "names of tasks", test_task_names }, { "fuzz", test_fuzz })
+UNIT_MAIN ("platform",
+           { "a discovery entry is decoded", test_discovery_entry },
+           { "invalid discovery entries are refused",
+             test_refused_discovery_entries },
+           { "a configuration is decoded", test_config },
+           { "a job is decoded", test_job },
+           { "invalid jobs are refused", test_refused_jobs },
+           { "the reply to a poll is decoded without its invalid rows",
+             test_poll_lists },
+           { "the reply to an order gives its outcome", test_order_outcomes },
+           { "task names are parsed and printed", test_task_names },
+           { "damaged documents are decoded safely", test_damaged_documents })
