--- a/regress/standin/backendd.c
+++ b/regress/standin/backendd.c
@@ -1,11 +1,14 @@
 /*
- * backendd - stand-in for the workers and executors of one failure domain,
- * each on its own port of this process.  Prints their part of the platform's
- * instance list, then serves.
+ * backendd - stand-in for the workers and executors of one failure domain.
+ * Each of them listens on a port of its own in this process.  At its start
+ * backendd prints their entries of the platform's instance list.  Each start
+ * and end of a worker's run is a line on standard error.
  *
- * An executor answers POST /v1/service/QUEUE with the request's body and the
- * id of its slot; "?run_ms=N" makes it take that long, "?bytes=N" makes the
- * answer that long, "?status=N" sets its status.
+ * An executor answers POST /v1/service/QUEUE with its id, the X-Request-Id
+ * header or "-", and the request's body.  Parameters of the query:
+ *   run_ms=N  answer after N ms
+ *   bytes=N   append N bytes to the answer
+ *   status=N  answer with this HTTP status
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -19,7 +22,7 @@
   BODY_MAX = 16 << 20,
   RACK_SIZE = 8, /* workers in one rack */
   TICK_MS = 20,
-  SLOTS = 8,
+  SLOTS = 8, /* of each executor */
 };
 
 struct server
@@ -29,12 +32,12 @@
   struct inst inst;
 };
 
-/* struct job - a service request being served */
-struct job
+/* struct service_request - a service request in progress */
+struct service_request
 {
   uv_timer_t timer;
   struct server *s;
-  uint64_t no;
+  uint64_t id; /* of the HTTP server */
   int status;
   char *text;
   size_t len;
@@ -47,58 +50,60 @@
 }
 
 static void
-free_job (uv_handle_t *h)
+free_service_request (uv_handle_t *h)
 {
-  struct job *j = h->data;
+  struct service_request *sr = h->data;
 
-  free (j->text);
-  free (j);
+  free (sr->text);
+  free (sr);
 }
 
 static void
 on_served (uv_timer_t *t)
 {
-  struct job *j = t->data;
+  struct service_request *sr = t->data;
 
-  j->s->w.busy--;
-  httpd_answer (j->s->http, j->no, j->status, "text/plain", j->text, j->len,
-                0);
-  uv_close ((uv_handle_t *)t, free_job);
+  sr->s->w.busy--;
+  httpd_answer (sr->s->http, sr->id, sr->status, "text/plain", sr->text,
+                sr->len, 0);
+  uv_close ((uv_handle_t *)t, free_service_request);
 }
 
+/* Value of the query parameter @name, written "NAME=", or @fallback. */
 static int64_t
-query (const char *path, const char *name, int64_t other)
+query_param (const char *path, const char *name, int64_t fallback)
 {
   const char *at = strstr (path, name);
 
-  return at ? strtoll (at + strlen (name), NULL, 10) : other;
+  return at ? strtoll (at + strlen (name), NULL, 10) : fallback;
 }
 
 static void
 on_service (struct server *s, const struct httpd_req *rq)
 {
-  struct job *j = calloc (1, sizeof *j);
-  size_t pad = (size_t)query (rq->path, "bytes=", 0);
+  struct service_request *sr = calloc (1, sizeof *sr);
+  size_t pad = (size_t)query_param (rq->path, "bytes=", 0);
   size_t head;
 
-  if (!j)
+  if (!sr)
     abort ();
-  j->s = s;
-  j->no = rq->id;
-  j->status = (int)query (rq->path, "status=", s->w.fail_all ? 500 : 200);
-  j->text = malloc (rq->body_len + pad + 256);
-  if (!j->text)
+  sr->s = s;
+  sr->id = rq->id;
+  sr->status
+      = (int)query_param (rq->path, "status=", s->w.fail_all ? 500 : 200);
+  sr->text = malloc (rq->body_len + pad + 256);
+  if (!sr->text)
     abort ();
-  head = (size_t)snprintf (j->text, 256, "%s %s ", s->inst.id,
+  head = (size_t)snprintf (sr->text, 256, "%s %s ", s->inst.id,
                            rq->request_id ? rq->request_id : "-");
-  memcpy (j->text + head, rq->body_len ? rq->body : "", rq->body_len);
-  memset (j->text + head + rq->body_len, 'x', pad);
-  j->len = head + rq->body_len + pad;
+  memcpy (sr->text + head, rq->body_len ? rq->body : "", rq->body_len);
+  memset (sr->text + head + rq->body_len, 'x', pad);
+  sr->len = head + rq->body_len + pad;
   s->w.busy++;
-  uv_timer_init (uv_default_loop (), &j->timer);
-  j->timer.data = j;
-  uv_timer_start (&j->timer, on_served,
-                  (uint64_t)query (rq->path, "run_ms=", 1), 0);
+  uv_timer_init (uv_default_loop (), &sr->timer);
+  sr->timer.data = sr;
+  uv_timer_start (&sr->timer, on_served,
+                  (uint64_t)query_param (rq->path, "run_ms=", 1), 0);
 }
 
 static void
@@ -128,7 +133,8 @@
   codec_free (&sync_req_desc, &req);
 }
 
-/* {"fail_all": true, "leaving": true, "fence": true, "reboot": 7} */
+/* Body: {"fail_all": true, "leaving": true, "fence": true, "reboot": 7};
+   each member is optional, "reboot" begins a boot of that number. */
 static void
 on_control (struct server *s, const struct httpd_req *rq)
 {
@@ -161,12 +167,13 @@
 }
 
 static void
-on_gone (void *arg, uint64_t no)
+on_disconnect (void *arg, uint64_t request_id)
 {
   (void)arg;
-  (void)no;
+  (void)request_id;
 }
 
+/* struct domain - all workers and executors of this process */
 struct domain
 {
   struct server *servers;
@@ -183,7 +190,7 @@
 }
 
 static void
-watch (void *arg, int64_t at_ms, const struct frun *run, bool started)
+log_run (void *arg, int64_t at_ms, const struct frun *run, bool started)
 {
   struct server *s = arg;
 
@@ -192,18 +199,18 @@
 }
 
 static int
-open_server (struct server *s, const char *domain, int i, bool executor)
+start_server (struct server *s, const char *domain, int i, bool executor)
 {
   struct httpd_conf conf = { .addr = "127.0.0.1:0",
                              .body_max = BODY_MAX,
                              .arg = s,
                              .on_request = on_request,
-                             .on_disconnect = on_gone };
+                             .on_disconnect = on_disconnect };
   int err;
 
   fworker_init (&s->w, now_ms () + 1);
   s->w.arg = s;
-  s->w.watch = watch;
+  s->w.watch = log_run;
   s->http = httpd_new (uv_default_loop (), &conf, &err);
   if (!s->http)
     return err;
@@ -226,7 +233,7 @@
 }
 
 static void
-print_list (const struct domain *d)
+print_instances (const struct domain *d)
 {
   struct inst_list list = { .n_items = (size_t)d->n };
   char *text;
@@ -262,14 +269,14 @@
   if (!d.servers)
     abort ();
   for (int i = 0; i < d.n && !err; i++)
-    err = open_server (&d.servers[i], argv[1], i < workers ? i : i - workers,
-                       i >= workers);
+    err = start_server (&d.servers[i], argv[1], i < workers ? i : i - workers,
+                        i >= workers);
   if (err)
     {
       fprintf (stderr, "backendd: %s\n", uv_strerror (err));
       return 69;
     }
-  print_list (&d);
+  print_instances (&d);
   uv_timer_init (uv_default_loop (), &timer);
   timer.data = &d;
   uv_timer_start (&timer, on_tick, TICK_MS, TICK_MS);
--- a/regress/standin/fstore.c
+++ b/regress/standin/fstore.c
@@ -6,24 +6,25 @@
 
 enum
 {
-  LIST_PAGE = 500, /* rows of one answer to a list */
+  LIST_PAGE_ROWS = 500, /* most rows in one reply to STORE_LIST */
 };
 
+/* struct frow - one row of the table, or one object */
 struct frow
 {
   RB_ENTRY (frow) by_key;
   char *key;
   char *value;
-  int64_t ver;
+  int64_t ver; /* unique over all rows, increases with each write */
 };
 RB_HEAD (frow_tree, frow);
 
 struct fstore
 {
   struct frow_tree rows;
-  int64_t next_ver;
-  char *instances;
-  int64_t instances_ver;
+  int64_t last_ver;      /* the last version that was given out */
+  char *instances;       /* JSON, or NULL if it was never set */
+  int64_t instances_ver; /* 0 if it was never set */
   uint64_t writes;
   uint64_t reads;
 };
@@ -106,7 +107,7 @@
     }
   free (r->value);
   r->value = strdup (value);
-  r->ver = ++fs->next_ver;
+  r->ver = ++fs->last_ver;
   return r->ver;
 }
 
@@ -158,7 +159,7 @@
     {
       if (op->after && strcmp (r->key, op->after) == 0)
         continue;
-      if (rep->n_rows == LIST_PAGE)
+      if (rep->n_rows == LIST_PAGE_ROWS)
         {
           rep->more = true;
           return;
@@ -167,7 +168,7 @@
     }
 }
 
-/* Nothing comes back for a list that the caller has. */
+/* The reply has no row if @known is the version of the current list. */
 static void
 apply_instances (struct fstore *fs, const char *known, struct store_rep *rep)
 {
@@ -211,7 +212,7 @@
 {
   free (fs->instances);
   fs->instances = strdup (json);
-  fs->instances_ver = ++fs->next_ver;
+  fs->instances_ver = ++fs->last_ver;
 }
 
 const char *
--- a/regress/standin/fstore.h
+++ b/regress/standin/fstore.h
@@ -1,6 +1,7 @@
 /**
- * DOC: Stand-in for the platform's table and object store, without sockets.
- * The platform process and the scenarios use the same one.
+ * DOC: In-memory stand-in for the platform's table and object store.  It has
+ * no network code: platformd serves it over HTTP, and the scenario runner
+ * calls it directly.
  */
 #ifndef FSTORE_H
 #define FSTORE_H
@@ -9,16 +10,30 @@
 
 struct fstore;
 
+/** fstore_new() - Create an empty store; abort when out of memory. */
 struct fstore *fstore_new (void);
 void fstore_free (struct fstore *fs);
-/** fstore_apply() - Do one operation; @rep is freed by the caller. */
+/**
+ * fstore_apply() - Execute one operation.
+ * @op: the operation; not changed and not kept
+ * @rep: filled with the result; the caller frees it as a store_rep_desc
+ */
 void fstore_apply (struct fstore *fs, const struct store_op *op,
                    struct store_rep *rep);
-/** fstore_instances() - The list that STORE_INSTANCES gives; copied. */
+/**
+ * fstore_instances() - Set the instance list that STORE_INSTANCES returns.
+ * @json: the list as JSON; the store keeps a copy
+ */
 void fstore_instances (struct fstore *fs, const char *json);
-/** fstore_value() - A row's value, owned by the store, or NULL. */
+/**
+ * fstore_value() - Look up the value of a row.
+ *
+ * Return: the value, owned by the store, or NULL if the row does not exist.
+ */
 const char *fstore_value (const struct fstore *fs, const char *key);
+/** fstore_writes() - Number of transactions and object writes so far. */
 uint64_t fstore_writes (const struct fstore *fs);
+/** fstore_reads() - Number of all other operations so far. */
 uint64_t fstore_reads (const struct fstore *fs);
 
 #endif
--- a/regress/standin/fworker.c
+++ b/regress/standin/fworker.c
@@ -44,6 +44,7 @@
   w->epoch = 0;
 }
 
+/* A run whose name contains "fail" fails at the end of its duration. */
 void
 fworker_tick (struct fworker *w, int64_t now_ms)
 {
@@ -83,6 +84,8 @@
   return r;
 }
 
+/* A stop of an unknown run is recorded, so that a later start of the same id
+   is ignored. */
 static void
 do_stop (struct fworker *w, int64_t now_ms, const char *id)
 {
@@ -102,7 +105,7 @@
 do_start (struct fworker *w, int64_t now_ms, const struct start_cmd *c)
 {
   struct frun *r = run_find (w, c->id);
-  int64_t slow = w->slowness ? w->slowness : 1;
+  int64_t factor = w->slowness ? w->slowness : 1;
 
   if (r)
     return;
@@ -111,7 +114,7 @@
   r->need = c->need;
   r->state = RUN_RUNNING;
   if (c->duration_ms)
-    r->end_ms = now_ms + c->duration_ms * slow;
+    r->end_ms = now_ms + c->duration_ms * factor;
   if (w->watch)
     w->watch (w->arg, now_ms, r, true);
   if (w->fail_all)
--- a/regress/standin/fworker.h
+++ b/regress/standin/fworker.h
@@ -1,52 +1,62 @@
 /**
- * DOC: Stand-in for a worker, without sockets: starts whatever it is given,
- * whether it fits or not, and runs it under a lease.
+ * DOC: Stand-in for a worker without network code.  It starts every run that
+ * a sync asks for, even beyond its capacity, and stops all runs when its
+ * lease expires.
  */
 #ifndef FWORKER_H
 #define FWORKER_H
 
 #include "msg.h"
 
-/** struct frun - one run that the worker knows of */
+/** struct frun - one run of a task, running or ended, on the stand-in */
 struct frun
 {
   TAILQ_ENTRY (frun) link;
   char id[CLB_ID_MAX];
   char name[CLB_NAME_MAX];
   struct clb_res need;
-  int state;      /* enum run_state */
-  bool acked;     /* not reported any more; kept so as never to start again */
-  int64_t end_ms; /* 0: runs on */
+  int state; /* enum run_state */
+  /* Its end is acknowledged: it is no longer reported, but it is kept so that
+     a repeated start of the same id is ignored. */
+  bool acked;
+  int64_t end_ms; /* time at which it ends by itself; 0: never */
 };
 TAILQ_HEAD (frun_list, frun);
 
 struct fworker
 {
   int64_t boot;
-  bool leaving;
-  bool fail_all;
-  bool fence; /* refuses a lower epoch than it has seen */
-  int64_t epoch;
+  bool leaving;  /* reported in each sync: takes no new work */
+  bool fail_all; /* each run fails as soon as it has started */
+  bool fence;    /* refuse syncs of an epoch older than the last one */
+  int64_t epoch; /* of the last accepted sync */
   int64_t lease_until_ms;
-  int64_t slowness; /* run times are multiplied by this; 0 counts as 1 */
-  int64_t busy;     /* executors: slots in use */
+  int64_t slowness; /* factor on run durations; 0 counts as 1 */
+  int64_t busy;     /* slots in use of an executor */
   struct frun_list runs;
   void *arg;
-  /** watch - told of each start and end, with its state; may be NULL */
+  /** watch - called at each start and end of a run, or NULL */
   void (*watch) (void *arg, int64_t now_ms, const struct frun *run,
                  bool started);
 };
 
 void fworker_init (struct fworker *w, int64_t boot);
+/** fworker_clear() - Free all runs without calling the watch function. */
 void fworker_clear (struct fworker *w);
-/** fworker_reboot() - Everything stops and is forgotten. */
+/** fworker_reboot() - Stop and forget all runs and begin boot @boot. */
 void fworker_reboot (struct fworker *w, int64_t now_ms, int64_t boot);
-/** fworker_tick() - Ends what is over, and all if the lease has run out. */
+/**
+ * fworker_tick() - End the runs whose duration is over, and all runs if the
+ * lease has expired.
+ */
 void fworker_tick (struct fworker *w, int64_t now_ms);
 /**
- * fworker_sync() - Handle one sync.
+ * fworker_sync() - Handle one sync: acknowledgements, stops, then starts.
+ * @rep: filled with the report on success; the caller frees it as a
+ *       sync_rep_desc
  *
- * Return: 0, or %CLB_ECONFLICT when the epoch is older than one seen.
+ * Return: 0, or %CLB_ECONFLICT if fencing is on and the epoch of @req is older
+ * than that of the last accepted sync.
  */
 int fworker_sync (struct fworker *w, int64_t now_ms,
                   const struct sync_req *req, struct sync_rep *rep);
--- a/regress/standin/platformd.c
+++ b/regress/standin/platformd.c
@@ -1,7 +1,11 @@
 /*
- * platformd - stand-in for the platform: table, objects, instance list.
- * POST /v1/control sets its faults while it runs:
+ * platformd - stand-in for the platform: table, object store and instance
+ * list.
+ *
+ * POST /v1/store   executes one store operation
+ * POST /v1/control changes faults and the instance list at run time:
  *   {"outage": true, "slow_ms": 200, "lose_every": 3, "instances": {...}}
+ * any other path   returns the numbers of writes and reads
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +17,7 @@
 enum
 {
   BODY_MAX = 64 << 20,
-  STATUS_NO_EFFECT = 503,
+  STATUS_NO_EFFECT = 503, /* the operation was not executed */
 };
 
 struct platform
@@ -21,67 +25,67 @@
   uv_loop_t *loop;
   struct httpd *http;
   struct fstore *store;
-  bool outage;
-  int64_t slow_ms;
-  int64_t lose_every; /* of each so many writes one answer is lost */
-  int64_t writes;
+  bool outage;        /* refuse every store operation */
+  int64_t slow_ms;    /* delay of each reply to a store operation; 0: none */
+  int64_t lose_every; /* drop every Nth reply to a transaction; 0: none */
+  int64_t writes;     /* transactions counted for lose_every */
 };
 
-/* struct late - an answer that waits */
-struct late
+/* struct delayed_reply - a reply that is sent when its timer expires */
+struct delayed_reply
 {
   uv_timer_t timer;
   struct platform *p;
-  uint64_t no;
+  uint64_t request_id;
   char *text;
 };
 
 static void
-free_late (uv_handle_t *h)
+free_delayed_reply (uv_handle_t *h)
 {
-  struct late *l = h->data;
+  struct delayed_reply *dr = h->data;
 
-  free (l->text);
-  free (l);
+  free (dr->text);
+  free (dr);
 }
 
 static void
-on_late (uv_timer_t *t)
+on_delay_over (uv_timer_t *t)
 {
-  struct late *l = t->data;
+  struct delayed_reply *dr = t->data;
 
-  httpd_answer (l->p->http, l->no, 200, "application/json", l->text,
-                strlen (l->text), 0);
-  uv_close ((uv_handle_t *)t, free_late);
+  httpd_answer (dr->p->http, dr->request_id, 200, "application/json", dr->text,
+                strlen (dr->text), 0);
+  uv_close ((uv_handle_t *)t, free_delayed_reply);
 }
 
 static void
-answer (struct platform *p, uint64_t no, char *text)
+answer (struct platform *p, uint64_t request_id, char *text)
 {
-  struct late *l;
+  struct delayed_reply *dr;
 
   if (p->slow_ms <= 0)
     {
-      httpd_answer (p->http, no, 200, "application/json", text, strlen (text),
-                    0);
+      httpd_answer (p->http, request_id, 200, "application/json", text,
+                    strlen (text), 0);
       free (text);
       return;
     }
-  l = calloc (1, sizeof *l);
-  if (!l)
+  dr = calloc (1, sizeof *dr);
+  if (!dr)
     abort ();
-  l->p = p;
-  l->no = no;
-  l->text = text;
-  uv_timer_init (p->loop, &l->timer);
-  l->timer.data = l;
-  uv_timer_start (&l->timer, on_late, (uint64_t)p->slow_ms, 0);
+  dr->p = p;
+  dr->request_id = request_id;
+  dr->text = text;
+  uv_timer_init (p->loop, &dr->timer);
+  dr->timer.data = dr;
+  uv_timer_start (&dr->timer, on_delay_over, (uint64_t)p->slow_ms, 0);
 }
 
 static void
-refuse (struct platform *p, uint64_t no, int status)
+answer_empty (struct platform *p, uint64_t request_id, int status)
 {
-  httpd_answer (p->http, no, status, NULL, "", 0, 0);
+  httpd_answer (p->http, request_id, status, NULL, "", 0, 0);
 }
 
 static void
@@ -90,23 +94,23 @@
   struct store_op op;
   struct store_rep rep;
   struct codec_err ce;
-  bool lose;
+  bool drop_reply;
 
   if (p->outage)
     {
-      refuse (p, rq->id, STATUS_NO_EFFECT);
+      answer_empty (p, rq->id, STATUS_NO_EFFECT);
       return;
     }
   if (codec_parse (&store_op_desc, rq->body, rq->body_len, CODEC_STRICT, &op,
                    &ce))
     {
-      refuse (p, rq->id, 400);
+      answer_empty (p, rq->id, 400);
       return;
     }
   fstore_apply (p->store, &op, &rep);
-  lose = op.kind == STORE_TXN && p->lose_every > 0
-         && ++p->writes % p->lose_every == 0;
-  if (!lose)
+  drop_reply = op.kind == STORE_TXN && p->lose_every > 0
+               && ++p->writes % p->lose_every == 0;
+  if (!drop_reply)
     answer (p, rq->id, codec_text (&store_rep_desc, &rep));
   codec_free (&store_rep_desc, &rep);
   codec_free (&store_op_desc, &op);
@@ -132,7 +136,7 @@
       free (text);
     }
   json_decref (json);
-  refuse (p, rq->id, json ? 200 : 400);
+  answer_empty (p, rq->id, json ? 200 : 400);
 }
 
 static void
@@ -161,10 +165,10 @@
 }
 
 static void
-on_gone (void *arg, uint64_t no)
+on_disconnect (void *arg, uint64_t request_id)
 {
   (void)arg;
-  (void)no;
+  (void)request_id;
 }
 
 int
@@ -174,7 +178,7 @@
   struct httpd_conf conf = { .arg = &p,
                              .body_max = BODY_MAX,
                              .on_request = on_request,
-                             .on_disconnect = on_gone };
+                             .on_disconnect = on_disconnect };
   int err;
 
   if (argc != 2)
