--- a/regress/soak/proxy.c
+++ b/regress/soak/proxy.c
@@ -1,17 +1,19 @@
 /*
- * soak-proxy - forwards TCP connections on loopback and spoils them on
- * command.
+ * soak-proxy - forwards TCP connections on loopback and injects network
+ * faults.
  *
- * Arguments are links, "LISTEN=TARGET" with ports of 127.0.0.1.  Lines of
- * standard input say how a link behaves from then on:
- *   N pass        as it should
- *   N delay MS    bytes arrive so much later, both ways
- *   N silent      nothing arrives
- *   N there       bytes arrive on the way to the target only
- *   N back        they arrive on the way back only
- *   N reset       connections are reset, new ones too
- * What did not arrive does so once the link is well again, as TCP would have
- * it: in order, or never if an end has given up.
+ * Each argument is a link, "LISTEN=TARGET", with two ports of 127.0.0.1. Links
+ * are numbered from 0 in the order of the arguments.  A line of standard input
+ * sets the mode of link N:
+ *   N pass           forward bytes at once
+ *   N delay MS       forward bytes MS ms later, in both directions
+ *   N stall          forward nothing
+ *   N stall-reply    forward nothing from the target to the client
+ *   N stall-request  forward nothing from the client to the target
+ *   N reset          reset all connections, also new ones
+ * Bytes of a stalled direction are not lost: once the link passes them again
+ * they arrive in order, as TCP retransmits them, unless one end has closed the
+ * connection.
  */
 #include <signal.h>
 #include <stdbool.h>
@@ -25,54 +27,58 @@
 enum
 {
   LINKS_MAX = 256,
-  BUFFER = 65536, /* bytes read at once */
+  READ_SIZE = 65536, /* most bytes of one read */
 };
 
 enum mode
 {
   MODE_PASS,
   MODE_DELAY,
-  MODE_SILENT,
-  MODE_THERE,
-  MODE_BACK,
+  MODE_STALL,
+  MODE_STALL_REPLY,
+  MODE_STALL_REQUEST,
   MODE_RESET,
   MODE_N
 };
 
 static const char *const mode_names[MODE_N]
-    = { "pass", "delay", "silent", "there", "back", "reset" };
+    = { "pass", "delay", "stall", "stall-reply", "stall-request", "reset" };
 
+/* struct link - a listening port and the port that it forwards to */
 struct link
 {
   uv_tcp_t listener;
-  int target; /* port */
+  int target_port;
   enum mode mode;
-  uint64_t delay_ms;
+  uint64_t delay_ms; /* of MODE_DELAY */
 };
 
-/* struct pair - a connection and the one that it is forwarded on */
+/* struct pair - a client's connection and the one to the target */
 struct pair
 {
   LIST_ENTRY (pair) entry;
-  uint64_t no; /* never used again */
+  uint64_t id; /* never reused */
   struct link *link;
-  uv_tcp_t end[2]; /* the caller's, the target's */
+  uv_tcp_t end[2]; /* to the client, to the target */
   uv_connect_t connect;
-  int open; /* ends whose handles are not closed yet */
+  int n_open; /* ends whose handles are not closed yet */
   bool closing;
   bool connected;
-  uint64_t
-      due_ms[2]; /* of the last bytes to each end: none overtakes others */
+  /* When the last bytes to each end are due.  Later bytes are never due
+     earlier, so that a shorter delay does not reorder the stream. */
+  uint64_t due_ms[2];
 };
 
-/* struct chunk - bytes on their way */
+/* struct chunk - bytes that were read and are not written yet */
 struct chunk
 {
   uv_timer_t timer;
   uv_write_t write;
   struct pair *pair;
-  uint64_t pair_no; /* another pair may lie where this one did */
-  int to;
+  /* Checked before @pair is used: the pair may have been freed, and a later
+     one may have the same address. */
+  uint64_t pair_id;
+  int to; /* index of the end that the bytes go to */
   size_t len;
   char bytes[];
 };
@@ -80,7 +86,7 @@
 static LIST_HEAD (, pair) pairs = LIST_HEAD_INITIALIZER (pairs);
 static struct link links[LINKS_MAX];
 static int n_links;
-static uint64_t n_pairs;
+static uint64_t last_pair_id;
 static uv_loop_t *loop;
 
 static void
@@ -88,7 +94,7 @@
 {
   struct pair *p = h->data;
 
-  if (--p->open > 0)
+  if (--p->n_open > 0)
     return;
   LIST_REMOVE (p, entry);
   free (p);
@@ -112,18 +118,19 @@
 }
 
 static void
-drop_chunk (struct chunk *c)
+chunk_close (struct chunk *c)
 {
   uv_close ((uv_handle_t *)&c->timer, on_chunk_closed);
 }
 
+/* Whether the pair of @c still exists and is not being closed. */
 static bool
-alive (const struct chunk *c)
+pair_is_open (const struct chunk *c)
 {
   const struct pair *p;
 
   LIST_FOREACH (p, &pairs, entry)
-  if (p->no == c->pair_no)
+  if (p->id == c->pair_id)
     return !p->closing;
   return false;
 }
@@ -133,9 +140,9 @@
 {
   struct chunk *c = w->data;
 
-  if (status && alive (c))
+  if (status && pair_is_open (c))
     close_pair (c->pair, false);
-  drop_chunk (c);
+  chunk_close (c);
 }
 
 static void
@@ -144,17 +151,18 @@
   struct chunk *c = t->data;
   uv_buf_t buf = uv_buf_init (c->bytes, (unsigned)c->len);
 
-  if (!alive (c)
+  if (!pair_is_open (c)
       || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->to], &buf, 1,
                    on_written))
-    drop_chunk (c);
+    chunk_close (c);
 }
 
+/* Whether @l forwards nothing to end @to. */
 static bool
-holds (const struct link *l, int to)
+is_stalled (const struct link *l, int to)
 {
-  return l->mode == MODE_SILENT || (l->mode == MODE_THERE && to == 0)
-         || (l->mode == MODE_BACK && to == 1);
+  return l->mode == MODE_STALL || (l->mode == MODE_STALL_REPLY && to == 0)
+         || (l->mode == MODE_STALL_REQUEST && to == 1);
 }
 
 static void
@@ -171,7 +179,7 @@
     due_ms = p->due_ms[to];
   p->due_ms[to] = due_ms;
   c->pair = p;
-  c->pair_no = p->no;
+  c->pair_id = p->id;
   c->to = to;
   c->len = len;
   memcpy (c->bytes, bytes, len);
@@ -184,7 +192,7 @@
 static void
 on_alloc (uv_handle_t *h, size_t size, uv_buf_t *buf)
 {
-  static char bytes[BUFFER];
+  static char bytes[READ_SIZE];
 
   (void)h;
   (void)size;
@@ -202,12 +210,14 @@
     forward (p, s == (uv_stream_t *)&p->end[0], buf->base, (size_t)n);
 }
 
-/* What is not read stays with its sender's kernel. */
+/* Starts or stops reading each end by the mode of the link.  Bytes that are
+   not read stay in the socket buffers, and TCP flow control stops the sender.
+ */
 static void
-read_open (struct pair *p)
+update_reading (struct pair *p)
 {
   for (int i = 0; i < 2 && p->connected && !p->closing; i++)
-    if (holds (p->link, 1 - i))
+    if (is_stalled (p->link, 1 - i))
       uv_read_stop ((uv_stream_t *)&p->end[i]);
     else
       uv_read_start ((uv_stream_t *)&p->end[i], on_alloc, on_read);
@@ -224,7 +234,7 @@
       return;
     }
   p->connected = true;
-  read_open (p);
+  update_reading (p);
 }
 
 static void
@@ -236,9 +246,9 @@
 
   if (!p || status)
     abort ();
-  p->no = ++n_pairs;
+  p->id = ++last_pair_id;
   p->link = l;
-  p->open = 2;
+  p->n_open = 2;
   for (int i = 0; i < 2; i++)
     {
       uv_tcp_init (loop, &p->end[i]);
@@ -251,7 +261,7 @@
       close_pair (p, true);
       return;
     }
-  uv_ip4_addr ("127.0.0.1", l->target, &to);
+  uv_ip4_addr ("127.0.0.1", l->target_port, &to);
   p->connect.data = p;
   if (uv_tcp_connect (&p->connect, &p->end[1], (struct sockaddr *)&to,
                       on_connected))
@@ -259,23 +269,23 @@
 }
 
 static void
-set_mode (int no, const char *name, int ms)
+set_mode (int index, const char *name, int ms)
 {
   struct pair *p, *next;
 
-  if (no < 0 || no >= n_links)
+  if (index < 0 || index >= n_links)
     return;
   for (int m = 0; m < MODE_N; m++)
     if (strcmp (name, mode_names[m]) == 0)
-      links[no].mode = (enum mode)m;
-  links[no].delay_ms = (uint64_t)ms;
+      links[index].mode = (enum mode)m;
+  links[index].delay_ms = (uint64_t)ms;
   for (p = LIST_FIRST (&pairs); p; p = next)
     {
       next = LIST_NEXT (p, entry);
-      if (p->link == &links[no] && links[no].mode == MODE_RESET)
+      if (p->link == &links[index] && links[index].mode == MODE_RESET)
         close_pair (p, true);
-      else if (p->link == &links[no])
-        read_open (p);
+      else if (p->link == &links[index])
+        update_reading (p);
     }
 }
 
@@ -295,11 +305,11 @@
   while ((end = strchr (text, '\n')))
     {
       char name[16] = "";
-      int no = -1;
+      int index = -1;
       int ms = 0;
       *end = '\0';
-      if (sscanf (text, "%d %15s %d", &no, name, &ms) >= 2)
-        set_mode (no, name, ms);
+      if (sscanf (text, "%d %15s %d", &index, name, &ms) >= 2)
+        set_mode (index, name, ms);
       len -= (size_t)(end + 1 - text);
       memmove (text, end + 1, len + 1);
     }
@@ -312,9 +322,10 @@
   struct sockaddr_in at;
   int port;
 
-  if (n_links > LINKS_MAX || sscanf (text, "%d=%d", &port, &l->target) != 2)
+  if (n_links > LINKS_MAX
+      || sscanf (text, "%d=%d", &port, &l->target_port) != 2)
     {
-      fprintf (stderr, "soak-proxy: %s: not LISTEN=TARGET\n", text);
+      fprintf (stderr, "soak-proxy: %s: expected LISTEN=TARGET\n", text);
       exit (64);
     }
   uv_ip4_addr ("127.0.0.1", port, &at);
