--- a/regress/process/fleetkill.sh
+++ b/regress/process/fleetkill.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# The leader is killed, then another one is frozen and woken, while clients
-# wait for answers of the other instances and of the frozen one: each answer is
-# true and whole, and executors see no broken promise.
+# Kills the leader with SIGKILL, then suspends the next leader with SIGSTOP and
+# resumes it, while callers wait for answers of the other instances and of the
+# suspended one.  Guards against answers that are wrong or cut short, and
+# against violations of guarantees that executors observe.
 cd "$(dirname "$0")/../.." || exit 1
 . regress/process/fleetlib.sh
 
@@ -9,17 +10,21 @@
 
 pid_of() { eval "echo \$pid$1"; }
 
-# hand_in ID INSTANCE SECONDS: the status and the body's words.
-hand_in() {
+# submit ID INSTANCE TIMEOUT_S: prints the body and the status of the answer.
+submit() {
 	curl -s -m "$3" -w ' %{http_code}' -X POST -H 'Key: k' -d "$job" \
 		"http://$NET.$2:8183/q/$1"
 }
 
+# state ID INSTANCE: prints the body of the answer.
 state() { curl -s -m 3 -H 'Key: k' "http://$NET.$2:8183/q/$1"; }
 
-# Load on all instances but $l, in the background.
+# load_others FIRST_ID: submits jobs in the background to all instances but the
+# leader $leading.  Sets load to the process id.
 load_others() {
-	others=$(for n in 1 2 3; do [ $n = "$l" ] || echo "$NET.$n:8183"; done)
+	others=$(for n in 1 2 3; do
+		[ $n = "$leading" ] || echo "$NET.$n:8183"
+	done)
 	# shellcheck disable=SC2086
 	"$BUILD/regress/fleet-load" -r 300 50 "$1" $others >"$dir/load.$1" &
 	load=$!
@@ -27,38 +32,52 @@
 }
 
 fleet_up 8 3
-l=$(leader)
+leading=$(leader)
 load_others 1000
-kill -KILL "$(pid_of "$l")"
-check "handed in to another right after the kill" '{} 200' \
-	"$(hand_in 00000000000000b1 $((l % 3 + 1)) 3 | sed 's/^ 200/{} 200/')"
+kill -KILL "$(pid_of "$leading")"
+check "another instance accepts a job right after the leader was killed" \
+	'{} 200' \
+	"$(submit 00000000000000b1 $((leading % 3 + 1)) 3 |
+	sed 's/^ 200/{} 200/')"
 wait $load
-check "all jobs around the kill" "300 passed, 0 failed" \
+check "all jobs complete around the kill of the leader" \
+	"300 passed, 0 failed" \
 	"$(tail -1 "$dir/load.1000")"
-check "the job of that moment" '{"state":"completed"}' \
-	"$(state 00000000000000b1 $((l % 3 + 1)))"
+check "the job accepted right after the kill completes" \
+	'{"state":"completed"}' \
+	"$(state 00000000000000b1 $((leading % 3 + 1)))"
 
-start_instance "$l"
+start_instance "$leading"
 sleep 2
-l=$(leader)
+leading=$(leader)
 load_others 5000
-kill -STOP "$(pid_of "$l")"
-hand_in 00000000000000b2 "$l" 9 >"$dir/frozen" &
+kill -STOP "$(pid_of "$leading")"
+submit 00000000000000b2 "$leading" 9 >"$dir/suspended" &
 client=$!
 sleep 4
-kill -CONT "$(pid_of "$l")"
+kill -CONT "$(pid_of "$leading")"
 wait $client
 wait $load
-check "all jobs around the freeze" "300 passed, 0 failed" \
+check "all jobs complete around the suspension of the leader" \
+	"300 passed, 0 failed" \
 	"$(tail -1 "$dir/load.5000")"
 sleep 1.5
-there=$(state 00000000000000b2 $((l % 3 + 1)))
-case $(cat "$dir/frozen") in
-*200) check "accepted by the woken one" '{"state":"completed"}' "$there" ;;
-*503) check "refused by the woken one" '{"error":"no-job"}' "$there" ;;
-*) check "the woken one answers" "200 or 503" "$(cat "$dir/frozen")" ;;
+at_other=$(state 00000000000000b2 $((leading % 3 + 1)))
+case $(cat "$dir/suspended") in
+*200)
+	check "a job that the resumed instance accepted completes" \
+		'{"state":"completed"}' "$at_other"
+	;;
+*503)
+	check "a job that the resumed instance refused does not exist" \
+		'{"error":"no-job"}' "$at_other"
+	;;
+*)
+	check "the resumed instance answers with 200 or 503" "200 or 503" \
+		"$(cat "$dir/suspended")"
+	;;
 esac
-check "broken promises that executors saw" "" \
+check "violations of guarantees that executors observed" "" \
 	"$(grep '^violation' "$dir/standin.log" | tail -1)"
 echo "$passed passed, $failed failed"
 [ $failed = 0 ]
--- a/regress/process/fleetlib.sh
+++ b/regress/process/fleetlib.sh
@@ -1,14 +1,20 @@
-# Starts a fleet of real processes on loopback; sourced by the tests that do.
-# fleet_up EXECUTORS INSTANCES: the table listens on $PORT, instance I of them
-# on $NET.I:8183 for callers and $NET.I:9464 for metrics.
-# Who sources it may set: $standin_in, what the stand-in reads commands from;
-# $advertise, added to the executors' ports in the table; and table_port N, the
-# port by which instance N reaches the table.
+# Starts a fleet of real processes on loopback.  Tests source this file.
+#
+# After fleet_up EXECUTORS INSTANCES the stand-in of the platform serves the
+# table on port $PORT.  Instance I listens on $NET.I:8183 for callers and on
+# $NET.I:9464 for metrics.  Logs are in $dir, which is removed at the end.
+#
+# The test may override, after it has sourced this file:
+#   $standin_in    file from which the stand-in reads commands
+#   $advertise     number added to the executors' ports in the table's rows
+#   table_port N   function that prints the port on which instance N reaches
+#                  the table
 BUILD=${BUILD:-build}
 standin_in=/dev/null
 advertise=0
 table_port() { echo "$PORT"; }
-# Several runs may go on at once on one machine.
+# The process id selects ports and addresses, so that several runs can go on at
+# once on one machine.
 PORT=${PORT:-$((20000 + $$ % 10000))}
 NET=127.$((10 + $$ % 200)).$((1 + $$ / 200 % 200))
 dir=$(mktemp -d)
@@ -16,15 +22,15 @@
 
 passed=0
 failed=0
-checked= # what the names of failed checks begin with
+check_prefix= # printed before the names of failed checks
 
-# check NAME WANTED GOT
+# check NAME EXPECTED ACTUAL: counts a pass if the two are equal.
 check() {
 	if [ "$2" = "$3" ]; then
 		passed=$((passed + 1))
 	else
 		failed=$((failed + 1))
-		echo "FAIL $checked$1: wanted $2, got $3"
+		echo "FAIL $check_prefix$1: expected $2, got $3"
 	fi
 }
 
@@ -35,6 +41,7 @@
 }
 trap fleet_stop_all EXIT
 
+# write_settings N: writes the settings of instance N to $dir/N.json.
 write_settings() {
 	cat >"$dir/$1.json" <<JSON
 {"node_name":"n$1","ip":"$NET.$1","zone":"a","port_range":[7420,7435],
@@ -45,6 +52,7 @@
 JSON
 }
 
+# start_instance N: sets pidN.
 start_instance() {
 	"$BUILD/citronlbd/citronlbd" --fleet "$dir/$1.json" \
 		>>"$dir/$1.log" 2>&1 &
@@ -52,6 +60,8 @@
 	pids="$pids $!"
 }
 
+# fleet_up EXECUTORS INSTANCES: sets execs, instances and standin, the process id
+# of the stand-in.
 fleet_up() {
 	execs=$1
 	instances=$2
@@ -80,7 +90,7 @@
 	until grep -q ready "$dir/standin.log"; do
 		sleep 0.1
 		i=$((i + 1))
-		[ $i -lt 50 ] || { echo "stand-in does not start"; exit 1; }
+		[ $i -lt 50 ] || { echo "the stand-in of the platform did not start within 5 s"; exit 1; }
 	done
 	for n in $(seq 1 "$instances"); do
 		write_settings "$n"
@@ -89,7 +99,7 @@
 	sleep 1.5
 }
 
-# The instance that leads, by its metrics.
+# Prints the number of the instance that leads by its metrics, or nothing.
 leader() {
 	for n in $(seq 1 "$instances"); do
 		curl -s -m 1 "http://$NET.$n:9464/metrics" |
