--- a/regress/process/fleet.sh
+++ b/regress/process/fleet.sh
@@ -17,13 +17,17 @@
 check "instance 2 is ready" 200 "$(curl -s -o /dev/null -w '%{http_code}' \
 	"http://$NET.2:8184/api/readiness")"
 check "an unknown key is refused" 401 \
-	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: none' "http://$NET.1:8183/q/00000000000000ff")"
+	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: none' \
+	"http://$NET.1:8183/q/00000000000000ff")"
 check "an unknown queue is refused" 404 \
-	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' "http://$NET.1:8183/none/00000000000000ff")"
+	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' \
+	"http://$NET.1:8183/none/00000000000000ff")"
 check "an unknown job is reported as such" 410 \
-	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' "http://$NET.1:8183/q/00000000000000ff")"
+	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' \
+	"http://$NET.1:8183/q/00000000000000ff")"
 check "a body that is not a valid job is refused" 400 \
-	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' -d '{"steps":3}' "http://$NET.1:8183/q/00000000000000fe")"
+	"$(curl -s -o /dev/null -w '%{http_code}' -H 'Key: k' -d '{"steps":3}' \
+	"http://$NET.1:8183/q/00000000000000fe")"
 check "the number of waiting jobs is reported" '{"waiting":0}' \
 	"$(curl -s -H 'Key: k' "http://$NET.1:8183/q/")"
 old_leader=$(leader)
--- a/regress/process/fleetlib.sh
+++ b/regress/process/fleetlib.sh
@@ -90,7 +90,7 @@
 	until grep -q ready "$dir/standin.log"; do
 		sleep 0.1
 		i=$((i + 1))
-		[ $i -lt 50 ] || { echo "the stand-in of the platform did not start within 5 s"; exit 1; }
+		[ $i -lt 50 ] || { echo "the stand-in did not start within 5 s"; exit 1; }
 	done
 	for n in $(seq 1 "$instances"); do
 		write_settings "$n"
--- a/regress/process/real.sh
+++ b/regress/process/real.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# What only real processes show: SIGKILL, SIGSTOP, SIGTERM during a long
-# answer, silent connections, bad settings.  No bound on the wall clock but
-# to give up.
+# Tests that need real processes: SIGKILL, SIGSTOP, SIGTERM during a long answer,
+# stalled connections, TLS and bad settings.  The time limits are only there to
+# give up; no test checks how long something takes.
 set -u
 cd "$(dirname "$0")/../.."
 . scripts/lib.sh
 passed=0
 failed=0
 
+# check NAME COMMAND...: counts a pass if the command succeeds.
 check() {
 	name=$1
 	shift
@@ -30,160 +31,182 @@
 wait_for 30 ctl -k "$ops_key" apply --base 0 --change p1 "$work/manifest.json"
 export CITRONCTL_KEY=$team_key
 
+# Prints the entry instance that holds the lease and may start tasks.
 holder() {
 	for e in a1 a2 a3; do
-		eval "u=\$url_$e"
-		ctl -s "$u" --json status 2>/dev/null |
+		eval "url=\$url_$e"
+		ctl -s "$url" --json status 2>/dev/null |
 			jq -e 'select(.scheduler.ready and .scheduler.may_start)' \
 				>/dev/null && echo $e && return 0
 	done
 	return 1
 }
 wait_for 30 holder
-task() {
+# task_json REQUEST-ID QUEUE DURATION_MS: prints a task as JSON.
+task_json() {
 	printf '{"request_id":"%s","queue":"%s","name":"%s","need":{"cores":2},"duration_ms":%s}' \
 		"$1" "$2" "$1" "$3"
 }
-id_of() { jq -r .id; }
+task_id() { jq -r .id; }
+# started TASK: prints the number of starts that the backend logged.
 started() { grep -c " start $1/" "$work/runs-a" || :; }
-preview() { # URL RUN_MS BYTES -> body and status
+# preview URL RUN_MS BYTES: prints the body and, on a line of its own, the status.
+preview() {
 	curl -s -m 60 -w '\n%{http_code}' -H "Authorization: Bearer $team_key" \
 		-d 'body' "$1/v1/service/previews?run_ms=$2&bytes=$3"
 }
+# serves URL: succeeds if a request with a key is answered with 200.
 serves() { [ "$(preview "$1" 1 0 | tail -1)" = 200 ]; }
 wait_for 30 serves "$url_a1"
 
-# A large answer comes whole through an instance that is not the holder.
-whole() {
+# An instance that does not hold the lease forwards a large answer.
+large_answer_complete() {
 	got=$(preview "$url_a2" 1 3000000 | head -1 | wc -c)
 	[ "$got" -gt 3000000 ]
 }
-check "a large answer is passed whole" whole
+check "a large answer is forwarded completely" large_answer_complete
 
-# SIGKILL of the holder with a render on the way.
-h=$(holder)
-first=$(task kill-1 renders 3000 | ctl --json submit - | id_of)
-eval "kill -KILL \$pid_$h"
-survives() { ctl wait "$first" >/dev/null && [ "$(started "$first")" = 1 ]; }
-check "a render survives the holder's SIGKILL, once" survives
-again() {
-	[ "$(task kill-1 renders 3000 | ctl --json submit - | id_of)" = "$first" ]
-}
-check "its request id finds it at another instance" again
-start_entry "$h" a
+# The holder is killed with SIGKILL while a task runs.
+holder_id=$(holder)
+killed_task=$(task_json kill-1 renders 3000 | ctl --json submit - | task_id)
+eval "kill -KILL \$pid_$holder_id"
+runs_once() {
+	ctl wait "$killed_task" >/dev/null &&
+		[ "$(started "$killed_task")" = 1 ]
+}
+check "a task whose holder is killed completes and starts only once" runs_once
+resubmit_same_task() {
+	[ "$(task_json kill-1 renders 3000 | ctl --json submit - | task_id)" \
+		= "$killed_task" ]
+}
+check "a repeated request id at another instance returns the same task" \
+	resubmit_same_task
+start_entry "$holder_id" a
 publish
 
-# SIGSTOP of the holder past its lease, SIGCONT, and no second start.
+# The holder is suspended with SIGSTOP until its lease is over, then resumed with
+# SIGCONT.  Guards against a second start of its tasks.
 wait_for 30 holder
-h=$(holder)
-eval "u=\$url_$h"
-ids=
+holder_id=$(holder)
+eval "holder_url=\$url_$holder_id"
+task_ids=
 for i in 1 2 3 4 5; do
-	ids="$ids $(task stop-$i renders 8000 | ctl -s "$u" --json submit - | id_of)"
+	task_ids="$task_ids $(task_json stop-$i renders 8000 |
+		ctl -s "$holder_url" --json submit - | task_id)"
 done
-eval "kill -STOP \$pid_$h"
+eval "kill -STOP \$pid_$holder_id"
 other() {
-	n=$(holder) && [ "$n" != "$h" ]
+	n=$(holder) && [ "$n" != "$holder_id" ]
 }
-rest=$(echo "$all" | tr , '\n' | grep -v "$u" | paste -sd,)
+rest=$(echo "$all" | tr , '\n' | grep -v "$holder_url" | paste -sd,)
 CITRONCTL_SERVER=$rest
-for e in a1 a2 a3; do [ $e = "$h" ] || eval "url_live=\$url_$e"; done
+for e in a1 a2 a3; do [ $e = "$holder_id" ] || eval "url_live=\$url_$e"; done
 taken_over() {
-	ctl --json status | jq -e --arg h "$h" '.holder != "" and .holder != $h' \
+	ctl --json status | jq -e --arg h "$holder_id" '.holder != "" and .holder != $holder_id' \
 		>/dev/null
 }
-check "a successor takes over from a stopped process" wait_for 30 taken_over
-eval "kill -CONT \$pid_$h"
-once() {
-	for i in $ids; do
+check "another instance takes over from a suspended holder" \
+	wait_for 30 taken_over
+eval "kill -CONT \$pid_$holder_id"
+each_started_once() {
+	for i in $task_ids; do
 		ctl wait "$i" >/dev/null || return 1
 		[ "$(started "$i")" = 1 ] || return 1
 	done
 }
-check "renders of a stopped holder run once and end" once
+check "tasks of a suspended holder complete and start only once" \
+	each_started_once
 CITRONCTL_SERVER=$all
 
-# SIGTERM during a long answer.
+# The instance gets SIGTERM while it forwards a long answer.
 preview "$url_a1" 2500 100000 >"$work/long" &
 long=$!
 sleep 0.3
 kill -TERM "$pid_a1"
 wait $long
-long_whole() {
+long_answer_complete() {
 	[ "$(tail -1 "$work/long")" = 200 ] &&
 		[ "$(head -1 "$work/long" | wc -c)" -gt 100000 ]
 }
-check "a planned stop cuts no answer short" long_whole
-gone() {
+check "SIGTERM lets an answer in progress complete" long_answer_complete
+exits_with_0() {
 	wait "$pid_a1"
 	[ $? = 0 ]
 }
-check "and ends with exit code 0" gone
+check "SIGTERM ends the daemon with exit code 0" exits_with_0
 start_entry a1 a
 publish
 
-# The platform is away for longer than a lease.
+# The platform's table is unreachable for longer than a lease.
 wait_for 30 serves "$url_a1"
 control '{"outage":true}'
 sleep 6
-check "keyed work goes on while every instance answers" \
+check "requests with a key are served in an outage while all instances answer" \
 	wait_for 30 serves "$url_a1"
-open() {
+serves_without_key() {
 	curl -s -m 20 -d x "$url_a1/v1/service/window-briefs?run_ms=1" |
 		grep -q ' x$'
 }
-check "open work is served in an outage" wait_for 30 open
+check "requests without a key are served in an outage" \
+	wait_for 30 serves_without_key
 control '{"outage":false}'
-check "and keyed work again after it" wait_for 30 serves "$url_a1"
+check "requests with a key are served after an outage" \
+	wait_for 30 serves "$url_a1"
 
-# Watching.
+# The commands watch and why.
 ctl watch >"$work/watch" 2>/dev/null &
 watcher=$!
 wait_for 20 test -s "$work/watch"
-# Refused as not run until the holder has heard from the table again.
-accepted() {
-	watched=$(task watch-1 proofs 100 | ctl --json submit - | id_of)
+# The task is refused as not run until the holder has reached the table again.
+submit_watched() {
+	watched=$(task_json watch-1 proofs 100 | ctl --json submit - | task_id)
 	[ -n "$watched" ] && [ "$watched" != null ]
 }
-wait_for 30 accepted 2>/dev/null
+wait_for 30 submit_watched 2>/dev/null
 ctl wait "$watched" >/dev/null
-check "watch shows the decisions as they happen" \
+check "watch prints decisions as they are made" \
 	wait_for 10 grep -q "best-fit.*$watched" "$work/watch"
 kill $watcher
-why() { ctl why "$watched" | grep -q "best-fit"; }
-check "why explains a task" why
+why_explains() { ctl why "$watched" | grep -q "best-fit"; }
+check "why explains the decisions about a task" why_explains
 
 # Bad input and bad settings.
-code() { "$@" >/dev/null 2>&1; echo $?; }
-check "an unknown flag ends with 64" \
-	[ "$(code "$bin/citronlbd/citronlbd" --nonsense)" = 64 ]
-check "a missing setting ends with 78" \
-	[ "$(code "$bin/citronlbd/citronlbd" --id x)" = 78 ]
-check "a bad port ends with 78" [ "$(code "$bin/citronlbd/citronlbd" --id x \
-	--domain d --listen 127.0.0.1:99999)" = 78 ]
-check "no peer keys ends with 78" [ "$(code "$bin/citronlbd/citronlbd" \
-	--id x --domain d --listen 127.0.0.1:0 --peer-listen 127.0.0.1:0 \
+
+# Prints the exit code of the command.
+exit_code() { "$@" >/dev/null 2>&1; echo $?; }
+check "an unknown flag exits with 64" \
+	[ "$(exit_code "$bin/citronlbd/citronlbd" --nonsense)" = 64 ]
+check "a missing setting exits with 78" \
+	[ "$(exit_code "$bin/citronlbd/citronlbd" --id x)" = 78 ]
+check "a bad port exits with 78" [ "$(exit_code \
+	"$bin/citronlbd/citronlbd" --id x --domain d --listen 127.0.0.1:99999)" = 78 ]
+check "missing peer keys exit with 78" [ "$(exit_code \
+	"$bin/citronlbd/citronlbd" --id x --domain d --listen 127.0.0.1:0 --peer-listen 127.0.0.1:0 \
 	--platform 127.0.0.1:1)" = 78 ]
-check "an unknown command ends with 64" [ "$(code ctl fly)" = 64 ]
+check "an unknown command exits with 64" [ "$(exit_code ctl fly)" = 64 ]
 printf '{"teams":[{"name":"x","weight":0}]}' >"$work/bad.json"
-check "a bad manifest ends with 65" [ "$(code ctl check "$work/bad.json")" = 65 ]
-bad_body() {
+check "a bad manifest exits with 65" \
+	[ "$(exit_code ctl check "$work/bad.json")" = 65 ]
+# body_refused BODY: succeeds if a task with that body is answered with 400.
+body_refused() {
 	[ "$(curl -s -o /dev/null -w '%{http_code}' -m 10 \
 		-H "Authorization: Bearer $team_key" -d "$1" \
 		"$url_a1/v1/tasks")" = 400 ]
 }
-check "a body that is no JSON" bad_body '{"request_id":'
-check "a body with an unknown field" bad_body '{"request_id":"r","wings":2}'
-big() {
+check "a body that is not JSON is refused" body_refused '{"request_id":'
+check "a body with an unknown field is refused" \
+	body_refused '{"request_id":"r","wings":2}'
+large_body_refused() {
 	head -c 2000000 /dev/zero | tr '\0' x >"$work/big"
 	[ "$(curl -s -o /dev/null -w '%{http_code}' -m 10 -H "Expect:" \
 		-H "Authorization: Bearer $team_key" --data-binary "@$work/big" \
 		"$url_a1/v1/tasks")" = 413 ]
 }
-check "a body over its limit" big
+check "a body over the size limit is refused" large_body_refused
 
-# A client that never ends its request's head is cut off.
-slow_client() {
+# A client never completes the header of its request.  Guards against such
+# connections staying open.
+stalled_client_disconnected() {
 	port=${url_a1##*:}
 	exec 9<>"/dev/tcp/127.0.0.1/$port" || return 1
 	printf 'GET /v1/status HTTP/1.1\r\nHost: x\r\n' >&9
@@ -192,20 +215,23 @@
 	exec 9>&-
 	[ $code = 0 ]
 }
-check "a client that stalls in its head is cut off" slow_client
+check "a client that stalls in its header is disconnected" \
+	stalled_client_disconnected
 
-# TLS, and a certificate that is renewed while it runs.
-certificate() {
+# TLS, and a certificate that is renewed while the daemon runs.
+# make_certificate COMMON-NAME
+make_certificate() {
 	openssl req -x509 -newkey rsa:2048 -nodes -days 2 -subj "/CN=$1" \
 		-addext "subjectAltName=IP:127.0.0.1" -keyout "$work/tls.key" \
 		-out "$work/tls.crt" 2>/dev/null
 }
-served_name() {
+# Prints the subject of the certificate that the server presents.
+served_subject() {
 	openssl s_client -connect "$tls_addr" </dev/null 2>/dev/null |
 		openssl x509 -noout -subject 2>/dev/null
 }
 start_tls() {
-	certificate first
+	make_certificate first
 	CITRONLB_TLS_CERT=$work/tls.crt CITRONLB_TLS_KEY=$work/tls.key \
 		start_entry a8 a
 	eval "tls_addr=\${url_a8#http://}"
@@ -215,29 +241,29 @@
 	curl -s -m 10 --cacert "$work/tls.crt" "https://$tls_addr/metrics" |
 		grep -q citronlb_requests_total
 }
-check "TLS towards callers" wait_for 10 over_tls
+check "requests over TLS are answered" wait_for 10 over_tls
 over_http2() {
 	curl -s -m 10 --http2 --cacert "$work/tls.crt" -o /dev/null \
 		-w '%{http_version}' "https://$tls_addr/metrics" | grep -q '^2'
 }
-check "HTTP/2 under TLS" over_http2
-certificate second
+check "HTTP/2 is negotiated under TLS" over_http2
+make_certificate second
 kill -HUP "$pid_a8"
-renewed() { served_name | grep -q second; }
-check "SIGHUP takes a renewed certificate" wait_for 10 renewed
+renewed() { served_subject | grep -q second; }
+check "SIGHUP loads a renewed certificate" wait_for 10 renewed
 echo damaged >"$work/tls.crt"
 kill -HUP "$pid_a8"
 sleep 0.5
-check "a damaged one leaves the old in use" renewed
+check "SIGHUP with a damaged certificate keeps the previous one" renewed
 
-# A stranger's peer link is not listened to.
-stranger() {
-	"$bin/citronctl/citronctl" peerkeys >"$work/strange"
-	cut -d' ' -f2 "$work/strange" >"$work/strange-secret"
+# A daemon whose peer key is not permitted connects to its peers.
+unknown_peer_ignored() {
+	"$bin/citronctl/citronctl" peerkeys >"$work/unknown-peer"
+	cut -d' ' -f2 "$work/unknown-peer" >"$work/unknown-peer-secret"
 	"$bin/citronlbd/citronlbd" --id a7 --domain a --listen 127.0.0.1:0 \
 		--peer-listen 127.0.0.1:0 --platform "$platform" \
-		--peer-public "$(cut -d' ' -f1 "$work/strange")" \
-		--peer-secret-file "$work/strange-secret" \
+		--peer-public "$(cut -d' ' -f1 "$work/unknown-peer")" \
+		--peer-secret-file "$work/unknown-peer-secret" \
 		--addr-file "$work/addr-a7" 2>/dev/null &
 	pids="$pids $!"
 	wait_for 10 test -s "$work/addr-a7"
@@ -245,7 +271,7 @@
 	! ctl --json status | jq -e '.peers[]|select(.id=="a7" and .alive)' \
 		>/dev/null
 }
-check "a stranger's key opens no peer link" stranger
+check "a peer with an unknown key gets no link" unknown_peer_ignored
 
 echo "$passed passed, $failed failed"
 [ $failed = 0 ]
