--- a/bench/load.c
+++ b/bench/load.c
@@ -1,7 +1,10 @@
 /*
- * load - sends requests with a number in flight and prints their times.
+ * load - sends HTTP requests and prints their latencies as a JSON line.
  * usage: load URL KEY REQUESTS IN-FLIGHT LABEL [BODY]
- * A %d in BODY becomes the request's number.
+ *
+ * IN-FLIGHT requests are outstanding at any time.  The first %d in BODY is
+ * replaced by the number of requests that are still to be sent, so that each
+ * body differs.  Answers with status 200 or 202 count as good.
  */
 #include <curl/curl.h>
 #include <stdio.h>
@@ -13,23 +16,24 @@
   IN_FLIGHT_MAX = 256,
   TIMEOUT_MS = 30000,
   BODY_MAX = 1024,
-  US = 1000000,
+  US_PER_S = 1000000,
 };
 
+/* struct run - the whole measurement */
 struct run
 {
   CURLM *multi;
   struct curl_slist *headers;
   const char *url;
   const char *body;
-  double *times;
-  int n_times;
-  int left;
-  int bad;
+  double *times_s; /* latencies of good answers */
+  int n_good;
+  int n_left; /* requests still to be sent */
+  int n_bad;
 };
 
 static size_t
-swallow (char *data, size_t size, size_t n, void *arg)
+discard_body (char *data, size_t size, size_t n, void *arg)
 {
   (void)data;
   (void)arg;
@@ -40,24 +44,25 @@
 send_one (struct run *r, CURL *e)
 {
   char body[BODY_MAX];
-  const char *mark = strstr (r->body, "%d");
+  const char *placeholder = strstr (r->body, "%d");
 
-  r->left--;
+  r->n_left--;
   snprintf (body, sizeof body, "%s", r->body);
-  if (mark)
-    snprintf (body, sizeof body, "%.*s%d%s", (int)(mark - r->body), r->body,
-              r->left, mark + 2);
+  if (placeholder)
+    snprintf (body, sizeof body, "%.*s%d%s", (int)(placeholder - r->body),
+              r->body, r->n_left, placeholder + 2);
   curl_easy_setopt (e, CURLOPT_URL, r->url);
   curl_easy_setopt (e, CURLOPT_COPYPOSTFIELDS, body);
   curl_easy_setopt (e, CURLOPT_HTTPHEADER, r->headers);
-  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, swallow);
+  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, discard_body);
   curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)TIMEOUT_MS);
   curl_easy_setopt (e, CURLOPT_PROXY, "");
   curl_multi_add_handle (r->multi, e);
 }
 
+/* Records the requests that have finished and sends others in their place. */
 static void
-reap (struct run *r)
+collect_finished (struct run *r)
 {
   CURLMsg *msg;
   int queued;
@@ -67,13 +72,13 @@
       CURL *e = msg->easy_handle;
       long status = 0;
       curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &status);
-      curl_easy_getinfo (e, CURLINFO_TOTAL_TIME, &r->times[r->n_times]);
+      curl_easy_getinfo (e, CURLINFO_TOTAL_TIME, &r->times_s[r->n_good]);
       if (status == 200 || status == 202)
-        r->n_times++;
+        r->n_good++;
       else
-        r->bad++;
+        r->n_bad++;
       curl_multi_remove_handle (r->multi, e);
-      if (r->left > 0)
+      if (r->n_left > 0)
         send_one (r, e);
       else
         curl_easy_cleanup (e);
@@ -81,7 +86,7 @@
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -97,7 +102,7 @@
   int total;
   int in_flight;
   int running = 1;
-  double wall = 0;
+  double sum_s = 0;
 
   if (argc != 6 && argc != 7)
     {
@@ -105,12 +110,12 @@
                "usage: load url key requests in-flight label [body]\n");
       return 64;
     }
-  total = r.left = atoi (argv[3]);
+  total = r.n_left = atoi (argv[3]);
   in_flight = atoi (argv[4]);
   r.url = argv[1];
   r.body = argc == 7 ? argv[6] : "x";
-  r.times = calloc ((size_t)total, sizeof *r.times);
-  if (!r.times || in_flight > IN_FLIGHT_MAX)
+  r.times_s = calloc ((size_t)total, sizeof *r.times_s);
+  if (!r.times_s || in_flight > IN_FLIGHT_MAX)
     return 64;
   snprintf (header, sizeof header, "Authorization: Bearer %s", argv[2]);
   r.headers = curl_slist_append (NULL, header);
@@ -118,23 +123,23 @@
   r.multi = curl_multi_init ();
   for (int i = 0; i < in_flight; i++)
     send_one (&r, curl_easy_init ());
-  while (running || r.left > 0)
+  while (running || r.n_left > 0)
     {
       curl_multi_perform (r.multi, &running);
-      reap (&r);
+      collect_finished (&r);
       if (running)
         curl_multi_poll (r.multi, NULL, 0, 100, NULL);
     }
-  reap (&r);
-  qsort (r.times, (size_t)r.n_times, sizeof *r.times, by_time);
-  for (int i = 0; i < r.n_times; i++)
-    wall += r.times[i];
+  collect_finished (&r);
+  qsort (r.times_s, (size_t)r.n_good, sizeof *r.times_s, compare_times);
+  for (int i = 0; i < r.n_good; i++)
+    sum_s += r.times_s[i];
   printf ("{\"figure\":\"service\",\"label\":\"%s\",\"in_flight\":%d,"
           "\"good\":%d,\"bad\":%d,\"p50_us\":%.0f,\"p99_us\":%.0f,"
           "\"requests_per_s\":%.0f}\n",
-          argv[5], in_flight, r.n_times, r.bad,
-          r.n_times ? r.times[r.n_times / 2] * US : 0,
-          r.n_times ? r.times[r.n_times * 99 / 100] * US : 0,
-          wall > 0 ? r.n_times * in_flight / wall : 0);
+          argv[5], in_flight, r.n_good, r.n_bad,
+          r.n_good ? r.times_s[r.n_good / 2] * US_PER_S : 0,
+          r.n_good ? r.times_s[r.n_good * 99 / 100] * US_PER_S : 0,
+          sum_s > 0 ? r.n_good * in_flight / sum_s : 0);
   return 0;
 }
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,7 +1,8 @@
 /*
- * policy - placements a second and the time of one decision, on one core,
- * next to three baselines that place the same work on the same workers.
- * Prints a JSON line for each figure.
+ * policy - measures the placement policy on one core: placements per second,
+ * the time of one decision and the packing density.  Three baseline policies
+ * place the same tasks on the same workers.  Prints each figure as a JSON
+ * line.
  */
 #include "place.h"
 
@@ -13,26 +14,28 @@
 enum
 {
   DECISIONS = 200000,
+  /* Capacity of one worker. */
   CORES = 32,
   MEM_MB = 65536,
-  RACK_SIZE = 8,
-  WAITING_MISSES = 200, /* refusals in a row that end a packing run */
+  RACK_SIZE = 8,            /* workers in one rack */
+  PACKING_MISSES_MAX = 200, /* failures in a row that end a packing run */
 };
 
-/* enum way - how a worker is chosen */
-enum way
+/* enum policy - how a worker is chosen */
+enum policy
 {
-  WAY_CITRONLB,
-  WAY_FIRST_FIT,
-  WAY_LEAST_LOADED,
-  WAY_RANDOM_OF_TWO,
-  WAY_N
+  POLICY_CITRONLB,
+  POLICY_FIRST_FIT,
+  POLICY_LEAST_LOADED,
+  POLICY_RANDOM_OF_TWO,
+  POLICY_N
 };
-static const char *const way_names[WAY_N]
+static const char *const policy_names[POLICY_N]
     = { "citronlb", "first-come first-fit", "least-loaded", "random of two" };
 
 static uint64_t rng;
 
+/* A number from 0 to @below - 1, or 0 if @below is 0. */
 static uint64_t
 next_random (uint64_t below)
 {
@@ -69,7 +72,7 @@
     }
 }
 
-/* Large renders, middling proofs, small previews. */
+/* A large task in 10 %, a medium one in 30 % and a small one in 60 %. */
 static struct spec
 random_spec (void)
 {
@@ -88,19 +91,20 @@
 static bool
 fits (const struct worker *w, const struct clb_res *need)
 {
-  struct clb_res room = w->inst.capacity;
+  struct clb_res free_capacity = w->inst.capacity;
 
-  clb_res_add (&room, &w->used, -1);
-  return clb_res_fits (need, &room);
+  clb_res_add (&free_capacity, &w->used, -1);
+  return clb_res_fits (need, &free_capacity);
 }
 
+/* Picks a worker by a baseline policy; NULL if none fits. */
 static struct worker *
-baseline (struct pool *pool, struct worker **all, int n, int way,
-          const struct clb_res *need)
+baseline_pick (struct pool *pool, struct worker **all, int n, int policy,
+               const struct clb_res *need)
 {
   struct worker *best = NULL;
 
-  if (way == WAY_RANDOM_OF_TWO)
+  if (policy == POLICY_RANDOM_OF_TWO)
     {
       struct worker *a = all[next_random ((uint64_t)n)];
       struct worker *b = all[next_random ((uint64_t)n)];
@@ -116,7 +120,7 @@
     {
       if (!all[i] || !fits (all[i], need))
         continue;
-      if (way == WAY_FIRST_FIT)
+      if (policy == POLICY_FIRST_FIT)
         return all[i];
       if (!best || all[i]->used.cores < best->used.cores)
         best = all[i];
@@ -124,27 +128,28 @@
   return best;
 }
 
+/* Picks a worker and reserves the task's resources on it, or returns NULL. */
 static struct worker *
-choose (struct pool *pool, struct worker **all, int n, int way,
-        const struct spec *spec)
+place_task (struct pool *pool, struct worker **all, int n, int policy,
+            const struct spec *spec)
 {
   struct worker *w = NULL;
-  int64_t looked_at;
+  int64_t n_examined;
   int reason;
 
-  if (way != WAY_CITRONLB)
+  if (policy != POLICY_CITRONLB)
     {
-      w = baseline (pool, all, n, way, &spec->need);
+      w = baseline_pick (pool, all, n, policy, &spec->need);
       if (w)
         clb_res_add (&w->used, &spec->need, 1);
       return w;
     }
-  reason = pool_pick (pool, spec, "", 0, &w, &looked_at);
+  reason = pool_pick (pool, spec, "", 0, &w, &n_examined);
   return reason == WHY_NO_ROOM || reason == WHY_NO_WORKER_FITS ? NULL : w;
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -152,26 +157,27 @@
   return x < y ? -1 : x > y;
 }
 
-/* struct load - one placed task, so that it can end again */
-struct load
+/* struct placement - a task that was placed, or w is NULL; kept to end it */
+struct placement
 {
   struct worker *w;
   struct clb_res need;
 };
 
+/* Measures decisions while tasks of random kinds end and new ones start. */
 static void
-speed (int workers, int accels, int running, int way)
+measure_speed (int workers, int accels, int running, int policy)
 {
-  static int64_t times[DECISIONS];
+  static int64_t times_ns[DECISIONS];
   struct pool pool;
   struct worker **all = calloc ((size_t)workers, sizeof *all);
-  struct load *loads = calloc ((size_t)running, sizeof *loads);
+  struct placement *placements = calloc ((size_t)running, sizeof *placements);
   struct worker *w;
   int n = 0;
-  int64_t total = 0;
+  int64_t total_ns = 0;
   int placed = 0;
 
-  if (!all || !loads)
+  if (!all || !placements)
     abort ();
   rng = 88172645463325252u;
   pool_init (&pool);
@@ -180,38 +186,39 @@
     all[n++] = w;
   for (int i = 0; i < DECISIONS; i++)
     {
-      struct load *l = &loads[next_random ((uint64_t)running)];
-      if (l->w)
-        clb_res_add (&l->w->used, &l->need, -1);
-      l->w = NULL;
+      struct placement *p = &placements[next_random ((uint64_t)running)];
+      if (p->w)
+        clb_res_add (&p->w->used, &p->need, -1);
+      p->w = NULL;
       struct spec spec = random_spec ();
-      int64_t t0 = now_ns ();
-      w = choose (&pool, all, n, way, &spec);
-      times[i] = now_ns () - t0;
-      total += times[i];
+      int64_t start_ns = now_ns ();
+      w = place_task (&pool, all, n, policy, &spec);
+      times_ns[i] = now_ns () - start_ns;
+      total_ns += times_ns[i];
       if (!w)
         continue;
       placed++;
-      l->w = w;
-      l->need = spec.need;
+      p->w = w;
+      p->need = spec.need;
     }
   const int median = DECISIONS / 2;
-  const int late = DECISIONS / 100 * 99;
-  qsort (times, DECISIONS, sizeof *times, by_time);
+  const int p99 = DECISIONS / 100 * 99;
+  qsort (times_ns, DECISIONS, sizeof *times_ns, compare_times);
   printf ("{\"figure\":\"placement\",\"way\":\"%s\",\"workers\":%d,"
           "\"running\":%d,\"placements_per_s\":%.0f,\"p50_us\":%.1f,"
           "\"p99_us\":%.1f,\"placed\":%d,\"of\":%d}\n",
-          way_names[way], workers, running,
-          (double)DECISIONS * 1e9 / (double)total, (double)times[median] / 1e3,
-          (double)times[late] / 1e3, placed, DECISIONS);
+          policy_names[policy], workers, running,
+          (double)DECISIONS * 1e9 / (double)total_ns,
+          (double)times_ns[median] / 1e3, (double)times_ns[p99] / 1e3, placed,
+          DECISIONS);
   pool_clear (&pool);
   free (all);
-  free (loads);
+  free (placements);
 }
 
-/* How full the workers are when work has to wait. */
+/* Measures which share of the capacity is in use when tasks no longer fit. */
 static void
-packing (int workers, int accels, int way)
+measure_packing (int workers, int accels, int policy)
 {
   struct pool pool;
   struct worker **all = calloc ((size_t)workers, sizeof *all);
@@ -228,10 +235,10 @@
   add_workers (&pool, workers, accels);
   RB_FOREACH (w, worker_tree, &pool.workers)
     all[n++] = w;
-  while (misses < WAITING_MISSES)
+  while (misses < PACKING_MISSES_MAX)
     {
       struct spec spec = random_spec ();
-      misses = choose (&pool, all, n, way, &spec) ? 0 : misses + 1;
+      misses = place_task (&pool, all, n, policy, &spec) ? 0 : misses + 1;
     }
   for (int i = 0; i < n; i++)
     {
@@ -240,7 +247,8 @@
     }
   printf ("{\"figure\":\"packing\",\"way\":\"%s\",\"workers\":%d,"
           "\"cores_used\":%.4f,\"mem_used\":%.4f}\n",
-          way_names[way], workers, (double)cores / (CORES * (double)workers),
+          policy_names[policy], workers,
+          (double)cores / (CORES * (double)workers),
           (double)mem / (MEM_MB * (double)workers));
   pool_clear (&pool);
   free (all);
@@ -249,16 +257,16 @@
 int
 main (void)
 {
-  for (int way = 0; way < WAY_N; way++)
+  for (int policy = 0; policy < POLICY_N; policy++)
     {
-      speed (50, 12, 300, way);
-      speed (186, 220, 1140, way);
-      speed (930, 1100, 5700, way);
+      measure_speed (50, 12, 300, policy);
+      measure_speed (186, 220, 1140, policy);
+      measure_speed (930, 1100, 5700, policy);
     }
-  for (int way = 0; way < WAY_N; way++)
+  for (int policy = 0; policy < POLICY_N; policy++)
     {
-      packing (50, 12, way);
-      packing (930, 1100, way);
+      measure_packing (50, 12, policy);
+      measure_packing (930, 1100, policy);
     }
   return 0;
 }
--- a/regress/process/real.sh
+++ b/regress/process/real.sh
@@ -102,7 +102,7 @@
 CITRONCTL_SERVER=$rest
 for e in a1 a2 a3; do [ $e = "$holder_id" ] || eval "url_live=\$url_$e"; done
 taken_over() {
-	ctl --json status | jq -e --arg h "$holder_id" '.holder != "" and .holder != $holder_id' \
+	ctl --json status | jq -e --arg h "$holder_id" '.holder != "" and .holder != $h' \
 		>/dev/null
 }
 check "another instance takes over from a suspended holder" \
--- a/regress/soak/proxy.c
+++ b/regress/soak/proxy.c
@@ -211,8 +211,8 @@
 }
 
 /* Starts or stops reading each end by the mode of the link.  Bytes that are
-   not read stay in the socket buffers, and TCP flow control stops the sender.
- */
+   not read stay in the sockets' buffers, and TCP flow control stops the
+   sender. */
 static void
 update_reading (struct pair *p)
 {
