--- a/bench/times.lua
+++ b/bench/times.lua
@@ -54,7 +54,8 @@
     local m = manifest({red = {cores = 100 + i}, blue = {}}, {"red", "blue"})
     local at = entries[i % #entries + 1]
     local c = apply(at, m)
-    within(5000, "the answer to the apply call", function() return answer(c).status ~= 0 end)
+    within(5000, "the answer to the apply call",
+           function() return answer(c).status ~= 0 end)
     local t0 = now()
     expect(accepted_config(c, m), "the configuration is accepted")
     within(10000, "the configuration is in force at all instances", function()
@@ -80,7 +81,8 @@
     run(round * 47)
     local m = manifest({red = {}, blue = {}}, {"blue"})
     local c = apply("a1", m)
-    within(5000, "the answer to the apply call", function() return answer(c).status ~= 0 end)
+    within(5000, "the answer to the apply call",
+           function() return answer(c).status ~= 0 end)
     local t0 = now()
     accepted_config(c, m)
     local last = 0
