--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -1,6 +1,6 @@
 /*
- * Holds what workers, executors and callers saw against the guarantees.
- * Never reads the scheduler's own books.
+ * Checks what workers, executors and callers saw against the guarantees.
+ * It never reads the scheduler's own state.
  */
 #include "world.h"
 
@@ -12,30 +12,35 @@
 
 enum
 {
-  IN_FORCE_MS = 3500, /* a change is in force everywhere within this */
-  LEAVING_MS = 4000,  /* after the list shows it, nothing new arrives */
+  /* An accepted configuration change is in force everywhere within this. */
+  CONF_IN_FORCE_MS = 3500,
+  /* A server gets no new work later than this after the platform's list shows
+     it as leaving. */
+  LEAVING_GRACE_MS = 4000,
   MEMBERS_MAX = 32,
   LIMITS_MAX = 1024,
   WITHDRAWN_MAX = 64,
   TEAMS_MAX = 16,
 };
 
-/* struct work - one request id, as the outside saw it */
-struct work
+/* struct request_log - what callers and servers saw of one request id */
+struct request_log
 {
-  RB_ENTRY (work) by_name;
-  char name[CLB_ID_MAX];
+  RB_ENTRY (request_log) by_name;
+  char name[CLB_ID_MAX]; /* "team:request id" */
   bool idempotent;
-  int calls;
-  bool not_run;        /* its only caller was told so */
-  char id[CLB_ID_MAX]; /* once accepted */
+  int n_calls;
+  /* The answer to its only call said that it was not run. */
+  bool reported_not_run;
+  char id[CLB_ID_MAX]; /* of the accepted task; empty: not accepted */
   char state[CLB_NAME_MAX];
-  int starts[MEMBERS_MAX];
-  int running[MEMBERS_MAX];
-  int ok[MEMBERS_MAX];
-  int served;
+  /* Runs of a task, by member. */
+  int n_starts[MEMBERS_MAX];
+  int n_running[MEMBERS_MAX];
+  int n_ok[MEMBERS_MAX];
+  int n_served; /* starts of a service request */
 };
-RB_HEAD (work_tree, work);
+RB_HEAD (request_log_tree, request_log);
 
 struct usage
 {
@@ -46,7 +51,7 @@
 struct check
 {
   struct world *w;
-  struct work_tree works;
+  struct request_log_tree requests;
   struct limit limits[LIMITS_MAX];
   int n_limits;
   struct usage usage[TEAMS_MAX];
@@ -57,18 +62,18 @@
     int64_t at_ms;
   } withdrawn[WITHDRAWN_MAX];
   int n_withdrawn;
-  bool is_broken;
-  char broken[256];
+  bool violated;
+  char violation[256];
 };
 
 static int
-work_cmp (const struct work *a, const struct work *b)
+request_log_cmp (const struct request_log *a, const struct request_log *b)
 {
   return strcmp (a->name, b->name);
 }
 
-RB_PROTOTYPE (work_tree, work, by_name, work_cmp)
-RB_GENERATE (work_tree, work, by_name, work_cmp)
+RB_PROTOTYPE (request_log_tree, request_log, by_name, request_log_cmp)
+RB_GENERATE (request_log_tree, request_log, by_name, request_log_cmp)
 
 struct check *
 check_new (struct world *w)
@@ -78,53 +83,53 @@
   if (!c)
     abort ();
   c->w = w;
-  RB_INIT (&c->works);
+  RB_INIT (&c->requests);
   return c;
 }
 
 void
 check_free (struct check *c)
 {
-  struct work *k;
+  struct request_log *k;
 
-  while ((k = RB_MIN (work_tree, &c->works)))
+  while ((k = RB_MIN (request_log_tree, &c->requests)))
     {
-      RB_REMOVE (work_tree, &c->works, k);
+      RB_REMOVE (request_log_tree, &c->requests, k);
       free (k);
     }
   free (c);
 }
 
 static void __attribute__ ((format (printf, 2, 3)))
-broken (struct check *c, const char *fmt, ...)
+violation (struct check *c, const char *fmt, ...)
 {
   va_list ap;
   int n;
 
-  if (c->is_broken)
+  if (c->violated)
     return;
-  c->is_broken = true;
-  n = snprintf (c->broken, sizeof c->broken,
+  c->violated = true;
+  n = snprintf (c->violation, sizeof c->violation,
                 "at %lld ms: ", (long long)c->w->now_ms);
   va_start (ap, fmt);
-  vsnprintf (c->broken + n, sizeof c->broken - (size_t)n, fmt, ap);
+  vsnprintf (c->violation + n, sizeof c->violation - (size_t)n, fmt, ap);
   va_end (ap);
 }
 
 const char *
-check_broken (const struct check *c)
+check_violation (const struct check *c)
 {
-  return c->is_broken ? c->broken : NULL;
+  return c->violated ? c->violation : NULL;
 }
 
-static struct work *
-work_of (struct check *c, const char *name)
+static struct request_log *
+request_log_get (struct check *c, const char *name)
 {
-  struct work key;
-  struct work *k;
+  struct request_log key;
+  struct request_log *k;
 
   clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (work_tree, &c->works, &key);
+  k = RB_FIND (request_log_tree, &c->requests, &key);
   if (k)
     return k;
   k = calloc (1, sizeof *k);
@@ -132,13 +137,13 @@
     abort ();
   clb_copy (k->name, name, sizeof k->name);
   k->idempotent = true;
-  RB_INSERT (work_tree, &c->works, k);
+  RB_INSERT (request_log_tree, &c->requests, k);
   return k;
 }
 
-/* Work is named "team:request id". */
+/* Extracts the team from a name "team:request id". */
 static void
-team_of (const char *name, char out[CLB_NAME_MAX])
+team_of_name (const char *name, char out[CLB_NAME_MAX])
 {
   size_t len = strcspn (name, ":");
 
@@ -148,7 +153,7 @@
 }
 
 static struct usage *
-usage_of (struct check *c, const char *team)
+usage_get (struct check *c, const char *team)
 {
   for (int i = 0; i < c->n_usage; i++)
     if (strcmp (c->usage[i].team, team) == 0)
@@ -160,7 +165,8 @@
   return u;
 }
 
-/* A lowered limit binds new starts once it is in force everywhere. */
+/* Whether @used is within a limit that may be in force now.  A lowered limit
+   applies to new starts only once it is in force everywhere. */
 static bool
 within_limit (const struct check *c, const char *team,
               const struct clb_res *used)
@@ -175,9 +181,9 @@
         continue;
       if (now <= until && clb_res_fits (used, &l->amount))
         return true;
-      if (l->maybe)
+      if (l->outcome_unknown)
         continue;
-      until = l->since_ms + IN_FORCE_MS;
+      until = l->since_ms + CONF_IN_FORCE_MS;
       if (now > until)
         return false;
     }
@@ -185,55 +191,60 @@
 }
 
 static void
-use (struct check *c, const char *name, const struct clb_res *need,
-     int64_t times)
+usage_add (struct check *c, const char *name, const struct clb_res *need,
+           int64_t factor)
 {
   char team[CLB_NAME_MAX];
 
-  team_of (name, team);
-  struct usage *u = usage_of (c, team);
-  clb_res_add (&u->used, need, times);
-  if (times > 0 && !within_limit (c, team, &u->used))
-    broken (c, "team %s over its upper limit with %s", team, name);
+  team_of_name (name, team);
+  struct usage *u = usage_get (c, team);
+  clb_res_add (&u->used, need, factor);
+  if (factor > 0 && !within_limit (c, team, &u->used))
+    violation (c, "team %s exceeds its upper limit by the start of %s", team,
+               name);
 }
 
-/* A service request needs no record, so a domain serves it while the platform
-   and its list are away: its bound counts from when the platform was back. */
+/* Reports work that was given to a server long after it began to leave.
+   Service requests need no record, so a domain serves them also while the
+   platform and its list are unreachable: their bound counts from the end of
+   the platform's last fault. */
 static void
 check_leaving (struct check *c, const struct wserver *s, const char *name,
                bool service)
 {
-  int64_t since = s->leaving_ms;
-
-  if (service && c->w->platform_bad_ms > since)
-    since = c->w->platform_bad_ms;
-  if (s->leaving_ms && c->w->now_ms - since > c->w->list_lag_ms + LEAVING_MS)
-    broken (c, "%s given to %s, leaving for %lld ms", name, s->inst.id,
-            (long long)(c->w->now_ms - s->leaving_ms));
+  int64_t since = s->leaving_since_ms;
+
+  if (service && c->w->platform_fault_ms > since)
+    since = c->w->platform_fault_ms;
+  if (s->leaving_since_ms
+      && c->w->now_ms - since > c->w->list_lag_ms + LEAVING_GRACE_MS)
+    violation (c, "%s started on %s, which has been leaving for %lld ms", name,
+               s->inst.id, (long long)(c->w->now_ms - s->leaving_since_ms));
 }
 
 static void
-run_started (struct check *c, struct wserver *s, struct work *k, int i,
+run_started (struct check *c, struct wserver *s, struct request_log *k, int i,
              const struct frun *run)
 {
   clb_res_add (&s->used, &run->need, 1);
   if (!clb_res_fits (&s->used, &s->inst.capacity))
-    broken (c, "%s overcommitted by %s", s->inst.id, run->id);
-  if (++k->running[i] > 1)
-    broken (c, "%s member %d runs in two places", k->name, i);
-  if (++k->starts[i] > 1 && !k->idempotent)
-    broken (c, "%s is not idempotent and started again", k->name);
-  if (k->not_run)
-    broken (c, "%s started after it was said not to run", k->name);
+    violation (c, "capacity of worker %s exceeded by run %s", s->inst.id,
+               run->id);
+  if (++k->n_running[i] > 1)
+    violation (c, "%s member %d runs in two places at once", k->name, i);
+  if (++k->n_starts[i] > 1 && !k->idempotent)
+    violation (c, "%s is not idempotent and was started twice", k->name);
+  if (k->reported_not_run)
+    violation (c, "%s started after its caller was told not-run", k->name);
   check_leaving (c, s, k->name, false);
-  use (c, k->name, &run->need, 1);
+  usage_add (c, k->name, &run->need, 1);
 }
 
 void
 check_run (struct check *c, struct wserver *s, const struct frun *run,
            bool started)
 {
-  struct work *k = work_of (c, run->name);
+  struct request_log *k = request_log_get (c, run->name);
   const char *slash = strrchr (run->id, '/');
   int i = slash ? atoi (slash + 1) : 0;
 
@@ -245,53 +256,58 @@
       return;
     }
   clb_res_add (&s->used, &run->need, -1);
-  k->running[i]--;
-  k->ok[i] += run->state == RUN_OK;
-  use (c, k->name, &run->need, -1);
+  k->n_running[i]--;
+  k->n_ok[i] += run->state == RUN_OK;
+  usage_add (c, k->name, &run->need, -1);
 }
 
 void
 check_served (struct check *c, struct wserver *s, int call, bool started)
 {
   const struct wcall *wc = &c->w->calls[call];
-  struct work *k = work_of (c, wc->name);
-  struct clb_res slot = { .slots = 1 };
+  struct request_log *k = request_log_get (c, wc->name);
+  struct clb_res one_slot = { .slots = 1 };
 
-  clb_res_add (&s->used, &slot, started ? 1 : -1);
+  clb_res_add (&s->used, &one_slot, started ? 1 : -1);
   if (started)
     {
       if (!clb_res_fits (&s->used, &s->inst.capacity))
-        broken (c, "%s has more requests than slots", s->inst.id);
-      if (++k->served > 1 && !wc->idempotent)
-        broken (c, "%s is not idempotent and was sent again", k->name);
-      if (k->not_run)
-        broken (c, "%s sent after it was said not to run", k->name);
+        violation (c, "executor %s serves more requests than its slots",
+                   s->inst.id);
+      if (++k->n_served > 1 && !wc->idempotent)
+        violation (c, "%s is not idempotent and was sent to an executor twice",
+                   k->name);
+      if (k->reported_not_run)
+        violation (c,
+                   "%s sent to an executor after its caller was told not-run",
+                   k->name);
       check_leaving (c, s, k->name, true);
     }
-  use (c, wc->name, &slot, started ? 1 : -1);
+  usage_add (c, wc->name, &one_slot, started ? 1 : -1);
 }
 
 void
 check_call (struct check *c, const struct wcall *call)
 {
-  struct work *k;
+  struct request_log *k;
 
   if (!*call->name)
     return;
-  k = work_of (c, call->name);
+  k = request_log_get (c, call->name);
   k->idempotent = call->idempotent;
-  /* A refusal speaks of its own call: a later one may well run. */
-  k->not_run = false;
-  k->calls++;
+  /* "not-run" holds for one call only: a later call of the same request id
+     may run. */
+  k->reported_not_run = false;
+  k->n_calls++;
 }
 
 static bool
-has_run (const struct work *k)
+has_run (const struct request_log *k)
 {
-  int n = k->served;
+  int n = k->n_served;
 
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->starts[i];
+    n += k->n_starts[i];
   return n > 0;
 }
 
@@ -300,22 +316,24 @@
 {
   for (int i = 0; i < c->n_withdrawn; i++)
     if (strcmp (c->withdrawn[i].key, call->key) == 0
-        && call->sent_ms > c->withdrawn[i].at_ms + IN_FORCE_MS)
-      broken (c, "%s accepted with key %s, withdrawn %lld ms before",
-              call->name, call->key,
-              (long long)(call->sent_ms - c->withdrawn[i].at_ms));
+        && call->sent_ms > c->withdrawn[i].at_ms + CONF_IN_FORCE_MS)
+      violation (c,
+                 "%s accepted with key %s, which was withdrawn %lld ms before",
+                 call->name, call->key,
+                 (long long)(call->sent_ms - c->withdrawn[i].at_ms));
 }
 
 static void
-check_accepted (struct check *c, struct work *k, const struct wcall *call)
+check_accepted (struct check *c, struct request_log *k,
+                const struct wcall *call)
 {
   json_t *json = json_loads (call->body, 0, NULL);
   const char *id = json_string_value (json_object_get (json, "id"));
 
   if (!id)
-    broken (c, "%s accepted without an id", call->name);
+    violation (c, "%s accepted without a task id", call->name);
   else if (*k->id && strcmp (k->id, id) != 0)
-    broken (c, "%s accepted twice, as %s and %s", k->name, k->id, id);
+    violation (c, "%s accepted twice, as tasks %s and %s", k->name, k->id, id);
   else
     clb_copy (k->id, id, sizeof k->id);
   json_decref (json);
@@ -324,38 +342,39 @@
 void
 check_answer (struct check *c, struct wcall *call)
 {
-  struct work *k;
+  struct request_log *k;
   bool not_run;
 
   if (!*call->name)
     return;
-  k = work_of (c, call->name);
-  if (call->answers > 1)
-    broken (c, "%s answered twice", call->name);
+  k = request_log_get (c, call->name);
+  if (call->n_answers > 1)
+    violation (c, "%s answered twice", call->name);
   if (call->status < 0)
     {
-      broken (c, "%s cut short by a planned stop", call->name);
+      violation (c, "connection of %s broken by a planned stop", call->name);
       return;
     }
   not_run = strstr (call->body, "\"outcome\":\"not-run\"") != NULL;
-  if (not_run && k->calls == 1)
+  if (not_run && k->n_calls == 1)
     {
-      k->not_run = true;
+      k->reported_not_run = true;
       if (has_run (k))
-        broken (c, "%s has run and was answered %s", k->name, call->body);
+        violation (c, "%s has run, but its caller was told: %s", k->name,
+                   call->body);
     }
   if (call->status >= 300)
     return;
   check_key (c, call);
   if (call->service && strcmp (call->body, call->name) != 0)
-    broken (c, "%s got the answer of %s", call->name, call->body);
+    violation (c, "%s received the answer to %s", call->name, call->body);
   if (!call->service)
     check_accepted (c, k, call);
 }
 
 void
 check_limit (struct check *c, const char *team, const struct clb_res *amount,
-             bool maybe)
+             bool outcome_unknown)
 {
   struct limit *l = &c->limits[c->n_limits++];
 
@@ -363,7 +382,7 @@
     abort ();
   clb_copy (l->team, team, sizeof l->team);
   l->amount = *amount;
-  l->maybe = maybe;
+  l->outcome_unknown = outcome_unknown;
   l->since_ms = c->w->now_ms;
 }
 
@@ -379,10 +398,10 @@
 const char *
 check_next_accepted (struct check *c, int *at)
 {
-  struct work *k;
+  struct request_log *k;
   int i = 0;
 
-  RB_FOREACH (k, work_tree, &c->works)
+  RB_FOREACH (k, request_log_tree, &c->requests)
     if (*k->id && i++ == *at)
       {
         (*at)++;
@@ -392,46 +411,49 @@
 }
 
 void
-check_state (struct check *c, const char *id, const char *state)
+check_final_state (struct check *c, const char *id, const char *state)
 {
-  struct work *k;
+  struct request_log *k;
   bool final = strcmp (state, "done") == 0 || strcmp (state, "failed") == 0
                || strcmp (state, "cancelled") == 0
                || strcmp (state, "unknown") == 0;
 
-  RB_FOREACH (k, work_tree, &c->works)
+  RB_FOREACH (k, request_log_tree, &c->requests)
     if (strcmp (k->id, id) == 0)
       break;
   if (!k)
     return;
   clb_copy (k->state, state, sizeof k->state);
   if (!final)
-    broken (c, "%s (%s) was accepted and is left %s", k->name, id, state);
-  else if (strcmp (state, "done") == 0 && !k->ok[0])
-    broken (c, "%s is said to be done and no worker has ended it", k->name);
-  else if (strcmp (state, "cancelled") == 0 && k->running[0])
-    broken (c, "%s is said to be cancelled and runs", k->name);
+    violation (c, "%s (%s) was accepted and did not end: its state is %s",
+               k->name, id, state);
+  else if (strcmp (state, "done") == 0 && !k->n_ok[0])
+    violation (c, "%s is reported done, but no worker has finished it",
+               k->name);
+  else if (strcmp (state, "cancelled") == 0 && k->n_running[0])
+    violation (c, "%s is reported cancelled and still runs", k->name);
 }
 
 int
 check_starts (const struct check *c, const char *name)
 {
-  struct work key;
-  const struct work *k;
+  struct request_log key;
+  const struct request_log *k;
   int n;
 
   clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (work_tree, (struct work_tree *)&c->works, &key);
+  k = RB_FIND (request_log_tree, (struct request_log_tree *)&c->requests,
+               &key);
   if (!k)
     return 0;
-  n = k->served;
+  n = k->n_served;
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->starts[i];
+    n += k->n_starts[i];
   return n;
 }
 
 int64_t
-check_used (struct check *c, const char *team)
+check_used_cores (struct check *c, const char *team)
 {
-  return usage_of (c, team)->used.cores;
+  return usage_get (c, team)->used.cores;
 }
--- a/regress/scn/heap.c
+++ b/regress/scn/heap.c
@@ -1,10 +1,10 @@
-/* What is on its way, in the order of its arrival. */
+/* Binary heap of the messages on their way, ordered by arrival time. */
 #include "world.h"
 
 #include <stdlib.h>
 
 static bool
-before (const struct event_item *a, const struct event_item *b)
+arrives_before (const struct event_item *a, const struct event_item *b)
 {
   return a->at_ms < b->at_ms || (a->at_ms == b->at_ms && a->seq < b->seq);
 }
@@ -23,11 +23,11 @@
     }
   it->seq = ++w->seq;
   w->heap[i] = it;
-  while (i > 0 && before (w->heap[i], w->heap[(i - 1) / 2]))
+  while (i > 0 && arrives_before (w->heap[i], w->heap[(i - 1) / 2]))
     {
-      struct event_item *up = w->heap[(i - 1) / 2];
+      struct event_item *parent = w->heap[(i - 1) / 2];
       w->heap[(i - 1) / 2] = w->heap[i];
-      w->heap[i] = up;
+      w->heap[i] = parent;
       i = (i - 1) / 2;
     }
 }
@@ -41,15 +41,15 @@
   w->heap[0] = w->heap[--w->n_heap];
   for (;;)
     {
-      size_t small = i;
+      size_t first = i;
       for (size_t c = 2 * i + 1; c <= 2 * i + 2 && c < w->n_heap; c++)
-        if (before (w->heap[c], w->heap[small]))
-          small = c;
-      if (small == i)
+        if (arrives_before (w->heap[c], w->heap[first]))
+          first = c;
+      if (first == i)
         return top;
       struct event_item *t = w->heap[i];
-      w->heap[i] = w->heap[small];
-      w->heap[small] = t;
-      i = small;
+      w->heap[i] = w->heap[first];
+      w->heap[first] = t;
+      i = first;
     }
 }
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -1,7 +1,12 @@
 /*
- * scn-run - runs scenarios: Lua scripts with a dozen verbs on top.
+ * scn-run - runs scenarios, which are Lua scripts that call the verbs
+ * registered here.
+ *
  * usage: scn-run [-t] [-s SEED] [-n N] SCRIPT...
- * Each script is run with N seeds from SEED on.
+ *
+ * Each script runs once with each of the N seeds SEED, SEED + 1, ...; both
+ * default to 1.  The script's directory must hold lib.lua, which runs first.
+ * -t prints a trace of answers, events and runs.
  */
 #include "world.h"
 
@@ -28,9 +33,9 @@
 }
 
 static int64_t
-field_int (lua_State *L, int t, const char *name, int64_t other)
+field_int (lua_State *L, int t, const char *name, int64_t fallback)
 {
-  int64_t v = other;
+  int64_t v = fallback;
 
   if (lua_getfield (L, t, name) != LUA_TNIL)
     v = luaL_checkinteger (L, -1);
@@ -39,9 +44,9 @@
 }
 
 static bool
-field_bool (lua_State *L, int t, const char *name, bool other)
+field_bool (lua_State *L, int t, const char *name, bool fallback)
 {
-  bool v = other;
+  bool v = fallback;
 
   if (lua_getfield (L, t, name) != LUA_TNIL)
     v = lua_toboolean (L, -1);
@@ -60,6 +65,7 @@
   return v;
 }
 
+/* entry(id, domain): adds an entry instance and starts it */
 static int
 v_entry (lua_State *L)
 {
@@ -67,48 +73,53 @@
   return 0;
 }
 
-/* worker(id, domain, rack, cores, mem_mb, accels) */
+/* worker(id, domain, rack, cores, mem_mb, accels): adds a worker */
 static int
 v_worker (lua_State *L)
 {
-  struct clb_res room = { .cores = luaL_checkinteger (L, 4),
-                          .mem_mb = luaL_checkinteger (L, 5),
-                          .accels = luaL_optinteger (L, 6, 0) };
+  struct clb_res capacity = { .cores = luaL_checkinteger (L, 4),
+                              .mem_mb = luaL_checkinteger (L, 5),
+                              .accels = luaL_optinteger (L, 6, 0) };
 
   world_add_server (&world, luaL_checkstring (L, 1), luaL_checkstring (L, 2),
-                    luaL_checkstring (L, 3), INST_WORKER, &room);
+                    luaL_checkstring (L, 3), INST_WORKER, &capacity);
   return 0;
 }
 
+/* executor(id, domain, slots): adds an executor; slots default to 8 */
 static int
 v_executor (lua_State *L)
 {
-  struct clb_res room = { .slots = luaL_optinteger (L, 3, 8) };
+  struct clb_res capacity = { .slots = luaL_optinteger (L, 3, 8) };
 
   world_add_server (&world, luaL_checkstring (L, 1), luaL_checkstring (L, 2),
-                    luaL_checkstring (L, 2), INST_EXECUTOR, &room);
+                    luaL_checkstring (L, 2), INST_EXECUTOR, &capacity);
   return 0;
 }
 
+/* run(ms): lets virtual time pass; fails if a guarantee was violated */
 static int
 v_run (lua_State *L)
 {
   world_run (&world, luaL_checkinteger (L, 1));
-  if (check_broken (world.check))
-    return luaL_error (L, "broken: %s", check_broken (world.check));
+  if (check_violation (world.check))
+    return luaL_error (L, "guarantee violated: %s",
+                       check_violation (world.check));
   return 0;
 }
 
+/* kill(id): ends an entry instance's process, as by SIGKILL */
 static int
 v_kill (lua_State *L)
 {
   struct wnode *n = arg_node (L, 1);
 
-  n->stopping = false; /* whatever was planned */
+  n->stopping = false; /* a kill overrides a planned stop */
   world_kill (&world, n);
   return 0;
 }
 
+/* restart(id): starts an entry instance unless it is running */
 static int
 v_restart (lua_State *L)
 {
@@ -116,6 +127,7 @@
   return 0;
 }
 
+/* freeze(id): pauses an entry instance's process, as by SIGSTOP */
 static int
 v_freeze (lua_State *L)
 {
@@ -123,6 +135,7 @@
   return 0;
 }
 
+/* thaw(id): ends a freeze, as by SIGCONT */
 static int
 v_thaw (lua_State *L)
 {
@@ -130,7 +143,7 @@
   return 0;
 }
 
-/* A planned stop, as by SIGTERM. */
+/* stop(id): begins a planned stop, as by SIGTERM */
 static int
 v_stop (lua_State *L)
 {
@@ -143,6 +156,7 @@
   return 0;
 }
 
+/* up(id): whether its process runs, is not frozen and is not stopping */
 static int
 v_up (lua_State *L)
 {
@@ -152,14 +166,16 @@
   return 1;
 }
 
-/* running(id): whether its process is there at all */
+/* has_process(id): whether its process exists, also frozen or stopping */
 static int
-v_running (lua_State *L)
+v_has_process (lua_State *L)
 {
   lua_pushboolean (L, arg_node (L, 1)->up);
   return 1;
 }
 
+/* cut(a, b, one_way): partitions the network between a and b, each an
+   instance, a domain or "platform"; one_way: only from a to b */
 static int
 v_cut (lua_State *L)
 {
@@ -171,6 +187,7 @@
   return 0;
 }
 
+/* heal(): ends all cuts */
 static int
 v_heal (lua_State *L)
 {
@@ -179,56 +196,66 @@
   return 0;
 }
 
+/* store(mode): how the platform's store behaves, see enum store_mode */
 static int
 v_store (lua_State *L)
 {
   static const char *const modes[]
-      = { "up", "refuses", "hangs", "deaf", NULL };
+      = { "up", "refuses", "hangs", "drops-replies", NULL };
 
   world.store_mode = luaL_checkoption (L, 1, NULL, modes);
   return 0;
 }
 
-/* faults{slow=ms, lose=per cent, late=per cent, lag=ms} */
+/* faults{store_delay_ms=, lost_reply_percent=, late_percent=, list_lag_ms=}:
+   sets the fields of struct world; a field that is left out stays */
 static int
 v_faults (lua_State *L)
 {
-  world.store_slow_ms = field_int (L, 1, "slow", world.store_slow_ms);
-  world.lose_per_cent = (int)field_int (L, 1, "lose", world.lose_per_cent);
-  world.late_per_cent = (int)field_int (L, 1, "late", world.late_per_cent);
-  world.list_lag_ms = field_int (L, 1, "lag", world.list_lag_ms);
+  world.store_delay_ms
+      = field_int (L, 1, "store_delay_ms", world.store_delay_ms);
+  world.lost_reply_percent
+      = (int)field_int (L, 1, "lost_reply_percent", world.lost_reply_percent);
+  world.late_percent
+      = (int)field_int (L, 1, "late_percent", world.late_percent);
+  world.list_lag_ms = field_int (L, 1, "list_lag_ms", world.list_lag_ms);
   return 0;
 }
 
-/* server(id, {fail_all=, silent=, mute=, refuses=, reboot=, slowness=,
- * leaving=}) */
+/* server(id, {fail_all=, fence=, unreachable=, drops_replies=,
+   breaks_connections=, refuses_connections=, listed=, slowness=, reboot=,
+   leaving=}): changes a worker or executor; a field that is left out stays */
 static int
 v_server (lua_State *L)
 {
   struct wserver *s = world_server (&world, luaL_checkstring (L, 1));
 
   if (!s)
-    return luaL_error (L, "no server %s", lua_tostring (L, 1));
+    return luaL_error (L, "no worker or executor %s", lua_tostring (L, 1));
   s->w.fail_all = field_bool (L, 2, "fail_all", s->w.fail_all);
   s->w.fence = field_bool (L, 2, "fence", s->w.fence);
-  s->silent = field_bool (L, 2, "silent", s->silent);
-  s->mute = field_bool (L, 2, "mute", s->mute);
-  s->breaks = field_bool (L, 2, "breaks", s->breaks);
-  s->refuses = field_bool (L, 2, "refuses", s->refuses);
+  s->unreachable = field_bool (L, 2, "unreachable", s->unreachable);
+  s->drops_replies = field_bool (L, 2, "drops_replies", s->drops_replies);
+  s->breaks_connections
+      = field_bool (L, 2, "breaks_connections", s->breaks_connections);
+  s->refuses_connections
+      = field_bool (L, 2, "refuses_connections", s->refuses_connections);
   s->listed = field_bool (L, 2, "listed", s->listed);
   s->w.slowness = field_int (L, 2, "slowness", s->w.slowness);
   if (field_bool (L, 2, "reboot", false))
-    fworker_reboot (&s->w, world.now_ms, ++world.next_boot);
-  if (field_bool (L, 2, "leaving", s->leaving_ms > 0))
-    s->leaving_ms = s->leaving_ms ? s->leaving_ms : world.now_ms;
+    fworker_reboot (&s->w, world.now_ms, ++world.last_boot);
+  if (field_bool (L, 2, "leaving", s->leaving_since_ms > 0))
+    s->leaving_since_ms
+        = s->leaving_since_ms ? s->leaving_since_ms : world.now_ms;
   else
-    s->leaving_ms = 0;
+    s->leaving_since_ms = 0;
   world_publish (&world);
   return 0;
 }
 
 /* call{entry=, method=, path=, key=, key_id=, id=, body=, name=,
-        idempotent=, service=, run_ms=} */
+        idempotent=, service=, run_ms=}: sends a caller's request; key is the
+   bearer token, id the request id; returns the call for answer() */
 static int
 v_call (lua_State *L)
 {
@@ -253,8 +280,9 @@
                    world_call (&world, &proto, m, field_str (L, 1, "path"),
                                field_str (L, 1, "key"), field_str (L, 1, "id"),
                                field_str (L, 1, "body")));
-  if (check_broken (world.check))
-    return luaL_error (L, "broken: %s", check_broken (world.check));
+  if (check_violation (world.check))
+    return luaL_error (L, "guarantee violated: %s",
+                       check_violation (world.check));
   return 1;
 }
 
@@ -299,7 +327,8 @@
     }
 }
 
-/* answer(call): its JSON with .status (0: none yet, -1: connection broke) */
+/* answer(call): the answer's JSON as a table, with .status (HTTP status; 0: no
+   answer yet; -1: the connection broke) and .latency_ms */
 static int
 v_answer (lua_State *L)
 {
@@ -314,32 +343,35 @@
   lua_pushinteger (L, c->status);
   lua_setfield (L, -2, "status");
   lua_pushinteger (L, c->answered_ms - c->sent_ms);
-  lua_setfield (L, -2, "took");
+  lua_setfield (L, -2, "latency_ms");
   return 1;
 }
 
-/* holder(domain): the instance that holds it by the latest epoch */
+/* holder(domain): id of the instance that schedules the domain with the
+   highest epoch, or nothing */
 static int
 v_holder (lua_State *L)
 {
   const char *domain = luaL_checkstring (L, 1);
-  const struct wnode *best = NULL;
+  const struct wnode *latest = NULL;
 
   for (int i = 0; i < world.n_nodes; i++)
     {
       struct wnode *n = &world.nodes[i];
-      if (n->up && strcmp (n->set.domain, domain) == 0 && n->node.sched
+      if (n->up && strcmp (n->settings.domain, domain) == 0 && n->node.sched
           && n->node.sched->phase == SCHED_READY
           && n->node.role.state == ROLE_HOLDER
-          && (!best || n->node.role.epoch > best->node.role.epoch))
-        best = n;
+          && (!latest || n->node.role.epoch > latest->node.role.epoch))
+        latest = n;
     }
-  if (!best)
+  if (!latest)
     return 0;
-  lua_pushstring (L, best->set.id);
+  lua_pushstring (L, latest->settings.id);
   return 1;
 }
 
+/* version(id): version of the configuration that an entry instance knows; 0:
+   none, or no process */
 static int
 v_version (lua_State *L)
 {
@@ -349,6 +381,7 @@
   return 1;
 }
 
+/* now(): virtual time in ms */
 static int
 v_now (lua_State *L)
 {
@@ -356,6 +389,7 @@
   return 1;
 }
 
+/* random(n): a number from 1 to n */
 static int
 v_random (lua_State *L)
 {
@@ -365,6 +399,7 @@
   return 1;
 }
 
+/* starts(name): how often the request "team:request id" was started */
 static int
 v_starts (lua_State *L)
 {
@@ -372,15 +407,18 @@
   return 1;
 }
 
+/* used(team): cores that the team's tasks use in all domains */
 static int
 v_used (lua_State *L)
 {
-  lua_pushinteger (L, check_used (world.check, luaL_checkstring (L, 1)));
+  lua_pushinteger (L, check_used_cores (world.check, luaL_checkstring (L, 1)));
   return 1;
 }
 
+/* note_limit(team, {cores=, mem_mb=, accels=, slots=}, outcome_unknown): tells
+   the checker of a team's new upper limit */
 static int
-v_limit (lua_State *L)
+v_note_limit (lua_State *L)
 {
   struct clb_res r
       = { field_int (L, 2, "cores", 0), field_int (L, 2, "mem_mb", 0),
@@ -390,13 +428,15 @@
   return 0;
 }
 
+/* note_key_withdrawn(key): tells the checker that a key is withdrawn now */
 static int
-v_withdrawn (lua_State *L)
+v_note_key_withdrawn (lua_State *L)
 {
   check_key_withdrawn (world.check, luaL_checkstring (L, 1));
   return 0;
 }
 
+/* key_hash(salt, secret): the hash that a manifest keeps of a key */
 static int
 v_key_hash (lua_State *L)
 {
@@ -407,8 +447,9 @@
   return 1;
 }
 
+/* accepted_tasks(): list of the ids of all accepted tasks */
 static int
-v_accepted (lua_State *L)
+v_accepted_tasks (lua_State *L)
 {
   const char *id;
   int at = 0;
@@ -422,12 +463,16 @@
   return 1;
 }
 
+/* check_final_state(id, state): checks the state that was reported for an
+   accepted task after all faults are over */
 static int
-v_told (lua_State *L)
+v_check_final_state (lua_State *L)
 {
-  check_state (world.check, luaL_checkstring (L, 1), luaL_checkstring (L, 2));
-  if (check_broken (world.check))
-    return luaL_error (L, "broken: %s", check_broken (world.check));
+  check_final_state (world.check, luaL_checkstring (L, 1),
+                     luaL_checkstring (L, 2));
+  if (check_violation (world.check))
+    return luaL_error (L, "guarantee violated: %s",
+                       check_violation (world.check));
   return 0;
 }
 
@@ -439,8 +484,8 @@
       const struct wnode *n = &world.nodes[i];
       const struct role *r = &n->node.role;
       printf ("%s up %d frozen %d: role %d row %s/%lld epoch %lld known %d "
-              "still %lld promise %lld up %d sched %d\n",
-              n->set.id, n->up, n->frozen, r->state, r->row.holder,
+              "unchanged %lld ms promise %lld ms store_up %d sched %d\n",
+              n->settings.id, n->up, n->frozen, r->state, r->row.holder,
               (long long)r->row.boot, (long long)r->row.epoch, r->row_known,
               (long long)(world.now_ms - r->row_changed_ms),
               (long long)(r->promise_until_ms - world.now_ms), r->store_up,
@@ -448,7 +493,7 @@
     }
 }
 
-/* reset(): the world anew, for the next scenario of a script */
+/* reset(): a new world with the same seed, for a script's next scenario */
 static int
 v_reset (lua_State *L)
 {
@@ -461,51 +506,68 @@
   return 0;
 }
 
-/* report(name, why): a scenario has ended; why is nil if it passed */
+/* report(name, error): counts a scenario's result; error is nil if it passed
+ */
 static int
 v_report (lua_State *L)
 {
-  const char *why = lua_tostring (L, 2);
+  const char *error = lua_tostring (L, 2);
 
-  if (!why)
+  if (!error)
     {
       n_passed++;
       return 0;
     }
   n_failed++;
   printf ("FAIL %s seed %llu: %s\n", luaL_checkstring (L, 1),
-          (unsigned long long)run_seed, why);
+          (unsigned long long)run_seed, error);
   if (world.trace)
     print_nodes ();
   return 0;
 }
 
 static const luaL_Reg verbs[] = {
-  { "entry", v_entry },       { "worker", v_worker },
-  { "executor", v_executor }, { "run", v_run },
-  { "kill", v_kill },         { "restart", v_restart },
-  { "freeze", v_freeze },     { "thaw", v_thaw },
-  { "stop", v_stop },         { "up", v_up },
-  { "cut", v_cut },           { "heal", v_heal },
-  { "store", v_store },       { "faults", v_faults },
-  { "server", v_server },     { "call", v_call },
-  { "answer", v_answer },     { "holder", v_holder },
-  { "version", v_version },   { "now", v_now },
-  { "random", v_random },     { "starts", v_starts },
-  { "limit", v_limit },       { "withdrawn", v_withdrawn },
-  { "key_hash", v_key_hash }, { "accepted", v_accepted },
-  { "told", v_told },         { "reset", v_reset },
-  { "running", v_running },   { "used", v_used },
-  { "report", v_report },     { NULL, NULL },
+  { "entry", v_entry },
+  { "worker", v_worker },
+  { "executor", v_executor },
+  { "run", v_run },
+  { "kill", v_kill },
+  { "restart", v_restart },
+  { "freeze", v_freeze },
+  { "thaw", v_thaw },
+  { "stop", v_stop },
+  { "up", v_up },
+  { "cut", v_cut },
+  { "heal", v_heal },
+  { "store", v_store },
+  { "faults", v_faults },
+  { "server", v_server },
+  { "call", v_call },
+  { "answer", v_answer },
+  { "holder", v_holder },
+  { "version", v_version },
+  { "now", v_now },
+  { "random", v_random },
+  { "starts", v_starts },
+  { "note_limit", v_note_limit },
+  { "note_key_withdrawn", v_note_key_withdrawn },
+  { "key_hash", v_key_hash },
+  { "accepted_tasks", v_accepted_tasks },
+  { "check_final_state", v_check_final_state },
+  { "reset", v_reset },
+  { "has_process", v_has_process },
+  { "used", v_used },
+  { "report", v_report },
+  { NULL, NULL },
 };
 
 static int
 run_script (const char *dir, const char *script, uint64_t seed, bool trace,
-            char *why, size_t size)
+            char *error, size_t size)
 {
   lua_State *L = luaL_newstate ();
   char lib[512];
-  int bad;
+  int failed;
 
   run_seed = seed;
   world_init (&world, seed);
@@ -516,16 +578,16 @@
   lua_pushinteger (L, (lua_Integer)seed);
   lua_setglobal (L, "seed");
   snprintf (lib, sizeof lib, "%s/lib.lua", dir);
-  bad = luaL_dofile (L, lib) || luaL_dofile (L, script);
-  if (bad)
-    snprintf (why, size, "%s", lua_tostring (L, -1));
+  failed = luaL_dofile (L, lib) || luaL_dofile (L, script);
+  if (failed)
+    snprintf (error, size, "%s", lua_tostring (L, -1));
   lua_close (L);
   world_fini (&world);
-  return bad;
+  return failed;
 }
 
 static void
-dir_of (const char *path, char *out, size_t size)
+path_dir (const char *path, char *out, size_t size)
 {
   char *slash;
 
@@ -544,7 +606,7 @@
   uint64_t seeds = 1;
   bool trace = false;
   char dir[400];
-  char why[512];
+  char error[512];
 
   for (int i = 1; i < argc; i++)
     {
@@ -557,11 +619,11 @@
       else
         for (uint64_t seed = first; seed < first + seeds; seed++)
           {
-            dir_of (argv[i], dir, sizeof dir);
-            if (run_script (dir, argv[i], seed, trace, why, sizeof why))
+            path_dir (argv[i], dir, sizeof dir);
+            if (run_script (dir, argv[i], seed, trace, error, sizeof error))
               {
                 printf ("FAIL %s seed %llu: %s\n", argv[i],
-                        (unsigned long long)seed, why);
+                        (unsigned long long)seed, error);
                 n_failed++;
               }
             fflush (stdout);
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -1,4 +1,5 @@
-/* Moves messages between the cores and the fakes on a virtual clock. */
+/* Moves messages between the entry instances and the stand-ins for the
+   platform, workers and executors, on a virtual clock. */
 #include "world.h"
 
 #include <stdio.h>
@@ -7,15 +8,20 @@
 
 enum
 {
-  NEAR_MS = 1, /* within a domain, one way */
-  FAR_MS = 2,  /* between domains */
-  STORE_MS = 3,
-  TIMEOUT_MS = 2000,   /* the shell's, for store and sync */
-  VERY_LATE_MS = 1900, /* what is late arrives within this */
-  SNAP_EVERY = 4,      /* so that short runs read snapshots back */
-  BREAK_MS = 30,       /* until a connection that breaks does */
-  NOBODY = -1,         /* generation of no process */
-  SERVICE_MS = 20,     /* a service request that names no time */
+  /* Network delays, one way. */
+  SAME_DOMAIN_DELAY_MS = 1,
+  CROSS_DOMAIN_DELAY_MS = 2,
+  STORE_DELAY_MS = 3,
+  /* After this the daemon reports a store operation or sync as timed out. */
+  CALL_TIMEOUT_MS = 2000,
+  LATE_MAX_MS = 1900, /* bound of the random delay of a late message */
+  /* Journal rows between snapshots: few, so that short runs also load
+     snapshots. */
+  SNAPSHOT_ROWS = 4,
+  /* From the arrival of a request to the break of its connection. */
+  CONNECTION_BREAK_MS = 30,
+  NO_GENERATION = -1,      /* differs from the generation of every process */
+  SERVICE_DEFAULT_MS = 20, /* run time of a service request without run_ms */
 };
 
 uint64_t
@@ -28,9 +34,9 @@
 }
 
 static bool
-chance (struct world *w, int per_cent)
+chance (struct world *w, int percent)
 {
-  return per_cent > 0 && (int)world_random (w, 100) < per_cent;
+  return percent > 0 && (int)world_random (w, 100) < percent;
 }
 
 static void
@@ -51,17 +57,15 @@
   it->at_ms = w->now_ms + delay_ms;
   it->node = (int)(n - w->nodes);
   it->generation = n->generation;
-  clb_copy (it->from, n->set.domain, sizeof it->from);
+  clb_copy (it->from, n->settings.domain, sizeof it->from);
   return it;
 }
 
-/* Lookups. */
-
 struct wnode *
 world_node (struct world *w, const char *id)
 {
   for (int i = 0; i < w->n_nodes; i++)
-    if (strcmp (w->nodes[i].set.id, id) == 0)
+    if (strcmp (w->nodes[i].settings.id, id) == 0)
       return &w->nodes[i];
   return NULL;
 }
@@ -89,7 +93,7 @@
   return false;
 }
 
-/* What the nodes want done. */
+/* Outputs of the entry instances. */
 
 static int64_t
 jitter (struct world *w, int64_t base)
@@ -98,11 +102,11 @@
 }
 
 static int64_t
-perhaps_late (struct world *w, int64_t delay)
+add_late_delay (struct world *w, int64_t delay)
 {
-  if (!chance (w, w->late_per_cent))
+  if (!chance (w, w->late_percent))
     return delay;
-  return delay + (int64_t)world_random (w, VERY_LATE_MS);
+  return delay + (int64_t)world_random (w, LATE_MAX_MS);
 }
 
 static void
@@ -113,23 +117,25 @@
 
   if (!to)
     return;
-  bool near = strcmp (to->set.domain, n->set.domain) == 0;
-  it = item_new (w, ITEM_PEER, to, jitter (w, near ? NEAR_MS : FAR_MS));
-  clb_copy (it->from, n->set.domain, sizeof it->from);
-  clb_copy (it->to, to->set.domain, sizeof it->to);
-  clb_copy (it->server, n->set.id, sizeof it->server);
+  bool same_domain = strcmp (to->settings.domain, n->settings.domain) == 0;
+  it = item_new (
+      w, ITEM_PEER, to,
+      jitter (w, same_domain ? SAME_DOMAIN_DELAY_MS : CROSS_DOMAIN_DELAY_MS));
+  clb_copy (it->from, n->settings.domain, sizeof it->from);
+  clb_copy (it->to, to->settings.domain, sizeof it->to);
+  clb_copy (it->server, n->settings.id, sizeof it->server);
   pmsg_pack (&o->u.peer.msg, &it->text, &it->len);
   world_push (w, it);
 }
 
 static void
-store_rep_at (struct world *w, struct wnode *n, uint64_t token,
-              const struct store_rep *rep, bool from_shell, int64_t delay)
+schedule_store_rep (struct world *w, struct wnode *n, uint64_t token,
+                    const struct store_rep *rep, bool timed_out, int64_t delay)
 {
   struct event_item *it = item_new (w, ITEM_STORE_REP, n, delay);
 
   it->token = token;
-  it->call = from_shell;
+  it->call = timed_out;
   it->text = codec_text (&store_rep_desc, rep);
   it->len = strlen (it->text);
   world_push (w, it);
@@ -138,40 +144,41 @@
 static void
 send_store (struct world *w, struct wnode *n, const struct out *o)
 {
-  struct store_rep lost = { .err = CLB_EUNKNOWN };
-  struct event_item *it
-      = item_new (w, ITEM_STORE_REQ, n,
-                  perhaps_late (w, jitter (w, STORE_MS) + w->store_slow_ms));
+  struct store_rep timeout = { .err = CLB_EUNKNOWN };
+  struct event_item *it = item_new (
+      w, ITEM_STORE_REQ, n,
+      add_late_delay (w, jitter (w, STORE_DELAY_MS) + w->store_delay_ms));
 
   it->token = o->u.store.token;
   it->text = codec_text (&store_op_desc, &o->u.store.op);
   it->len = strlen (it->text);
   world_push (w, it);
-  store_rep_at (w, n, it->token, &lost, true, TIMEOUT_MS);
+  schedule_store_rep (w, n, it->token, &timeout, true, CALL_TIMEOUT_MS);
 }
 
 static void
 send_sync (struct world *w, struct wnode *n, const struct out *o)
 {
   struct event_item *it
-      = item_new (w, ITEM_SYNC_REQ, n, perhaps_late (w, jitter (w, NEAR_MS)));
-  struct event_item *lost = item_new (w, ITEM_SYNC_REP, n, TIMEOUT_MS);
+      = item_new (w, ITEM_SYNC_REQ, n,
+                  add_late_delay (w, jitter (w, SAME_DOMAIN_DELAY_MS)));
+  struct event_item *timeout = item_new (w, ITEM_SYNC_REP, n, CALL_TIMEOUT_MS);
 
   clb_copy (it->server, o->u.sync.worker, sizeof it->server);
   it->seq_no = o->u.sync.req.seq;
   it->text = codec_text (&sync_req_desc, &o->u.sync.req);
   it->len = strlen (it->text);
   world_push (w, it);
-  clb_copy (lost->server, it->server, sizeof lost->server);
-  lost->seq_no = it->seq_no;
-  world_push (w, lost);
+  clb_copy (timeout->server, it->server, sizeof timeout->server);
+  timeout->seq_no = it->seq_no;
+  world_push (w, timeout);
 }
 
 static struct event_item *
-served_at (struct world *w, struct wnode *n, int call, const char *server,
-           int end, int64_t delay)
+schedule_forward_end (struct world *w, struct wnode *n, int call,
+                      const char *server, int end, int64_t delay)
 {
-  struct event_item *it = item_new (w, ITEM_SERVED, n, delay);
+  struct event_item *it = item_new (w, ITEM_FORWARD_END, n, delay);
 
   it->call = call;
   it->end = end;
@@ -188,31 +195,32 @@
   struct event_item *it;
 
   if (!node_may_forward (&n->node, w->now_ms, o->u.forward.call) || !s
-      || s->refuses)
+      || s->refuses_connections)
     {
-      served_at (w, n, call, o->u.forward.executor, FORWARD_UNREACHED, 1);
+      schedule_forward_end (w, n, call, o->u.forward.executor,
+                            FORWARD_UNREACHED, 1);
       return;
     }
-  it = item_new (w, ITEM_SERVE, n, jitter (w, NEAR_MS));
+  it = item_new (w, ITEM_FORWARD, n, jitter (w, SAME_DOMAIN_DELAY_MS));
   it->call = call;
   clb_copy (it->server, o->u.forward.executor, sizeof it->server);
   world_push (w, it);
-  served_at (w, n, call, o->u.forward.executor, FORWARD_FAILED,
-             o->u.forward.max_run_ms);
+  schedule_forward_end (w, n, call, o->u.forward.executor, FORWARD_FAILED,
+                        o->u.forward.max_run_ms);
 }
 
 static void
-take_answer (struct world *w, const struct out *o)
+record_answer (struct world *w, const struct out *o)
 {
   struct wcall *c = &w->calls[o->u.answer.call - 1];
 
-  c->answers++;
+  c->n_answers++;
   if (c->status)
     return;
   c->status = o->u.answer.status;
   c->answered_ms = w->now_ms;
   c->body = strdup (o->u.answer.body ? o->u.answer.body : "");
-  c->whole = true;
+  c->complete = true;
   if (w->trace)
     printf ("%8lld answer to %s at %s: %d %s\n", (long long)w->now_ms, c->name,
             c->entry, c->status, c->body);
@@ -224,12 +232,12 @@
              const struct event *e)
 {
   if (w->trace)
-    printf ("%8lld %s: %s %s %s\n", (long long)w->now_ms, n->set.id,
+    printf ("%8lld %s: %s %s %s\n", (long long)w->now_ms, n->settings.id,
             clb_reason_name (e->reason), e->id, e->where);
 }
 
 static void
-carry_out (struct world *w, struct wnode *n)
+process_outputs (struct world *w, struct wnode *n)
 {
   struct out *o;
 
@@ -250,7 +258,7 @@
           send_forward (w, n, o);
           break;
         case OUT_ANSWER:
-          take_answer (w, o);
+          record_answer (w, o);
           break;
         case OUT_EVENT:
           trace_event (w, n, &o->u.event);
@@ -260,17 +268,17 @@
     }
 }
 
-/* Arrivals. */
+/* Delivery of messages. */
 
 static void
-arrive_peer (struct world *w, struct wnode *n, struct event_item *it)
+deliver_peer (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct pmsg m;
   struct codec_err ce;
 
   if (pmsg_unpack (it->text, it->len, &m, &ce))
     {
-      fprintf (stderr, "peer message damaged at %s\n", ce.path);
+      fprintf (stderr, "cannot decode peer message: field %s\n", ce.path);
       abort ();
     }
   node_peer (&n->node, w->now_ms, &m);
@@ -278,33 +286,34 @@
 }
 
 static void
-arrive_store (struct world *w, struct wnode *n, struct event_item *it)
+deliver_store (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct store_op op;
   struct store_rep rep = { .err = CLB_EUNAVAIL };
   struct codec_err ce;
   bool write;
-  int64_t back = jitter (w, STORE_MS);
+  int64_t back = jitter (w, STORE_DELAY_MS);
 
   if (w->store_mode == STORE_HANGS)
     return;
   if (w->store_mode == STORE_REFUSES)
     {
-      store_rep_at (w, n, it->token, &rep, false, back);
+      schedule_store_rep (w, n, it->token, &rep, false, back);
       return;
     }
   if (codec_parse (&store_op_desc, it->text, it->len, CODEC_STRICT, &op, &ce))
     abort ();
   fstore_apply (w->store, &op, &rep);
   write = op.kind == STORE_TXN || op.kind == STORE_OBJ_PUT;
-  if (w->store_mode != STORE_DEAF && !(write && chance (w, w->lose_per_cent)))
-    store_rep_at (w, n, it->token, &rep, false, back);
+  if (w->store_mode != STORE_DROPS_REPLIES
+      && !(write && chance (w, w->lost_reply_percent)))
+    schedule_store_rep (w, n, it->token, &rep, false, back);
   codec_free (&store_rep_desc, &rep);
   codec_free (&store_op_desc, &op);
 }
 
 static void
-arrive_store_rep (struct world *w, struct wnode *n, struct event_item *it)
+deliver_store_rep (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct store_rep rep;
   struct codec_err ce;
@@ -317,7 +326,7 @@
 }
 
 static void
-arrive_sync (struct world *w, struct wnode *n, struct event_item *it)
+deliver_sync (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct wserver *s = world_server (w, it->server);
   struct sync_req req;
@@ -325,20 +334,20 @@
   struct codec_err ce;
   struct event_item *back;
 
-  if (!s || s->silent)
+  if (!s || s->unreachable)
     return;
   if (codec_parse (&sync_req_desc, it->text, it->len, CODEC_STRICT, &req, &ce))
     abort ();
-  s->w.busy = s->open;
+  s->w.busy = s->n_open;
   if (fworker_sync (&s->w, w->now_ms, &req, &rep) == 0)
     {
-      if (s->mute)
+      if (s->drops_replies)
         {
           codec_free (&sync_rep_desc, &rep);
           codec_free (&sync_req_desc, &req);
           return;
         }
-      back = item_new (w, ITEM_SYNC_REP, n, jitter (w, NEAR_MS));
+      back = item_new (w, ITEM_SYNC_REP, n, jitter (w, SAME_DOMAIN_DELAY_MS));
       back->generation = it->generation;
       clb_copy (back->server, it->server, sizeof back->server);
       back->seq_no = it->seq_no;
@@ -351,7 +360,7 @@
 }
 
 static void
-arrive_sync_rep (struct world *w, struct wnode *n, struct event_item *it)
+deliver_sync_rep (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct sync_rep rep;
   struct codec_err ce;
@@ -367,27 +376,29 @@
 }
 
 static void
-arrive_serve (struct world *w, struct wnode *n, struct event_item *it)
+deliver_forward (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct wserver *s = world_server (w, it->server);
   struct wcall *c = &w->calls[it->call];
-  int64_t run = c->run_ms ? c->run_ms : SERVICE_MS;
+  int64_t run = c->run_ms ? c->run_ms : SERVICE_DEFAULT_MS;
 
-  if (!s || s->silent)
+  if (!s || s->unreachable)
     return;
-  s->open++;
+  s->n_open++;
   check_served (w->check, s, it->call, true);
   struct event_item *end
-      = served_at (w, n, it->call, it->server,
-                   s->w.fail_all ? FORWARD_ERROR : FORWARD_OK, run);
-  if (!s->breaks)
+      = schedule_forward_end (w, n, it->call, it->server,
+                              s->w.fail_all ? FORWARD_ERROR : FORWARD_OK, run);
+  if (!s->breaks_connections)
     return;
-  end->generation = NOBODY;
-  served_at (w, n, it->call, it->server, FORWARD_FAILED, BREAK_MS);
+  /* The entry instance sees only the break, not the end. */
+  end->generation = NO_GENERATION;
+  schedule_forward_end (w, n, it->call, it->server, FORWARD_FAILED,
+                        CONNECTION_BREAK_MS);
 }
 
 static void
-arrive_served (struct world *w, struct wnode *n, struct event_item *it)
+deliver_forward_end (struct world *w, struct wnode *n, struct event_item *it)
 {
   struct wcall *c = &w->calls[it->call];
   bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
@@ -397,17 +408,17 @@
       c->status = it->end == FORWARD_OK ? 200 : 500;
       c->answered_ms = w->now_ms;
       c->body = strdup (c->name);
-      c->whole = true;
-      c->answers++;
+      c->complete = true;
+      c->n_answers++;
       check_answer (w->check, c);
     }
   node_forwarded (&n->node, w->now_ms, (uint64_t)it->call + 1, it->end);
 }
 
-/* The executor's side of a request's end, at its time whatever the caller's
-   entry instance does. */
+/* Ends a service request on the executor's side.  This happens on time, also
+   while the caller's entry instance is frozen or dead. */
 static void
-executor_done (struct world *w, struct event_item *it)
+executor_request_ended (struct world *w, struct event_item *it)
 {
   struct wserver *s = world_server (w, it->server);
   bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
@@ -415,34 +426,35 @@
   if (!ran || !s || it->seq_no)
     return;
   it->seq_no = 1;
-  s->open--;
+  s->n_open--;
   check_served (w->check, s, it->call, false);
 }
 
 static bool
-peer_cut (struct world *w, const struct event_item *it)
+is_peer_cut (struct world *w, const struct event_item *it)
 {
   return is_cut (w, it->from, it->to)
-         || is_cut (w, it->server, w->nodes[it->node].set.id);
+         || is_cut (w, it->server, w->nodes[it->node].settings.id);
 }
 
-/* Messages to a frozen process wait; half of what meets a cut between
-   instances is delivered once it has healed. */
+/* Whether @it is kept for later.  Messages to a frozen process wait until it
+   is thawed.  Peer messages that meet a cut wait until it has healed if the
+   receiver's generation is even; otherwise they are lost. */
 static bool
-held_back (struct world *w, struct event_item *it)
+is_deferred (struct world *w, struct event_item *it)
 {
   struct wnode *n = &w->nodes[it->node];
   bool to_node = it->kind == ITEM_PEER || it->kind == ITEM_STORE_REP
-                 || it->kind == ITEM_SYNC_REP || it->kind == ITEM_SERVED;
-  bool held = to_node && n->frozen && n->generation == it->generation;
+                 || it->kind == ITEM_SYNC_REP || it->kind == ITEM_FORWARD_END;
+  bool deferred = to_node && n->frozen && n->generation == it->generation;
 
-  if (it->kind == ITEM_SERVED)
-    executor_done (w, it);
+  if (it->kind == ITEM_FORWARD_END)
+    executor_request_ended (w, it);
   if (it->kind == ITEM_PEER && it->generation % 2 == 0)
-    held |= peer_cut (w, it);
-  if (held)
+    deferred |= is_peer_cut (w, it);
+  if (deferred)
     it->at_ms = w->now_ms + TICK_MS;
-  return held;
+  return deferred;
 }
 
 static bool
@@ -455,17 +467,17 @@
     {
     case ITEM_STORE_REQ:
       return is_cut (w, it->from, "platform")
-             || is_cut (w, n->set.id, "platform");
+             || is_cut (w, n->settings.id, "platform");
     case ITEM_PEER:
-      return dead || peer_cut (w, it);
+      return dead || is_peer_cut (w, it);
     case ITEM_STORE_REP:
-      /* The shell's own word that no answer came is never lost. */
+      /* A timeout is reported within the daemon and is never lost. */
       return dead
              || (!it->call
                  && (is_cut (w, "platform", it->from)
-                     || is_cut (w, "platform", n->set.id)));
+                     || is_cut (w, "platform", n->settings.id)));
     case ITEM_SYNC_REP:
-    case ITEM_SERVED:
+    case ITEM_FORWARD_END:
       return dead;
     default:
       return false;
@@ -473,58 +485,58 @@
 }
 
 static void
-arrive (struct world *w, struct event_item *it)
+deliver (struct world *w, struct event_item *it)
 {
   struct wnode *n = &w->nodes[it->node];
 
   switch (it->kind)
     {
     case ITEM_PEER:
-      arrive_peer (w, n, it);
+      deliver_peer (w, n, it);
       break;
     case ITEM_STORE_REQ:
-      arrive_store (w, n, it);
+      deliver_store (w, n, it);
       return;
     case ITEM_STORE_REP:
-      arrive_store_rep (w, n, it);
+      deliver_store_rep (w, n, it);
       break;
     case ITEM_SYNC_REQ:
-      arrive_sync (w, n, it);
+      deliver_sync (w, n, it);
       return;
     case ITEM_SYNC_REP:
-      arrive_sync_rep (w, n, it);
+      deliver_sync_rep (w, n, it);
       break;
-    case ITEM_SERVE:
-      arrive_serve (w, n, it);
+    case ITEM_FORWARD:
+      deliver_forward (w, n, it);
       return;
-    case ITEM_SERVED:
-      arrive_served (w, n, it);
+    case ITEM_FORWARD_END:
+      deliver_forward_end (w, n, it);
       break;
-    case ITEM_LIST:
+    case ITEM_INSTANCES:
       fstore_instances (w->store, it->text);
       return;
     }
   if (n->up && n->generation == it->generation)
-    carry_out (w, n);
+    process_outputs (w, n);
 }
 
 static bool
-platform_bad (const struct world *w)
+platform_faulty (const struct world *w)
 {
   bool cut = false;
 
   for (int i = 0; i < w->n_cuts; i++)
     cut |= strcmp (w->cuts[i].a, "platform") == 0
            || strcmp (w->cuts[i].b, "platform") == 0;
-  return cut || w->store_mode != STORE_UP || w->late_per_cent
-         || w->store_slow_ms;
+  return cut || w->store_mode != STORE_UP || w->late_percent
+         || w->store_delay_ms;
 }
 
 static void
 tick_all (struct world *w)
 {
-  if (platform_bad (w))
-    w->platform_bad_ms = w->now_ms;
+  if (platform_faulty (w))
+    w->platform_fault_ms = w->now_ms;
   for (int i = 0; i < w->n_servers; i++)
     if (w->servers[i].inst.kind == INST_WORKER)
       fworker_tick (&w->servers[i].w, w->now_ms);
@@ -534,7 +546,7 @@
       if (!n->up || n->frozen)
         continue;
       node_tick (&n->node, w->now_ms);
-      carry_out (w, n);
+      process_outputs (w, n);
       if (n->stopping && node_stopped (&n->node))
         world_kill (w, n);
     }
@@ -545,19 +557,19 @@
 {
   int64_t until = w->now_ms + ms;
 
-  while (w->now_ms < until && !check_broken (w->check))
+  while (w->now_ms < until && !check_violation (w->check))
     {
       w->now_ms++;
       while (w->n_heap && w->heap[0]->at_ms <= w->now_ms)
         {
           struct event_item *it = world_pop (w);
-          if (held_back (w, it))
+          if (is_deferred (w, it))
             {
               world_push (w, it);
               continue;
             }
           if (!is_lost (w, it))
-            arrive (w, it);
+            deliver (w, it);
           item_free (it);
         }
       if (w->now_ms % TICK_MS == 0)
@@ -565,7 +577,7 @@
     }
 }
 
-/* Making and breaking. */
+/* Setup, start and end of processes. */
 
 void
 world_init (struct world *w, uint64_t seed)
@@ -603,12 +615,12 @@
 {
   struct wnode *n = &w->nodes[w->n_nodes++];
 
-  clb_copy (n->set.id, id, sizeof n->set.id);
-  clb_copy (n->set.domain, domain, sizeof n->set.domain);
-  clb_copy (n->set.peer_addr, id, sizeof n->set.peer_addr);
-  n->set.snap_every = SNAP_EVERY;
-  clb_copy (n->set.first_salt, "first", sizeof n->set.first_salt);
-  conf_key_hash ("first", "ops.first", n->set.first_hash);
+  clb_copy (n->settings.id, id, sizeof n->settings.id);
+  clb_copy (n->settings.domain, domain, sizeof n->settings.domain);
+  clb_copy (n->settings.peer_addr, id, sizeof n->settings.peer_addr);
+  n->settings.snap_every = SNAPSHOT_ROWS;
+  clb_copy (n->settings.first_salt, "first", sizeof n->settings.first_salt);
+  conf_key_hash ("first", "ops.first", n->settings.first_hash);
   world_boot (w, n);
   return n;
 }
@@ -618,16 +630,17 @@
 {
   if (n->up)
     return;
-  n->set.boot = ++w->next_boot;
+  n->settings.boot = ++w->last_boot;
   n->up = true;
   n->frozen = false;
   n->stopping = false;
   n->generation++;
-  node_init (&n->node, &n->set, w->now_ms);
+  node_init (&n->node, &n->settings, w->now_ms);
   world_publish (w);
 }
 
-/* The callers of a dead instance see their connections break. */
+/* The callers of a killed instance see their connections break.  That counts
+   as an answer to be checked only if the instance was stopping as planned. */
 void
 world_kill (struct world *w, struct wnode *n)
 {
@@ -640,7 +653,7 @@
   for (int i = 0; i < w->n_calls; i++)
     {
       struct wcall *c = &w->calls[i];
-      if (c->status == 0 && strcmp (c->entry, n->set.id) == 0)
+      if (c->status == 0 && strcmp (c->entry, n->settings.id) == 0)
         {
           c->status = -1;
           if (n->stopping)
@@ -672,17 +685,17 @@
 
 struct wserver *
 world_add_server (struct world *w, const char *id, const char *domain,
-                  const char *rack, int kind, const struct clb_res *room)
+                  const char *rack, int kind, const struct clb_res *capacity)
 {
   struct wserver *s = &w->servers[w->n_servers++];
 
-  fworker_init (&s->w, ++w->next_boot);
+  fworker_init (&s->w, ++w->last_boot);
   s->w.arg = s;
   s->w.watch = on_run;
   s->world = w;
   s->listed = true;
   s->inst.kind = kind;
-  s->inst.capacity = *room;
+  s->inst.capacity = *capacity;
   clb_copy (s->inst.id, id, sizeof s->inst.id);
   clb_copy (s->inst.domain, domain, sizeof s->inst.domain);
   clb_copy (s->inst.rack, rack, sizeof s->inst.rack);
@@ -705,17 +718,18 @@
       {
         struct inst *in = &list.items[list.n_items++];
         in->kind = INST_ENTRY;
-        clb_copy (in->id, w->nodes[i].set.id, sizeof in->id);
-        clb_copy (in->domain, w->nodes[i].set.domain, sizeof in->domain);
+        clb_copy (in->id, w->nodes[i].settings.id, sizeof in->id);
+        clb_copy (in->domain, w->nodes[i].settings.domain, sizeof in->domain);
         clb_copy (in->addr, in->id, sizeof in->addr);
       }
   for (int i = 0; i < w->n_servers; i++)
     if (w->servers[i].listed)
       {
         list.items[list.n_items] = w->servers[i].inst;
-        list.items[list.n_items++].leaving = w->servers[i].leaving_ms > 0;
+        list.items[list.n_items++].leaving
+            = w->servers[i].leaving_since_ms > 0;
       }
-  it->kind = ITEM_LIST;
+  it->kind = ITEM_INSTANCES;
   it->at_ms = w->now_ms + w->list_lag_ms;
   it->text = codec_text (&inst_list_desc, &list);
   world_push (w, it);
@@ -749,7 +763,7 @@
   else
     {
       node_request (&n->node, w->now_ms, &rq);
-      carry_out (w, n);
+      process_outputs (w, n);
     }
   return w->n_calls - 1;
 }
