--- a/regress/scenarios/g02_old_holder.lua
+++ b/regress/scenarios/g02_old_holder.lua
@@ -1,28 +1,33 @@
--- Guarantee 2: no task runs in two places at once: a holder of the past.
-scenario("a start recorded, not sent: the holder freezes, the worker reboots", function()
+-- Guarantee 2: no task runs in two places at once, with a former holder that
+-- continues after its successor has taken over.
+
+-- A thawed former holder must not send a start that it recorded before it
+-- froze, although the worker has rebooted and no longer knows the run.
+scenario("a former holder does not send starts that it recorded before it froze", function()
   begin{entries = 2, workers = 1}
   local h = holder("a")
-  server("a-w1", {silent = true})
-  run(1100) -- a sync is outstanding: no other is sent before it ends
+  server("a-w1", {unreachable = true})
+  run(1100) -- a sync is outstanding now, and no other is sent before it ends
   for i = 1, 3 do
     task{at = h, team = "red", id = "t" .. i, cores = 2, ms = 60000}
   end
   run(100)
   freeze(h)
-  server("a-w1", {silent = false})
+  server("a-w1", {unreachable = false})
   within(20000, "a successor", function() return holder("a") ~= h end)
   run(3000)
   server("a-w1", {reboot = true})
   run(6000)
-  -- Its reads are answered, its renewal is not: only the clock tells it.
-  faults{lose = 100}
+  -- The former holder's reads are answered, but its renewal is not: only its
+  -- clock shows that its lease is over.
+  faults{lost_reply_percent = 100}
   thaw(h)
   run(3000)
-  faults{lose = 0}
-  settle(300000)
+  faults{lost_reply_percent = 0}
+  recover_and_check(300000)
 end)
 
-scenario("a holder of the past does not stop its successor's work", function()
+scenario("a former holder does not stop its successor's runs", function()
   begin{entries = 2, workers = 2}
   local h = holder("a")
   freeze(h)
@@ -33,12 +38,12 @@
     calls[i] = task{at = holder("a"), team = "red", id = "r" .. i, queue = "once", ms = 20000}
   end
   run(3000)
-  faults{lose = 100}
+  faults{lost_reply_percent = 100}
   thaw(h)
   run(6000)
-  faults{lose = 0}
+  faults{lost_reply_percent = 0}
   run(30000)
   for i = 1, 6 do
-    expect(state_of(answer(calls[i]).id) == "done", "a render ends undisturbed")
+    expect(task_state(answer(calls[i]).id) == "done", "the task ends undisturbed")
   end
 end)
--- a/regress/scenarios/g03_keys.lua
+++ b/regress/scenarios/g03_keys.lua
@@ -1,15 +1,18 @@
--- Guarantee 3: work only for the team whose key came with it; a withdrawn key
--- stops working within seconds.
-local function withdraw(at)
+-- Guarantee 3: a request is accepted only with a valid key of its team, and a
+-- withdrawn key is refused everywhere within seconds.
+
+-- Applies a manifest without red's key through the instance at.
+local function withdraw_red_key(at)
   local m = manifest({red = {}, blue = {}}, {"blue"})
   local c = apply(at, m)
-  within(8000, "the withdrawal", function() return answer(c).status ~= 0 end)
+  within(8000, "an answer to the withdrawal", function() return answer(c).status ~= 0 end)
   expect(accepted_config(c, m), "the withdrawal is accepted")
 end
 
-local function try_all(ms)
-  local stop_at = now() + ms
-  while now() < stop_at do
+-- Sends requests with red's key to every instance that is up, for ms.
+local function use_red_key(ms)
+  local deadline = now() + ms
+  while now() < deadline do
     for _, e in ipairs(entries) do
       if up(e) then
         task{at = e, team = "red", id = "k" .. now() .. e}
@@ -20,41 +23,41 @@
   end
 end
 
-scenario("a key is withdrawn", function()
+scenario("a withdrawn key is refused everywhere", function()
   begin{domains = {"a", "b"}}
-  withdraw("a1")
-  try_all(10000)
+  withdraw_red_key("a1")
+  use_red_key(10000)
 end)
 
-scenario("withdrawn while a domain is cut off", function()
+scenario("a key is withdrawn while a domain is cut off", function()
   begin{domains = {"a", "b"}}
   cut("b", "platform")
   cut("a", "b")
-  withdraw("a1")
-  try_all(15000)
+  withdraw_red_key("a1")
+  use_red_key(15000)
   heal()
-  try_all(5000)
+  use_red_key(5000)
 end)
 
-scenario("withdrawn while one instance hears neither platform nor peers", function()
+scenario("a key is withdrawn while one instance reaches neither platform nor peers", function()
   begin{domains = {"a", "b"}}
   cut("b1", "platform")
   cut("b1", "a1") cut("b1", "a2") cut("b1", "b2")
-  withdraw("a1")
-  try_all(15000)
+  withdraw_red_key("a1")
+  use_red_key(15000)
 end)
 
-scenario("withdrawn while an instance is frozen", function()
+scenario("a key is withdrawn while an instance is frozen", function()
   begin{domains = {"a", "b"}}
   freeze("b2")
   run(100)
-  withdraw("a1")
+  withdraw_red_key("a1")
   run(8000)
   thaw("b2")
-  try_all(6000)
+  use_red_key(6000)
 end)
 
-scenario("withdrawn, then the table goes away", function()
+scenario("a key is withdrawn, then the table becomes unreachable", function()
   begin{domains = {"a", "b"}}
   cut("b", "a")
   local m = manifest({red = {}, blue = {}}, {"blue"})
@@ -63,10 +66,10 @@
   store("hangs")
   run(4000)
   accepted_config(c, m)
-  try_all(12000)
+  use_red_key(12000)
 end)
 
-scenario("no key, a wrong secret, an operator's key, another team's task", function()
+scenario("invalid keys are refused, and another team's task is not accessible", function()
   begin{}
   local wrong = {
     task{at = "a1", team = "red", id = "n1", key = "red.secret-wrong"},
@@ -76,32 +79,32 @@
   }
   run(2000)
   for _, c in ipairs(wrong) do
-    expect(answer(c).status == 401 or answer(c).status == 403, "refused")
-    expect(answer(c).outcome == "not-run", "and told so")
+    expect(answer(c).status == 401 or answer(c).status == 403, "an invalid key is refused with 401 or 403")
+    expect(answer(c).outcome == "not-run", "the refusal says not-run")
   end
   local mine = task{at = "a1", team = "red", id = "mine"}
   run(500)
   local id = answer(mine).id
-  local look = call{entry = "a2", method = "GET", path = "/v1/tasks/" .. id,
+  local get = call{entry = "a2", method = "GET", path = "/v1/tasks/" .. id,
                     key = key_of("blue")}
-  local stop = call{entry = "a2", method = "DELETE", path = "/v1/tasks/" .. id,
+  local delete = call{entry = "a2", method = "DELETE", path = "/v1/tasks/" .. id,
                     key = key_of("blue")}
   run(500)
-  expect(answer(look).status == 404, "another team's task is not shown")
-  expect(answer(stop).status == 404, "nor cancelled")
-  settle()
+  expect(answer(get).status == 404, "another team's task is not shown")
+  expect(answer(delete).status == 404, "another team's task is not cancelled")
+  recover_and_check()
 end)
 
-scenario("the table is away for all: peers prove that nothing is newer", function()
+scenario("table unreachable for all: peers prove that the configuration is current", function()
   begin{domains = {"a", "b"}}
   store("hangs")
   run(12000)
   local keyed = service{at = "a1", team = "red", id = "o1"}
   run(2000)
-  expect(answer(keyed).status == 200, "keyed work is served")
+  expect(answer(keyed).status == 200, "a request with a key is served")
 end)
 
-scenario("the table is away and a domain cut off: only open work goes on", function()
+scenario("table unreachable and domain cut off: only open queues are served", function()
   begin{domains = {"a", "b"}}
   store("hangs")
   cut("a", "b")
@@ -109,34 +112,34 @@
   local keyed = service{at = "a1", team = "red", id = "o1"}
   local open = service{at = "a1", team = "red", id = "o2", queue = "desk"}
   run(2000)
-  expect(answer(keyed).error == "configuration-not-fresh", "keyed work waits")
-  expect(answer(keyed).retry_after_ms > 0, "and is told when to come back")
-  expect(answer(open).status == 200, "open work is served")
+  expect(answer(keyed).error == "configuration-not-fresh", "a request with a key is refused as configuration-not-fresh")
+  expect(answer(keyed).retry_after_ms > 0, "the refusal has retry_after_ms")
+  expect(answer(open).status == 200, "a request to an open queue is served")
 end)
 
-scenario("a change whose answer is lost proves nothing until it is known", function()
+scenario("a withdrawal whose answer is lost, with its outcome known later", function()
   begin{domains = {"a", "b"}}
   local m = manifest({red = {}, blue = {}}, {"blue"})
   local c = apply("b1", m)
   run(12)
-  store("deaf")
+  store("drops-replies")
   run(8000)
-  try_all(4000)
+  use_red_key(4000)
   store("up")
   run(3000)
   accepted_config(c, m)
-  try_all(8000)
+  use_red_key(8000)
 end)
 
-scenario("the instance that took the change dies with it", function()
+scenario("the instance that received a withdrawal dies while it applies it", function()
   begin{domains = {"a", "b"}}
   local m = manifest({red = {}, blue = {}}, {"blue"})
-  faults{lag = 20000}
+  faults{list_lag_ms = 20000}
   local c = apply("b1", m)
   run(10)
   store("hangs")
   kill("b1")
-  withdrawn("red")
+  note_key_withdrawn("red")
   run(4000)
-  try_all(8000)
+  use_red_key(8000)
 end)
--- a/regress/scenarios/g05_answers.lua
+++ b/regress/scenarios/g05_answers.lua
@@ -1,7 +1,7 @@
--- Guarantee 5: each caller gets the whole answer to its own request.
-scenario("callers of every instance, in both lanes, answers late", function()
+-- Guarantee 5: each caller gets the complete answer to its own request.
+scenario("tasks and service requests at every instance, with late messages", function()
   begin{domains = {"a", "b"}, entries = 2, executors = 2}
-  faults{late = 30}
+  faults{late_percent = 30}
   local calls = {}
   for i = 1, 60 do
     local e = entries[i % 4 + 1]
@@ -11,12 +11,12 @@
   end
   run(15000)
   for _, c in ipairs(calls) do
-    expect(answer(c).status ~= 0, "an answer for every caller")
+    expect(answer(c).status ~= 0, "every caller has an answer")
   end
-  settle(300000)
+  recover_and_check(300000)
 end)
 
-scenario("an instance restarts: late replies to its old calls", function()
+scenario("an instance restarts and gets late replies to calls of its earlier process", function()
   begin{domains = {"a", "b"}, entries = 2}
   for round = 1, 8 do
     for i = 1, 6 do
@@ -28,10 +28,10 @@
     restart("b1")
     run(3200)
   end
-  settle(300000)
+  recover_and_check(300000)
 end)
 
-scenario("frozen with replies waiting, thawed after the deadline", function()
+scenario("an instance is frozen with replies on their way and thawed after the deadline", function()
   begin{entries = 3}
   local other
   for _, e in ipairs(entries) do if e ~= holder("a") then other = e end end
@@ -46,12 +46,12 @@
   thaw(other)
   run(15000)
   for _, c in ipairs(calls) do
-    expect(answer(c).status ~= 0, "an answer for every caller")
+    expect(answer(c).status ~= 0, "every caller has an answer")
   end
-  settle()
+  recover_and_check()
 end)
 
-scenario("long waits end with the task, at any instance", function()
+scenario("a wait for a task ends with the task at every instance", function()
   begin{domains = {"a", "b"}, entries = 2}
   local t = task{at = "a1", team = "red", id = "long", ms = 9000}
   run(1000)
@@ -67,12 +67,12 @@
   run(25000)
   for i, e in ipairs(entries) do
     if e ~= h then
-      expect(answer(waits[i]).state == "done", e .. " learns the end")
+      expect(answer(waits[i]).state == "done", e .. " reports the end of the task")
     end
   end
 end)
 
-scenario("a request given up is answered at once, with when to come back", function()
+scenario("requests that get no slot in time are refused with retry_after_ms", function()
   begin{executors = 1}
   local calls = {}
   for i = 1, 60 do calls[i] = service{at = "a1", team = "red", id = "w" .. i, ms = 4000} end
@@ -80,23 +80,23 @@
   local refused = 0
   for i = 1, 60 do
     local a = answer(calls[i])
-    expect(a.status ~= 0, "answered")
+    expect(a.status ~= 0, "every request is answered")
     if a.status == 503 then
       refused = refused + 1
-      expect(a.retry_after_ms > 0, "says when to come back")
+      expect(a.retry_after_ms > 0, "a 503 has retry_after_ms")
     end
   end
-  expect(refused > 0, "some had to be refused")
+  expect(refused > 0, "some requests are refused")
 end)
 
-for _, slow in ipairs{0, 100, 400} do
-  scenario("a wait asked again while the end is being recorded, table " .. slow .. " ms slow", function()
+for _, delay in ipairs{0, 100, 400} do
+  scenario("a wait is sent while the task's end is being recorded, table delay " .. delay .. " ms", function()
     begin{domains = {"a", "b"}, entries = 2}
-    faults{slow = slow}
+    faults{store_delay_ms = delay}
     local waits = {}
     for i = 1, 12 do
       local t = task{at = "a1", team = "red", id = "e" .. i, ms = 700 + i * 60}
-      within(5000, "accepted", function() return answer(t).status == 202 end)
+      within(5000, "the task is accepted", function() return answer(t).status == 202 end)
       for _, e in ipairs(entries) do
         waits[#waits + 1] = call{entry = e, method = "GET", key = key_of("red"),
           path = "/v1/tasks/" .. answer(t).id .. "?wait_ms=60000"}
@@ -104,12 +104,12 @@
     end
     run(20000)
     for _, c in ipairs(waits) do
-      expect(answer(c).state == "done", "the wait ends with the task, not " .. tostring(answer(c).state))
+      expect(answer(c).state == "done", "the wait ends when the task is done, not " .. tostring(answer(c).state))
     end
   end)
 end
 
-scenario("what an earlier process of the same name waited for", function()
+scenario("a restarted instance does not get the answers to waits of its earlier process", function()
   begin{domains = {"a", "b"}, entries = 2}
   local early, late = {}, {}
   for i = 1, 8 do
@@ -130,7 +130,7 @@
   for i = 1, 8 do waits[i] = wait_for(late[i]) end
   run(30000)
   for i = 1, 8 do
-    expect(answer(waits[i]).id == answer(late[i]).id, "the answer is about the task asked for")
-    expect(answer(waits[i]).state == "done" and answer(waits[i]).took > 10000, "and comes at its end")
+    expect(answer(waits[i]).id == answer(late[i]).id, "the answer is about the queried task")
+    expect(answer(waits[i]).state == "done" and answer(waits[i]).latency_ms > 10000, "the answer comes at the end of that task")
   end
 end)
--- a/regress/scenarios/g06_not_run.lua
+++ b/regress/scenarios/g06_not_run.lua
@@ -1,5 +1,5 @@
--- Guarantee 6: a refusal that says "not run" is true.
-scenario("service requests given up at every moment of their wait", function()
+-- Guarantee 6: a request whose refusal says "not-run" is not run.
+scenario("service requests end at every moment of their wait for a slot", function()
   begin{entries = 3, executors = 1}
   for i = 1, 80 do
     service{at = entries[i % 3 + 1], team = "red", id = "w" .. i, ms = 700 + random(900),
@@ -9,7 +9,7 @@
   run(9000)
 end)
 
-scenario("the holder dies, freezes and is replaced under a burst", function()
+scenario("the holder is killed or frozen and replaced while requests arrive", function()
   begin{entries = 3, executors = 1}
   for round = 1, 10 do
     for i = 1, 10 do
@@ -26,12 +26,12 @@
       restart(h)
     end
   end
-  settle(300000)
+  recover_and_check(300000)
 end)
 
-scenario("the table refuses, hangs, and does all without a word", function()
+scenario("the table refuses, hangs, or carries out operations without replies", function()
   begin{entries = 3}
-  for _, mode in ipairs{"refuses", "hangs", "deaf", "hangs", "deaf"} do
+  for _, mode in ipairs{"refuses", "hangs", "drops-replies", "hangs", "drops-replies"} do
     store(mode)
     for i = 1, 8 do
       task{at = any_up(), team = "red", id = mode .. now() .. i, queue = "once"}
@@ -41,25 +41,25 @@
     store("up")
     run(6000)
   end
-  settle(300000)
+  recover_and_check(300000)
 end)
 
-scenario("an executor refuses connections", function()
+scenario("one of two executors refuses connections", function()
   begin{executors = 2}
-  server("a-x1", {refuses = true})
+  server("a-x1", {refuses_connections = true})
   local calls = {}
   for i = 1, 20 do
     calls[i] = service{at = "a1", team = "red", id = "x" .. i, queue = i % 2 == 0 and "print" or "preview"}
     run(50)
   end
   run(4000)
-  local good = 0
-  for i = 1, 20 do if answer(calls[i]).status == 200 then good = good + 1 end end
-  expect(good >= 12, "the other executor serves, " .. good .. " of 20")
+  local n_served = 0
+  for i = 1, 20 do if answer(calls[i]).status == 200 then n_served = n_served + 1 end end
+  expect(n_served >= 12, "the other executor serves at least 12 of 20 requests, not " .. n_served)
 end)
 
 for _, mode in ipairs{"refuses", "hangs"} do
-  scenario("work that needs a record is refused at once while the table " .. mode, function()
+  scenario("requests that need a record are refused at once while the table " .. mode, function()
     begin{entries = 3}
     store(mode)
     run(4000)
@@ -70,15 +70,15 @@
       for _, c in ipairs{t, p} do
         local a = answer(c)
         expect(a.error == "platform-unavailable" and a.outcome == "not-run",
-               "refused at once, not " .. tostring(a.error))
-        expect(a.retry_after_ms > 0, "with when to come back")
+               "refused as platform-unavailable, not-run within 100 ms, not " .. tostring(a.error))
+        expect(a.retry_after_ms > 0, "the refusal has retry_after_ms")
       end
     end
     store("up")
     run(4000)
     local t = task{at = "a1", team = "red", id = "after", queue = "once"}
     run(500)
-    expect(answer(t).status == 202, "and taken again after it")
-    settle()
+    expect(answer(t).status == 202, "tasks are accepted again once the table is up")
+    recover_and_check()
   end)
 end
--- a/regress/scenarios/g09_graceful.lua
+++ b/regress/scenarios/g09_graceful.lua
@@ -1,5 +1,5 @@
--- Guarantee 9: a planned stop is graceful: it cuts no request short.
-local function load_on(at, tag)
+-- Guarantee 9: a planned stop is graceful: it breaks no request's connection.
+local function send_requests(at, tag)
   local calls = {}
   for i = 1, 5 do
     calls[#calls + 1] = service{at = at, team = "red", id = tag .. "s" .. i, ms = 3000}
@@ -9,28 +9,28 @@
   return calls
 end
 
-local function all_answered(calls)
+local function expect_all_answered(calls)
   for _, c in ipairs(calls) do
     local a = answer(c)
-    expect(a.status > 0, "an answer, not a broken connection")
+    expect(a.status > 0, "each request has an answer, not a broken connection")
   end
 end
 
 for _, after in ipairs{0, 5, 20, 200} do
-  scenario("the holder stops " .. after .. " ms into its callers' requests", function()
+  scenario("the holder is stopped " .. after .. " ms after its callers' requests", function()
     begin{entries = 3, executors = 3}
     local h = holder("a")
-    local calls = load_on(h, "h")
+    local calls = send_requests(h, "h")
     run(after)
     stop(h)
     run(20000)
-    expect(not up(h), "it has stopped")
-    all_answered(calls)
-    settle()
+    expect(not up(h), "the holder has stopped")
+    expect_all_answered(calls)
+    recover_and_check()
   end)
 end
 
-scenario("a stop hands the domain over without waiting for the lease", function()
+scenario("a planned stop hands the domain over before the lease ends", function()
   begin{entries = 2}
   local h = holder("a")
   stop(h)
@@ -41,22 +41,22 @@
   end)
 end)
 
-scenario("every instance of a domain stops at once, new ones come", function()
+scenario("every instance of a domain is stopped at once, and a new one is added", function()
   begin{domains = {"a", "b"}, entries = 2, executors = 2}
-  local calls = load_on("a1", "x")
-  for _, c in ipairs(load_on("a2", "y")) do calls[#calls + 1] = c end
+  local calls = send_requests("a1", "x")
+  for _, c in ipairs(send_requests("a2", "y")) do calls[#calls + 1] = c end
   run(100)
   stop("a1")
   stop("a2")
   entry("a3", "a")
   entries[#entries + 1] = "a3"
   run(25000)
-  all_answered(calls)
-  expect(holder("a") == "a3", "the new one schedules")
-  settle()
+  expect_all_answered(calls)
+  expect(holder("a") == "a3", "the new instance schedules the domain")
+  recover_and_check()
 end)
 
-scenario("a stop while the table is away", function()
+scenario("a planned stop while the table is unreachable", function()
   begin{entries = 2, executors = 2}
   local h = holder("a")
   local calls = {service{at = h, team = "red", id = "s1", ms = 3000}}
@@ -64,27 +64,27 @@
   store("hangs")
   stop(h)
   run(15000)
-  all_answered(calls)
+  expect_all_answered(calls)
   store("up")
-  settle()
+  recover_and_check()
 end)
 
-scenario("one by one, each instance is replaced under load", function()
+scenario("each instance in turn is stopped and restarted under load", function()
   begin{domains = {"a", "b"}, entries = 2, executors = 2}
   local calls = {}
   for _, e in ipairs{"a1", "a2", "b1", "b2"} do
-    for _, c in ipairs(load_on(e, e)) do calls[#calls + 1] = c end
+    for _, c in ipairs(send_requests(e, e)) do calls[#calls + 1] = c end
     run(300)
     stop(e)
     run(8000)
     restart(e)
     run(4000)
   end
-  all_answered(calls)
-  settle()
+  expect_all_answered(calls)
+  recover_and_check()
 end)
 
-scenario("a stop ends though the table stays away", function()
+scenario("a planned stop ends although the table stays unreachable", function()
   begin{entries = 2, executors = 2}
   local h = holder("a")
   local s = service{at = h, team = "red", id = "s1", ms = 3000}
@@ -92,9 +92,9 @@
   store("hangs")
   stop(h)
   run(5000)
-  all_answered{s}
+  expect_all_answered{s}
   run(75000)
-  expect(not running(h), "the process has ended")
+  expect(not has_process(h), "the process has ended")
   store("up")
-  settle()
+  recover_and_check()
 end)
--- a/regress/scenarios/lib.lua
+++ b/regress/scenarios/lib.lua
@@ -1,5 +1,7 @@
--- Shared by all scenarios: JSON out, the usual cell, and shorthand for calls.
+-- Shared by all scenarios: JSON encoding, a standard setup, and functions that
+-- send requests.
 
+-- JSON text of a value; tables with [1] become arrays.
 local function encode(v)
   local t = type(v)
   if t == "table" then
@@ -22,22 +24,24 @@
 end
 json = encode
 
+-- Fails the scenario unless ok; what: the text of the expectation.
 function expect(ok, what)
   if not ok then error("expected: " .. what, 2) end
 end
 
--- Lets time pass until f() holds, for at most ms.
+-- Lets time pass until f() is true, and fails the scenario after ms.
 function within(ms, what, f)
-  local stop_at = now() + ms
+  local deadline = now() + ms
   while not f() do
-    if now() >= stop_at then error("not within " .. ms .. " ms: " .. what, 2) end
+    if now() >= deadline then error("not within " .. ms .. " ms: " .. what, 2) end
     run(20)
   end
 end
 
+-- Ids of the entry instances and of the domains of the present scenario.
 entries, domains = {}, {}
 
--- One scenario: the world anew, f, then its report.
+-- Runs f as one scenario in a new world and reports its result.
 function scenario(name, f)
   reset()
   entries, domains, in_force = {}, {}, {version = 0}
@@ -45,8 +49,10 @@
   report(name, not ok and tostring(why) or nil)
 end
 
--- cell{domains={"a"}, entries=2, workers=3, executors=1, cores=16, mem_mb=32768}
-function cell(c)
+-- add_domains{domains={"a"}, entries=2, workers=3, executors=1, cores=16,
+--             mem_mb=32768, accels=0}: adds entry instances, workers and
+-- executors; the counts are per domain, the amounts per worker.
+function add_domains(c)
   domains = c.domains or {"a"}
   for _, d in ipairs(domains) do
     for i = 1, c.entries or 2 do
@@ -61,6 +67,7 @@
   end
 end
 
+-- Bearer token of a key of the manifest.
 function key_of(name) return name .. ".secret-" .. name end
 
 local function key_row(name, team)
@@ -69,7 +76,9 @@
   return row
 end
 
--- The manifest that most scenarios start from; limits by team.
+-- The manifest that most scenarios start from.  limits: by team, {weight=,
+-- cores=, mem_mb=, accels=, slots=}; keys: ids of the team keys, each the name
+-- of its team.
 function manifest(limits, keys)
   local m = {teams = {}, keys = {key_row("ops")}, queues = {
     {name = "batch", class = "normal", max_waiting = 5000, idempotent = true},
@@ -93,12 +102,14 @@
   return m
 end
 
+-- Version and manifest of the last change that is known to be accepted.
 in_force = {version = 0}
 
--- Applies and, when it is accepted, tells the checker what now holds.
+-- Sends the manifest m to the instance at, as a change from version base, and
+-- notes its limits as possibly in force.  Returns the call for answer().
 function apply(at, m, base)
   local first = (base or in_force.version) == 0
-  for _, t in ipairs(m.teams) do limit(t.name, t.limit, true) end
+  for _, t in ipairs(m.teams) do note_limit(t.name, t.limit, true) end
   local c = call{entry = at, method = "PUT", body = json(m),
     key = first and "ops.first" or key_of("ops"),
     path = "/v1/config?base=" .. (base or in_force.version) .. "&change=c" ..
@@ -106,29 +117,31 @@
   return c
 end
 
+-- Whether the change c to the manifest m was accepted; if so, notes its limits
+-- and the keys that it withdraws for the checker.
 function accepted_config(c, m)
   local a = answer(c)
   if a.status ~= 200 then return false end
-  local had = in_force.manifest
+  local previous = in_force.manifest
   in_force = {version = a.version, manifest = m}
-  for _, t in ipairs(m.teams) do limit(t.name, t.limit) end
-  if had then
-    for _, k in ipairs(had.keys) do
+  for _, t in ipairs(m.teams) do note_limit(t.name, t.limit) end
+  if previous then
+    for _, k in ipairs(previous.keys) do
       local kept = false
       for _, n in ipairs(m.keys) do kept = kept or n.id == k.id end
-      if not kept then withdrawn(k.id) end
+      if not kept then note_key_withdrawn(k.id) end
     end
   end
   return true
 end
 
--- The usual start: cell, manifest, holders ready.
+-- Standard setup: domains, a first manifest, and a holder in each domain.
 function begin(c, limits, keys)
-  cell(c)
+  add_domains(c)
   run(1500)
   local m = manifest(limits or {red = {}, blue = {}}, keys or {"red", "blue"})
   local a = apply(entries[1], m)
-  within(5000, "first manifest", function() return answer(a).status ~= 0 end)
+  within(5000, "an answer to the first manifest", function() return answer(a).status ~= 0 end)
   expect(accepted_config(a, m), "the first manifest is accepted")
   within(10000, "a holder in each domain", function()
     for _, d in ipairs(domains) do if not holder(d) then return false end end
@@ -137,7 +150,9 @@
   run(5000)
 end
 
--- task{at=, team=, id=, queue=, cores=, members=, ms=}
+-- task{at=, team=, id=, queue=, cores=, mem_mb=, accels=, members=, spread=,
+--      ms=, deadline=, key=, key_id=}: submits a task; ms is its run time.
+-- Returns the call for answer().
 function task(t)
   local name = t.team .. ":" .. t.id
   return call{entry = t.at, method = "POST", path = "/v1/tasks",
@@ -150,7 +165,8 @@
       spread = t.spread or false, deadline_ms = t.deadline}}
 end
 
--- service{at=, team=, id=, queue=, ms=}
+-- service{at=, team=, id=, queue=, ms=, key=, key_id=}: sends a service request;
+-- ms is its time at the executor.  Returns the call for answer().
 function service(t)
   local q = t.queue or "preview"
   return call{entry = t.at, method = "POST", path = "/v1/service/" .. q,
@@ -159,7 +175,7 @@
     idempotent = q ~= "print"}
 end
 
-function status(at, id)
+function get_task(at, id)
   return call{entry = at, method = "GET", path = "/v1/tasks/" .. id,
               key = key_of("ops")}
 end
@@ -169,43 +185,46 @@
               key = key_of("ops")}
 end
 
+-- The first entry instance that is up, or nil.
 function any_up()
   for _, e in ipairs(entries) do if up(e) then return e end end
 end
 
-local finals = {done = true, failed = true, cancelled = true, unknown = true}
+local final_states = {done = true, failed = true, cancelled = true, unknown = true}
 
--- The state of an accepted task, by asking until an instance knows.
-function state_of(id)
+-- The state of an accepted task, queried until an instance answers with 200;
+-- "lost" after 40 tries.
+function task_state(id)
   for _ = 1, 40 do
     local at = any_up()
-    local c = status(at, id)
-    local stop_at = now() + 6000
-    while answer(c).status == 0 and now() < stop_at do run(20) end
+    local c = get_task(at, id)
+    local deadline = now() + 6000
+    while answer(c).status == 0 and now() < deadline do run(20) end
     if answer(c).status == 200 then return answer(c).state end
     run(500)
   end
   return "lost"
 end
 
--- Faults are over: every accepted task must reach a truthful end.
-function settle(ms)
+-- Ends all faults, waits up to ms (default 120000) until every accepted task has
+-- a final state, and checks these states against what the workers did.
+function recover_and_check(ms)
   heal()
   store("up")
-  faults{slow = 0, lose = 0, late = 0}
+  faults{store_delay_ms = 0, lost_reply_percent = 0, late_percent = 0}
   for _, e in ipairs(entries) do thaw(e) end
   for _, e in ipairs(entries) do restart(e) end
-  local stop_at = now() + (ms or 120000)
-  local ended, open = {}, 1
-  run(11000) -- whoever still waits to be accepted has an answer then
-  while open > 0 and now() < stop_at do
+  local deadline = now() + (ms or 120000)
+  local ended, n_open = {}, 1
+  run(11000) -- longer than a caller waits to be accepted
+  while n_open > 0 and now() < deadline do
     run(2000)
     for _, e in ipairs(entries) do restart(e) end
-    open = 0
-    for _, id in ipairs(accepted()) do
-      ended[id] = ended[id] or finals[state_of(id)]
-      if not ended[id] then open = open + 1 end
+    n_open = 0
+    for _, id in ipairs(accepted_tasks()) do
+      ended[id] = ended[id] or final_states[task_state(id)]
+      if not ended[id] then n_open = n_open + 1 end
     end
   end
-  for _, id in ipairs(accepted()) do told(id, state_of(id)) end
+  for _, id in ipairs(accepted_tasks()) do check_final_state(id, task_state(id)) end
 end
--- a/regress/scenarios/smoke.lua
+++ b/regress/scenarios/smoke.lua
@@ -1,5 +1,5 @@
--- Each caller gets the whole answer to its own request.
-scenario("each caller its own answer", function()
+-- Each caller gets the complete answer to its own request; no faults.
+scenario("each caller gets its own answer", function()
   begin{domains = {"a", "b"}, entries = 2, workers = 3}
   local calls = {}
   for i = 1, 20 do
@@ -11,5 +11,5 @@
   for i = 1, 20 do expect(answer(calls[i]).status == 202, "task accepted") end
   expect(answer(s).status == 200, "service answered")
   expect(answer(p).status == 200, "print answered")
-  settle()
+  recover_and_check()
 end)
--- a/regress/scenarios/walk.lua
+++ b/regress/scenarios/walk.lua
@@ -1,7 +1,8 @@
--- A seeded random walk over all faults; everything the checker holds.
+-- A random walk over all faults, determined by the seed.  The checker tests every
+-- guarantee all the time.
 scenario("walk", function()
   local function pick(list) return list[random(#list)] end
-  local function maybe(n) return random(n) == 1 end
+  local function one_in(n) return random(n) == 1 end
 
   local n_domains = random(3)
   local names = {"a", "b", "c"}
@@ -9,7 +10,7 @@
   for i = 1, n_domains do ds[i] = names[i] end
   local limits = {red = {cores = 20 + random(30), slots = 4 + random(12)},
                   blue = {cores = 10 + random(60), slots = 4 + random(12)}}
-  faults{lag = random(3000)}
+  faults{list_lag_ms = random(3000)}
   begin({domains = ds, entries = 1 + random(2), workers = 1 + random(4),
          executors = random(2), cores = 8, mem_mb = 8000}, limits)
 
@@ -29,7 +30,7 @@
   local sent = {}
   local pending_apply
 
-  local function work()
+  local function send_request()
     n = n + 1
     local at = pick(entries)
     local team = pick{"red", "blue"}
@@ -38,8 +39,8 @@
       local t = {at = at, team = team, id = "t" .. n, cores = random(6),
         mem_mb = random(3000), ms = random(8000),
         queue = pick{"batch", "batch", "once", "urgent"}}
-      if maybe(4) then t.members = random(4) end
-      if maybe(12) then t.id = "fail" .. n end
+      if one_in(4) then t.members = random(4) end
+      if one_in(12) then t.id = "fail" .. n end
       sent[#sent + 1] = t
       t.call = task(t)
     elseif kind <= 8 then
@@ -64,52 +65,53 @@
       pending_apply = nil
     end
     local at = any_up()
-    if not at or not maybe(3) then return end
+    if not at or not one_in(3) then return end
     local l = {red = {cores = 10 + random(40), slots = 2 + random(14)},
                blue = {cores = 10 + random(60), slots = 2 + random(14)}}
     local m = manifest(l, {"red", "blue"})
     pending_apply = {m = m, call = apply(at, m)}
   end
 
-  local function fault()
-    local f = random(16)
-    if f == 1 then kill(pick(entries))
-    elseif f == 2 or f == 3 then restart(pick(entries))
-    elseif f == 4 then freeze(pick(entries))
-    elseif f == 5 or f == 6 then thaw(pick(entries))
-    elseif f == 7 then stop(pick(entries))
-    elseif f == 8 then cut(pick(ds), pick{"platform", "a", "b", "c"}, maybe(3))
-    elseif f == 9 or f == 10 then heal()
-    elseif f == 11 then store(pick{"refuses", "hangs", "deaf"})
-    elseif f == 12 or f == 13 then store("up")
-    elseif f == 14 then
-      faults{lose = pick{0, 10, 40}, late = pick{0, 5, 20}, slow = pick{0, 50, 800}}
+  local function inject_fault()
+    local kind = random(16)
+    if kind == 1 then kill(pick(entries))
+    elseif kind == 2 or kind == 3 then restart(pick(entries))
+    elseif kind == 4 then freeze(pick(entries))
+    elseif kind == 5 or kind == 6 then thaw(pick(entries))
+    elseif kind == 7 then stop(pick(entries))
+    elseif kind == 8 then cut(pick(ds), pick{"platform", "a", "b", "c"}, one_in(3))
+    elseif kind == 9 or kind == 10 then heal()
+    elseif kind == 11 then store(pick{"refuses", "hangs", "drops-replies"})
+    elseif kind == 12 or kind == 13 then store("up")
+    elseif kind == 14 then
+      faults{lost_reply_percent = pick{0, 10, 40}, late_percent = pick{0, 5, 20},
+             store_delay_ms = pick{0, 50, 800}}
     else
       local s = pick(servers)
-      server(s, pick{{silent = true}, {silent = false}, {silent = false},
+      server(s, pick{{unreachable = true}, {unreachable = false}, {unreachable = false},
         {reboot = true}, {fail_all = true}, {fail_all = false},
         {leaving = true}, {leaving = false}, {slowness = random(10)},
-        {refuses = true}, {refuses = false}})
+        {refuses_connections = true}, {refuses_connections = false}})
     end
   end
 
   local total = 10 + random(50)
   for _ = 1, total do
-    for _ = 1, random(6) do work() end
-    if maybe(2) then fault() end
+    for _ = 1, random(6) do send_request() end
+    if one_in(2) then inject_fault() end
     reconfigure()
     run(random(1500))
   end
   for _, s in ipairs(servers) do
-    server(s, {slowness = 1, silent = false, fail_all = false, leaving = false, refuses = false})
+    server(s, {slowness = 1, unreachable = false, fail_all = false, leaving = false, refuses_connections = false})
   end
   heal()
   store("up")
-  faults{slow = 0, lose = 0, late = 0}
+  faults{store_delay_ms = 0, lost_reply_percent = 0, late_percent = 0}
   run(12000)
   if pending_apply then accepted_config(pending_apply.call, pending_apply.m) end
-  -- Limits that let every task run once more.
-  within(60000, "the last manifest", function()
+  -- Raise the limits, so that every task can run and end.
+  within(60000, "the last manifest is accepted", function()
     for _, e in ipairs(entries) do thaw(e) restart(e) end
     run(4000)
     local at = any_up()
@@ -121,5 +123,5 @@
     run(6000)
     return accepted_config(c, m)
   end)
-  settle(600000)
+  recover_and_check(600000)
 end)
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -428,7 +428,7 @@
     violation (c, "%s (%s) was accepted and did not end: its state is %s",
                k->name, id, state);
   else if (strcmp (state, "done") == 0 && !k->n_ok[0])
-    violation (c, "%s is reported done, but no worker has finished it",
+    violation (c, "%s is reported done, but no worker has completed it",
                k->name);
   else if (strcmp (state, "cancelled") == 0 && k->n_running[0])
     violation (c, "%s is reported cancelled and still runs", k->name);
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -196,7 +196,8 @@
   return 0;
 }
 
-/* store(mode): how the platform's store behaves, see enum store_mode */
+/* store(mode): sets how the platform's store behaves: "up", "refuses",
+   "hangs" or "drops-replies", see enum store_mode */
 static int
 v_store (lua_State *L)
 {
@@ -506,8 +507,7 @@
   return 0;
 }
 
-/* report(name, error): counts a scenario's result; error is nil if it passed
- */
+/* report(name, error): counts a scenario's result; error is nil on success */
 static int
 v_report (lua_State *L)
 {
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -437,11 +437,12 @@
          || is_cut (w, it->server, w->nodes[it->node].settings.id);
 }
 
-/* Whether @it is kept for later.  Messages to a frozen process wait until it
-   is thawed.  Peer messages that meet a cut wait until it has healed if the
-   receiver's generation is even; otherwise they are lost. */
+/* Delays @it by one tick if it cannot be delivered now, and tells whether it
+   did.  Messages to a frozen process wait until it is thawed.  Peer messages
+   that meet a cut wait until it has healed if the receiver's generation is
+   even; otherwise they are lost. */
 static bool
-is_deferred (struct world *w, struct event_item *it)
+defer (struct world *w, struct event_item *it)
 {
   struct wnode *n = &w->nodes[it->node];
   bool to_node = it->kind == ITEM_PEER || it->kind == ITEM_STORE_REP
@@ -563,7 +564,7 @@
       while (w->n_heap && w->heap[0]->at_ms <= w->now_ms)
         {
           struct event_item *it = world_pop (w);
-          if (is_deferred (w, it))
+          if (defer (w, it))
             {
               world_push (w, it);
               continue;
