--- a/regress/scenarios/bad_input.lua
+++ b/regress/scenarios/bad_input.lua
@@ -1,6 +1,6 @@
 -- Invalid input is refused with an error that names the field and changes
 -- nothing.
-local function apply_change_id(change)
+local function apply_with_change_id(change)
   return call{entry = "a1", method = "PUT", key = key_of("ops"),
     body = json(in_force.manifest), path = "/v1/config?base=1&change=" .. change}
 end
@@ -11,7 +11,8 @@
     local c = call{entry = "a1", method = "POST", path = "/v1/service/print",
       key = key_of("red"), id = id, name = "red:b" .. i, service = true, idempotent = false}
     run(300)
-    expect(answer(c).status == 400, "invalid id " .. i .. " is refused with 400, not " .. tostring(answer(c).status))
+    expect(answer(c).status == 400,
+           "invalid id " .. i .. " is refused with 400, not " .. tostring(answer(c).status))
     expect(answer(c).field == "X-Request-Id", "the refusal names the field X-Request-Id")
   end
   local good = service{at = "a2", team = "red", id = "good.1", queue = "print"}
@@ -22,12 +23,16 @@
 scenario("invalid change ids are refused and the field is named", function()
   begin{}
   for _, change in ipairs{"x\xff", "a b", "", string.rep("y", 100)} do
-    local c = apply_change_id(change)
+    local c = apply_with_change_id(change)
     run(500)
-    expect(answer(c).status == 400 and answer(c).field == "change", "an invalid change id is refused with 400, which names the field change")
+    expect(answer(c).status == 400 and answer(c).field == "change",
+           "an invalid change id is refused with 400, which names the field change")
   end
-  for _, e in ipairs(entries) do expect(version(e) == 1, "a refused change does not alter the version") end
-  local c = apply_change_id("good-1")
+  for _, e in ipairs(entries) do
+    expect(version(e) == 1,
+           "a refused change does not alter the version")
+  end
+  local c = apply_with_change_id("good-1")
   run(500)
   expect(answer(c).status == 200, "a valid change id is accepted")
 end)
--- a/regress/scenarios/g02_old_holder.lua
+++ b/regress/scenarios/g02_old_holder.lua
@@ -7,7 +7,8 @@
   begin{entries = 2, workers = 1}
   local h = holder("a")
   server("a-w1", {unreachable = true})
-  run(1100) -- a sync is outstanding now, and no other is sent before it ends
+  -- After this a sync is outstanding, and no other is sent before it ends.
+  run(1100)
   for i = 1, 3 do
     task{at = h, team = "red", id = "t" .. i, cores = 2, ms = 60000}
   end
--- a/regress/scenarios/g02_two_places.lua
+++ b/regress/scenarios/g02_two_places.lua
@@ -1,4 +1,6 @@
 -- Guarantee 2: no task runs in two places at once.
+
+-- Submits n tasks with a run time of ms to the instance at.
 local function submit(at, n, ms, queue)
   for i = 1, n do
     task{at = at, team = "red", id = "t" .. now() .. "-" .. i, cores = 2, ms = ms,
@@ -140,7 +142,9 @@
   local h = holder("a")
   faults{store_delay_ms = 300}
   submit(h, 2, 60000)
-  run(330) -- the tasks are accepted; their intents are on the way to the table
+  -- After this the tasks are accepted and their intents are on the way to the
+  -- table.
+  run(330)
   cut(h, "platform")
   run(2200) -- longer than the time between two syncs
   server("a-w1", {unreachable = true})
--- a/regress/scenarios/g03_keys.lua
+++ b/regress/scenarios/g03_keys.lua
@@ -79,7 +79,8 @@
   }
   run(2000)
   for _, c in ipairs(wrong) do
-    expect(answer(c).status == 401 or answer(c).status == 403, "an invalid key is refused with 401 or 403")
+    expect(answer(c).status == 401 or answer(c).status == 403,
+           "an invalid key is refused with 401 or 403")
     expect(answer(c).outcome == "not-run", "the refusal says not-run")
   end
   local mine = task{at = "a1", team = "red", id = "mine"}
@@ -112,7 +113,8 @@
   local keyed = service{at = "a1", team = "red", id = "o1"}
   local open = service{at = "a1", team = "red", id = "o2", queue = "desk"}
   run(2000)
-  expect(answer(keyed).error == "configuration-not-fresh", "a request with a key is refused as configuration-not-fresh")
+  expect(answer(keyed).error == "configuration-not-fresh",
+         "a request with a key is refused as configuration-not-fresh")
   expect(answer(keyed).retry_after_ms > 0, "the refusal has retry_after_ms")
   expect(answer(open).status == 200, "a request to an open queue is served")
 end)
--- a/regress/scenarios/g04_limits.lua
+++ b/regress/scenarios/g04_limits.lua
@@ -1,5 +1,6 @@
 -- Guarantee 4: the running work of a team in all domains never exceeds its upper
 -- limit.
+
 -- Submits n tasks of 3 cores over all entry instances.
 local function submit(n, team, ms)
   for i = 1, n do
--- a/regress/scenarios/g05_answers.lua
+++ b/regress/scenarios/g05_answers.lua
@@ -90,7 +90,8 @@
 end)
 
 for _, delay in ipairs{0, 100, 400} do
-  scenario("a wait is sent while the task's end is being recorded, table delay " .. delay .. " ms", function()
+  scenario("an entry instance repeats a wait while the task's end is being recorded, table delay "
+           .. delay .. " ms", function()
     begin{domains = {"a", "b"}, entries = 2}
     faults{store_delay_ms = delay}
     local waits = {}
@@ -104,7 +105,8 @@
     end
     run(20000)
     for _, c in ipairs(waits) do
-      expect(answer(c).state == "done", "the wait ends when the task is done, not " .. tostring(answer(c).state))
+      expect(answer(c).state == "done",
+             "the wait ends when the task is done, not " .. tostring(answer(c).state))
     end
   end)
 end
@@ -131,6 +133,7 @@
   run(30000)
   for i = 1, 8 do
     expect(answer(waits[i]).id == answer(late[i]).id, "the answer is about the queried task")
-    expect(answer(waits[i]).state == "done" and answer(waits[i]).latency_ms > 10000, "the answer comes at the end of that task")
+    expect(answer(waits[i]).state == "done" and answer(waits[i]).latency_ms > 10000,
+           "the answer comes at the end of that task")
   end
 end)
--- a/regress/scenarios/g06_not_run.lua
+++ b/regress/scenarios/g06_not_run.lua
@@ -55,7 +55,8 @@
   run(4000)
   local n_served = 0
   for i = 1, 20 do if answer(calls[i]).status == 200 then n_served = n_served + 1 end end
-  expect(n_served >= 12, "the other executor serves at least 12 of 20 requests, not " .. n_served)
+  expect(n_served >= 12,
+         "the other executor serves at least 12 of 20 requests, not " .. n_served)
 end)
 
 for _, mode in ipairs{"refuses", "hangs"} do
--- a/regress/scenarios/g08_leaving.lua
+++ b/regress/scenarios/g08_leaving.lua
@@ -77,7 +77,8 @@
 end)
 
 for after = 6, 24, 3 do
-  scenario("tasks are submitted " .. after .. " ms before an outage in which a worker begins to leave", function()
+  scenario("tasks are submitted " .. after
+           .. " ms before an outage in which a worker begins to leave", function()
     begin{entries = 2, workers = 2}
     for i = 1, 3 do
       task{at = "a1", team = "red", id = "q" .. i, cores = 6, ms = 1000}
--- a/regress/scenarios/g10_config.lua
+++ b/regress/scenarios/g10_config.lua
@@ -1,5 +1,6 @@
 -- Guarantee 10: an accepted configuration is in force everywhere within
--- seconds and never reverts.
+-- seconds and never reverts to an earlier one.
+
 -- The highest version seen at each instance.
 local seen = {}
 local function expect_no_rollback()
@@ -62,7 +63,8 @@
         n_accepted = n_accepted + 1
         accepted_config(c, ms[i])
       else
-        expect(a.error == "conflict", "a change that is not accepted is refused as conflict, not " .. tostring(a.error))
+        expect(a.error == "conflict",
+               "a change that is not accepted is refused as conflict, not " .. tostring(a.error))
       end
     end
     expect(n_accepted == 1, "one change is accepted from one version, not " .. n_accepted)
@@ -77,8 +79,12 @@
   for i = 1, 6 do
     local m = changed_manifest("a1", i)
     local c = apply("a1", m)
-    within(12000, "an answer to the change", function() expect_no_rollback() return answer(c).status ~= 0 end)
-    expect(accepted_config(c, m), "the change is found by its id and accepted, error: " .. tostring(answer(c).error))
+    within(12000, "an answer to the change", function()
+      expect_no_rollback()
+      return answer(c).status ~= 0
+    end)
+    expect(accepted_config(c, m),
+           "the change is found by its id and accepted, error: " .. tostring(answer(c).error))
     in_force_within(5000, in_force.version)
   end
 end)
@@ -102,7 +108,7 @@
   in_force_within(3000, in_force.version)
 end)
 
-scenario("an instance that gets no replies of the platform refuses keys, then catches up", function()
+scenario("an instance that gets no replies from the platform refuses keys, then catches up", function()
   seen = {}
   begin{domains = {"a", "b"}, entries = 2}
   cut("platform", "b1", true)
@@ -114,7 +120,8 @@
   run(5000)
   local k = task{at = "b1", team = "red", id = "stale"}
   run(1000)
-  expect(answer(k).status == 503, "an instance without a current configuration refuses a request with a key")
+  expect(answer(k).status == 503,
+         "an instance without a current configuration refuses a request with a key")
   heal()
   in_force_within(3000, in_force.version)
 end)
--- a/regress/scenarios/lib.lua
+++ b/regress/scenarios/lib.lua
@@ -1,7 +1,7 @@
 -- Shared by all scenarios: JSON encoding, a standard setup, and functions that
 -- send requests.
 
--- JSON text of a value; tables with [1] become arrays.
+-- JSON text of a value; a table with [1] becomes an array.
 local function encode(v)
   local t = type(v)
   if t == "table" then
@@ -29,7 +29,7 @@
   if not ok then error("expected: " .. what, 2) end
 end
 
--- Lets time pass until f() is true, and fails the scenario after ms.
+-- Lets time pass until f() is true; fails the scenario if it is not after ms.
 function within(ms, what, f)
   local deadline = now() + ms
   while not f() do
@@ -78,7 +78,8 @@
 
 -- The manifest that most scenarios start from.  limits: by team, {weight=,
 -- cores=, mem_mb=, accels=, slots=}; keys: ids of the team keys, each the name
--- of its team.
+-- of its team.  The queues with open = true need no key; their work is charged
+-- to team red.
 function manifest(limits, keys)
   local m = {teams = {}, keys = {key_row("ops")}, queues = {
     {name = "batch", class = "normal", max_waiting = 5000, idempotent = true},
@@ -105,8 +106,9 @@
 -- Version and manifest of the last change that is known to be accepted.
 in_force = {version = 0}
 
--- Sends the manifest m to the instance at, as a change from version base, and
--- notes its limits as possibly in force.  Returns the call for answer().
+-- Sends the manifest m to the instance at, as a change from version base
+-- (default: in_force.version), and notes its limits as possibly in force.
+-- Returns the call for answer().
 function apply(at, m, base)
   local first = (base or in_force.version) == 0
   for _, t in ipairs(m.teams) do note_limit(t.name, t.limit, true) end
--- a/regress/scenarios/nothing_lost.lua
+++ b/regress/scenarios/nothing_lost.lua
@@ -35,14 +35,15 @@
   local bad = task{at = "a1", team = "red", id = "fail-everywhere", ms = 200}
   local over = task{at = "a1", team = "red", id = "over", cores = 5000}
   run(1000)
-  expect(answer(over).error == "never-fits", "a task above the team's limit is refused as never-fits")
+  expect(answer(over).error == "never-fits",
+         "a task above the team's limit is refused as never-fits")
   run(200000)
   expect(task_state(answer(huge).id) == "failed", "a task that fits no worker fails")
   expect(task_state(answer(bad).id) == "failed", "a task that fails on every worker fails")
   expect(starts("red:fail-everywhere") <= 3, "a failing task is started at most 3 times")
 end)
 
-scenario("a worker that fails every run does not fail the tasks", function()
+scenario("a worker that fails every run at once does not attract all tasks", function()
   begin{workers = 3}
   server("a-w1", {fail_all = true})
   local calls = {}
@@ -72,7 +73,8 @@
     n_sent = n_sent + 1
     if answer(c).status == 200 then n_served = n_served + 1 end
   end
-  expect(n_served >= n_sent * 0.99, "99 % of " .. n_sent .. " requests are served, not " .. n_served)
+  expect(n_served >= n_sent * 0.99,
+         "99 % of " .. n_sent .. " requests are served, not " .. n_served)
   store("up")
   run(5000)
   expect(holder("a") == h, "the holder is the same as before")
@@ -113,7 +115,7 @@
   recover_and_check(300000)
 end)
 
-scenario("tasks run ten times as long as declared", function()
+scenario("tasks on two of three workers run ten times as long as declared", function()
   begin{workers = 3}
   server("a-w1", {slowness = 10})
   server("a-w2", {slowness = 10})
@@ -139,7 +141,8 @@
 end)
 
 for _, after in ipairs{0, 20, 100} do
-  scenario("a holder freezes " .. after .. " ms after its election and stays in the platform's list", function()
+  scenario("a holder freezes " .. after
+           .. " ms after its election and stays in the platform's list", function()
     begin{entries = 3}
     kill(holder("a"))
     faults{list_lag_ms = 100000000}
--- a/regress/scenarios/walk.lua
+++ b/regress/scenarios/walk.lua
@@ -1,5 +1,5 @@
--- A random walk over all faults, determined by the seed.  The checker tests every
--- guarantee all the time.
+-- A random walk over all faults, determined by the seed.  The checker tests all
+-- of its guarantees throughout.
 scenario("walk", function()
   local function pick(list) return list[random(#list)] end
   local function one_in(n) return random(n) == 1 end
@@ -103,7 +103,8 @@
     run(random(1500))
   end
   for _, s in ipairs(servers) do
-    server(s, {slowness = 1, unreachable = false, fail_all = false, leaving = false, refuses_connections = false})
+    server(s, {slowness = 1, unreachable = false, fail_all = false, leaving = false,
+               refuses_connections = false})
   end
   heal()
   store("up")
