--- a/regress/scenarios/bad_input.lua
+++ b/regress/scenarios/bad_input.lua
@@ -40,7 +40,7 @@
 scenario("a refusal for a stale configuration names no field", function()
   begin{}
   store("hangs")
-  cut("a1", "a2")
+  partition("a1", "a2")
   run(8000)
   local c = service{at = "a1", team = "red", id = "f1"}
   run(500)
--- a/regress/scenarios/g03_keys.lua
+++ b/regress/scenarios/g03_keys.lua
@@ -31,8 +31,8 @@
 
 scenario("a key is withdrawn while a domain is cut off", function()
   begin{domains = {"a", "b"}}
-  cut("b", "platform")
-  cut("a", "b")
+  partition("b", "platform")
+  partition("a", "b")
   withdraw_red_key("a1")
   use_red_key(15000)
   heal()
@@ -41,8 +41,8 @@
 
 scenario("a key is withdrawn while one instance reaches neither platform nor peers", function()
   begin{domains = {"a", "b"}}
-  cut("b1", "platform")
-  cut("b1", "a1") cut("b1", "a2") cut("b1", "b2")
+  partition("b1", "platform")
+  partition("b1", "a1") partition("b1", "a2") partition("b1", "b2")
   withdraw_red_key("a1")
   use_red_key(15000)
 end)
@@ -59,7 +59,7 @@
 
 scenario("a key is withdrawn, then the table becomes unreachable", function()
   begin{domains = {"a", "b"}}
-  cut("b", "a")
+  partition("b", "a")
   local m = manifest({red = {}, blue = {}}, {"blue"})
   local c = apply("a1", m)
   run(30)
@@ -108,7 +108,7 @@
 scenario("table unreachable and domain cut off: only open queues are served", function()
   begin{domains = {"a", "b"}}
   store("hangs")
-  cut("a", "b")
+  partition("a", "b")
   run(8000)
   local keyed = service{at = "a1", team = "red", id = "o1"}
   local open = service{at = "a1", team = "red", id = "o2", queue = "desk"}
--- a/regress/scenarios/g04_limits.lua
+++ b/regress/scenarios/g04_limits.lua
@@ -20,7 +20,7 @@
 
 scenario("the limit's share of an idle domain moves to the domain that needs it", function()
   begin({domains = {"a", "b"}, entries = 2, workers = 6}, {red = {cores = 40}, blue = {}})
-  cut("a", "b") -- so that no task is forwarded to b
+  partition("a", "b") -- so that no task is forwarded to b
   local n = 0
   for i = 1, 20 do
     task{at = "a1", team = "red", id = "g" .. i, cores = 4, ms = 60000}
@@ -61,8 +61,8 @@
   begin({domains = {"a", "b"}, entries = 2}, {red = {cores = 60}, blue = {}})
   submit(20, "red", 30000)
   run(2000)
-  cut("b", "platform")
-  cut("a", "b")
+  partition("b", "platform")
+  partition("a", "b")
   local m = manifest({red = {cores = 15}, blue = {}}, {"red", "blue"})
   local c = apply("a1", m)
   within(11000, "an answer to the lowered limit", function() return answer(c).status ~= 0 end)
--- a/regress/scenarios/g09_graceful.lua
+++ b/regress/scenarios/g09_graceful.lua
@@ -48,7 +48,7 @@
   run(100)
   stop("a1")
   stop("a2")
-  entry("a3", "a")
+  add_entry("a3", "a")
   entries[#entries + 1] = "a3"
   run(25000)
   expect_all_answered(calls)
--- a/regress/scenarios/g10_config.lua
+++ b/regress/scenarios/g10_config.lua
@@ -92,8 +92,8 @@
 scenario("a domain that was cut off and an instance that was frozen catch up", function()
   seen = {}
   begin{domains = {"a", "b"}, entries = 2}
-  cut("b", "platform")
-  cut("a", "b")
+  partition("b", "platform")
+  partition("a", "b")
   freeze("a2")
   for i = 1, 3 do
     local m = changed_manifest("a1", i)
@@ -111,7 +111,7 @@
 scenario("an instance that gets no replies from the platform refuses keys, then catches up", function()
   seen = {}
   begin{domains = {"a", "b"}, entries = 2}
-  cut("platform", "b1", true)
+  partition("platform", "b1", true)
   local m = changed_manifest("a1", 1)
   local c = apply("a1", m)
   within(5000, "an answer to the change", function() return answer(c).status ~= 0 end)
--- a/regress/scenarios/lib.lua
+++ b/regress/scenarios/lib.lua
@@ -56,14 +56,14 @@
   domains = c.domains or {"a"}
   for _, d in ipairs(domains) do
     for i = 1, c.entries or 2 do
-      entry(d .. i, d)
+      add_entry(d .. i, d)
       entries[#entries + 1] = d .. i
     end
     for i = 1, c.workers or 3 do
-      worker(d .. "-w" .. i, d, d .. "-r" .. ((i - 1) // 2), c.cores or 16,
+      add_worker(d .. "-w" .. i, d, d .. "-r" .. ((i - 1) // 2), c.cores or 16,
              c.mem_mb or 32768, c.accels or 0)
     end
-    for i = 1, c.executors or 1 do executor(d .. "-x" .. i, d) end
+    for i = 1, c.executors or 1 do add_executor(d .. "-x" .. i, d) end
   end
 end
 
--- a/regress/scenarios/nothing_lost.lua
+++ b/regress/scenarios/nothing_lost.lua
@@ -103,12 +103,12 @@
   run(2000)
   -- All instances but the new one lose the platform, and the new one has no
   -- contact to them.
-  cut("a1", "platform")
-  cut("a2", "platform")
-  entry("a9", "a")
+  partition("a1", "platform")
+  partition("a2", "platform")
+  add_entry("a9", "a")
   entries[#entries + 1] = "a9"
-  cut("a9", "a1")
-  cut("a9", "a2")
+  partition("a9", "a1")
+  partition("a9", "a2")
   run(40000)
   expect(holder("a") ~= "a9", "the new instance does not claim while the list shows the holder")
   heal()
@@ -132,7 +132,7 @@
     task{at = entries[i % 3 + 1], team = "red", id = "e" .. i}
   end
   run(100)
-  cut(h, "platform")
+  partition(h, "platform")
   run(600)
   kill(h)
   faults{store_delay_ms = 0}
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -1,6 +1,6 @@
 /*
- * Checks what workers, executors and callers saw against the guarantees.
- * It never reads the scheduler's own state.
+ * Checker: compares what workers, executors and callers observed with the
+ * guarantees.  The checker never reads the scheduler's own state.
  */
 #include "world.h"
 
@@ -12,58 +12,66 @@
 
 enum
 {
-  /* An accepted configuration change is in force everywhere within this. */
+  /* An accepted configuration change is in force at every instance within
+     this time. */
   CONF_IN_FORCE_MS = 3500,
-  /* A server gets no new work later than this after the platform's list shows
-     it as leaving. */
+  /* A worker or executor gets no new work later than this after the platform's
+     list shows the server as leaving. */
   LEAVING_GRACE_MS = 4000,
-  MEMBERS_MAX = 32,
-  LIMITS_MAX = 1024,
-  WITHDRAWN_MAX = 64,
-  TEAMS_MAX = 16,
+  MEMBERS_MAX = 32,   /* members of a gang */
+  LIMITS_MAX = 1024,  /* changes of team limits in one scenario */
+  WITHDRAWN_MAX = 64, /* withdrawn keys in one scenario */
+  TEAMS_MAX = 16,     /* teams in one scenario */
 };
 
-/* struct request_log - what callers and servers saw of one request id */
+/* struct request_log - what callers, workers and executors observed of one
+   request id */
 struct request_log
 {
   RB_ENTRY (request_log) by_name;
   char name[CLB_ID_MAX]; /* "team:request id" */
-  bool idempotent;
-  int n_calls;
-  /* The answer to its only call said that it was not run. */
+  bool idempotent;       /* the request may run more than once */
+  int n_calls;           /* times that callers sent the request id */
+  /* The request was sent once, and its answer said that it was not run. */
   bool reported_not_run;
-  char id[CLB_ID_MAX]; /* of the accepted task; empty: not accepted */
+  char id[CLB_ID_MAX]; /* id of the accepted task; empty: not accepted */
+  /* Last reported state of the accepted task; empty: none. */
   char state[CLB_NAME_MAX];
-  /* Runs of a task, by member. */
-  int n_starts[MEMBERS_MAX];
-  int n_running[MEMBERS_MAX];
-  int n_ok[MEMBERS_MAX];
-  int n_served; /* starts of a service request */
+  /* Runs of a task by gang member; a task that is no gang has member 0. */
+  int n_starts[MEMBERS_MAX];  /* runs that have started */
+  int n_running[MEMBERS_MAX]; /* runs that have not ended */
+  int n_ok[MEMBERS_MAX];      /* runs that ended in success */
+  /* Times that a service request started at an executor. */
+  int n_service_starts;
 };
 RB_HEAD (request_log_tree, request_log);
 
-struct usage
+/* struct team_usage - resources that a team's tasks and service requests use
+   in all domains */
+struct team_usage
 {
   char team[CLB_NAME_MAX];
   struct clb_res used;
 };
 
+/* struct check - observations of one scenario, and the first violation */
 struct check
 {
   struct world *w;
   struct request_log_tree requests;
-  struct limit limits[LIMITS_MAX];
+  /* Changes of all teams' limits, oldest first. */
+  struct team_limit limits[LIMITS_MAX];
   int n_limits;
-  struct usage usage[TEAMS_MAX];
+  struct team_usage usage[TEAMS_MAX];
   int n_usage;
   struct
   {
-    char key[CLB_NAME_MAX];
-    int64_t at_ms;
+    char key_id[CLB_NAME_MAX];
+    int64_t withdrawn_ms;
   } withdrawn[WITHDRAWN_MAX];
   int n_withdrawn;
-  bool violated;
-  char violation[256];
+  bool violated;            /* a guarantee was violated */
+  char violation_text[256]; /* text of the first violation */
 };
 
 static int
@@ -90,18 +98,19 @@
 void
 check_free (struct check *c)
 {
-  struct request_log *k;
+  struct request_log *log;
 
-  while ((k = RB_MIN (request_log_tree, &c->requests)))
+  while ((log = RB_MIN (request_log_tree, &c->requests)))
     {
-      RB_REMOVE (request_log_tree, &c->requests, k);
-      free (k);
+      RB_REMOVE (request_log_tree, &c->requests, log);
+      free (log);
     }
   free (c);
 }
 
+/* Records a violation, unless an earlier one is recorded already. */
 static void __attribute__ ((format (printf, 2, 3)))
-violation (struct check *c, const char *fmt, ...)
+report_violation (struct check *c, const char *fmt, ...)
 {
   va_list ap;
   int n;
@@ -109,39 +118,42 @@
   if (c->violated)
     return;
   c->violated = true;
-  n = snprintf (c->violation, sizeof c->violation,
+  n = snprintf (c->violation_text, sizeof c->violation_text,
                 "at %lld ms: ", (long long)c->w->now_ms);
   va_start (ap, fmt);
-  vsnprintf (c->violation + n, sizeof c->violation - (size_t)n, fmt, ap);
+  vsnprintf (c->violation_text + n, sizeof c->violation_text - (size_t)n, fmt,
+             ap);
   va_end (ap);
 }
 
 const char *
 check_violation (const struct check *c)
 {
-  return c->violated ? c->violation : NULL;
+  return c->violated ? c->violation_text : NULL;
 }
 
+/* Returns the log of the request @name "team:request id"; adds an empty one if
+   there is none. */
 static struct request_log *
-request_log_get (struct check *c, const char *name)
+request_log_find_or_add (struct check *c, const char *name)
 {
-  struct request_log key;
-  struct request_log *k;
-
-  clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (request_log_tree, &c->requests, &key);
-  if (k)
-    return k;
-  k = calloc (1, sizeof *k);
-  if (!k)
+  struct request_log lookup;
+  struct request_log *log;
+
+  clb_copy (lookup.name, name, sizeof lookup.name);
+  log = RB_FIND (request_log_tree, &c->requests, &lookup);
+  if (log)
+    return log;
+  log = calloc (1, sizeof *log);
+  if (!log)
     abort ();
-  clb_copy (k->name, name, sizeof k->name);
-  k->idempotent = true;
-  RB_INSERT (request_log_tree, &c->requests, k);
-  return k;
+  clb_copy (log->name, name, sizeof log->name);
+  log->idempotent = true;
+  RB_INSERT (request_log_tree, &c->requests, log);
+  return log;
 }
 
-/* Extracts the team from a name "team:request id". */
+/* Copies the team of a request's name "team:request id" to @out. */
 static void
 team_of_name (const char *name, char out[CLB_NAME_MAX])
 {
@@ -152,21 +164,23 @@
     out[len] = '\0';
 }
 
-static struct usage *
-usage_get (struct check *c, const char *team)
+/* Returns the usage of @team; adds a zero one if there is none. */
+static struct team_usage *
+usage_find_or_add (struct check *c, const char *team)
 {
   for (int i = 0; i < c->n_usage; i++)
     if (strcmp (c->usage[i].team, team) == 0)
       return &c->usage[i];
   if (c->n_usage == TEAMS_MAX)
     abort ();
-  struct usage *u = &c->usage[c->n_usage++];
+  struct team_usage *u = &c->usage[c->n_usage++];
   clb_copy (u->team, team, sizeof u->team);
   return u;
 }
 
-/* Whether @used is within a limit that may be in force now.  A lowered limit
-   applies to new starts only once it is in force everywhere. */
+/* Whether @used is within any limit of @team that may be in force now.  An
+   earlier limit may be in force until CONF_IN_FORCE_MS after the acceptance of
+   a later one. */
 static bool
 within_limit (const struct check *c, const char *team,
               const struct clb_res *used)
@@ -176,7 +190,7 @@
 
   for (int i = c->n_limits - 1; i >= 0; i--)
     {
-      const struct limit *l = &c->limits[i];
+      const struct team_limit *l = &c->limits[i];
       if (strcmp (l->team, team) != 0)
         continue;
       if (now <= until && clb_res_fits (used, &l->amount))
@@ -190,6 +204,8 @@
   return false;
 }
 
+/* Adds @factor times @need to the usage of the team of the request @name.  An
+   increase above the team's limit is a violation. */
 static void
 usage_add (struct check *c, const char *name, const struct clb_res *need,
            int64_t factor)
@@ -197,19 +213,20 @@
   char team[CLB_NAME_MAX];
 
   team_of_name (name, team);
-  struct usage *u = usage_get (c, team);
+  struct team_usage *u = usage_find_or_add (c, team);
   clb_res_add (&u->used, need, factor);
   if (factor > 0 && !within_limit (c, team, &u->used))
-    violation (c, "team %s exceeds its upper limit by the start of %s", team,
-               name);
+    report_violation (c, "team %s exceeds its upper limit by the start of %s",
+                      team, name);
 }
 
-/* Reports work that was given to a server long after it began to leave.
-   Service requests need no record, so a domain serves them also while the
-   platform and its list are unreachable: their bound counts from the end of
-   the platform's last fault. */
+/* Reports work that starts on a worker or executor too long after the server
+   began to leave.  Service requests need no record in the table, so a domain
+   serves them also while the platform and its list of instances are
+   unreachable: the bound for service requests counts from the end of the
+   platform's last fault. */
 static void
-check_leaving (struct check *c, const struct wserver *s, const char *name,
+check_leaving (struct check *c, const struct sim_server *s, const char *name,
                bool service)
 {
   int64_t since = s->leaving_since_ms;
@@ -218,165 +235,180 @@
     since = c->w->platform_fault_ms;
   if (s->leaving_since_ms
       && c->w->now_ms - since > c->w->list_lag_ms + LEAVING_GRACE_MS)
-    violation (c, "%s started on %s, which has been leaving for %lld ms", name,
-               s->inst.id, (long long)(c->w->now_ms - s->leaving_since_ms));
+    report_violation (
+        c, "%s started on %s, which has been leaving for %lld ms", name,
+        s->inst.id, (long long)(c->w->now_ms - s->leaving_since_ms));
 }
 
+/* Records and checks the start of a run of gang member @member. */
 static void
-run_started (struct check *c, struct wserver *s, struct request_log *k, int i,
-             const struct frun *run)
+run_started (struct check *c, struct sim_server *s, struct request_log *log,
+             int member, const struct frun *run)
 {
   clb_res_add (&s->used, &run->need, 1);
   if (!clb_res_fits (&s->used, &s->inst.capacity))
-    violation (c, "capacity of worker %s exceeded by run %s", s->inst.id,
-               run->id);
-  if (++k->n_running[i] > 1)
-    violation (c, "%s member %d runs in two places at once", k->name, i);
-  if (++k->n_starts[i] > 1 && !k->idempotent)
-    violation (c, "%s is not idempotent and was started twice", k->name);
-  if (k->reported_not_run)
-    violation (c, "%s started after its caller was told not-run", k->name);
-  check_leaving (c, s, k->name, false);
-  usage_add (c, k->name, &run->need, 1);
+    report_violation (c, "capacity of worker %s exceeded by run %s",
+                      s->inst.id, run->id);
+  if (++log->n_running[member] > 1)
+    report_violation (c, "%s member %d runs in two places at once", log->name,
+                      i);
+  if (++log->n_starts[member] > 1 && !log->idempotent)
+    report_violation (c, "%s is not idempotent and was started twice",
+                      log->name);
+  if (log->reported_not_run)
+    report_violation (c, "%s started after its caller was told not-run",
+                      log->name);
+  check_leaving (c, s, log->name, false);
+  usage_add (c, log->name, &run->need, 1);
 }
 
 void
-check_run (struct check *c, struct wserver *s, const struct frun *run,
+check_run (struct check *c, struct sim_server *s, const struct frun *run,
            bool started)
 {
-  struct request_log *k = request_log_get (c, run->name);
+  struct request_log *log = request_log_find_or_add (c, run->name);
   const char *slash = strrchr (run->id, '/');
-  int i = slash ? atoi (slash + 1) : 0;
+  int member = slash ? atoi (slash + 1) : 0;
 
-  if (i < 0 || i >= MEMBERS_MAX)
+  if (member < 0 || member >= MEMBERS_MAX)
     return;
   if (started)
     {
-      run_started (c, s, k, i, run);
+      run_started (c, s, log, member, run);
       return;
     }
   clb_res_add (&s->used, &run->need, -1);
-  k->n_running[i]--;
-  k->n_ok[i] += run->state == RUN_OK;
-  usage_add (c, k->name, &run->need, -1);
+  log->n_running[member]--;
+  log->n_ok[member] += run->state == RUN_OK;
+  usage_add (c, log->name, &run->need, -1);
 }
 
 void
-check_served (struct check *c, struct wserver *s, int call, bool started)
+check_service_run (struct check *c, struct sim_server *s, int call,
+                   bool started)
 {
-  const struct wcall *wc = &c->w->calls[call];
-  struct request_log *k = request_log_get (c, wc->name);
+  const struct caller_request *wc = &c->w->calls[call];
+  struct request_log *log = request_log_find_or_add (c, wc->name);
   struct clb_res one_slot = { .slots = 1 };
 
   clb_res_add (&s->used, &one_slot, started ? 1 : -1);
   if (started)
     {
       if (!clb_res_fits (&s->used, &s->inst.capacity))
-        violation (c, "executor %s serves more requests than its slots",
-                   s->inst.id);
-      if (++k->n_served > 1 && !wc->idempotent)
-        violation (c, "%s is not idempotent and was sent to an executor twice",
-                   k->name);
-      if (k->reported_not_run)
-        violation (c,
-                   "%s sent to an executor after its caller was told not-run",
-                   k->name);
-      check_leaving (c, s, k->name, true);
+        report_violation (c, "executor %s serves more requests than its slots",
+                          s->inst.id);
+      if (++log->n_service_starts > 1 && !wc->idempotent)
+        report_violation (
+            c, "%s is not idempotent and was sent to an executor twice",
+            log->name);
+      if (log->reported_not_run)
+        report_violation (
+            c, "%s sent to an executor after its caller was told not-run",
+            log->name);
+      check_leaving (c, s, log->name, true);
     }
   usage_add (c, wc->name, &one_slot, started ? 1 : -1);
 }
 
 void
-check_call (struct check *c, const struct wcall *call)
+check_note_request (struct check *c, const struct caller_request *call)
 {
-  struct request_log *k;
+  struct request_log *log;
 
   if (!*call->name)
     return;
-  k = request_log_get (c, call->name);
-  k->idempotent = call->idempotent;
-  /* "not-run" holds for one call only: a later call of the same request id
-     may run. */
-  k->reported_not_run = false;
-  k->n_calls++;
+  log = request_log_find_or_add (c, call->name);
+  log->idempotent = call->idempotent;
+  /* An answer "not-run" is about one sending only: the request may run when
+     its id is sent again. */
+  log->reported_not_run = false;
+  log->n_calls++;
 }
 
+/* Whether any run or service of the request has started. */
 static bool
-has_run (const struct request_log *k)
+has_run (const struct request_log *log)
 {
-  int n = k->n_served;
+  int n = log->n_service_starts;
 
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->n_starts[i];
+    n += log->n_starts[i];
   return n > 0;
 }
 
+/* Reports the acceptance of a request that was sent too long after its key was
+   withdrawn. */
 static void
-check_key (struct check *c, const struct wcall *call)
+check_key (struct check *c, const struct caller_request *call)
 {
   for (int i = 0; i < c->n_withdrawn; i++)
-    if (strcmp (c->withdrawn[i].key, call->key) == 0
-        && call->sent_ms > c->withdrawn[i].at_ms + CONF_IN_FORCE_MS)
-      violation (c,
-                 "%s accepted with key %s, which was withdrawn %lld ms before",
-                 call->name, call->key,
-                 (long long)(call->sent_ms - c->withdrawn[i].at_ms));
+    if (strcmp (c->withdrawn[i].key_id, call->key_id) == 0
+        && call->sent_ms > c->withdrawn[i].withdrawn_ms + CONF_IN_FORCE_MS)
+      report_violation (
+          c, "%s accepted with key %s, which was withdrawn %lld ms before",
+          call->name, call->key_id,
+          (long long)(call->sent_ms - c->withdrawn[i].withdrawn_ms));
 }
 
+/* Checks that an accepted task has an id, and the same id as in any earlier
+   answer to its request id. */
 static void
-check_accepted (struct check *c, struct request_log *k,
-                const struct wcall *call)
+check_accepted (struct check *c, struct request_log *log,
+                const struct caller_request *call)
 {
   json_t *json = json_loads (call->body, 0, NULL);
   const char *id = json_string_value (json_object_get (json, "id"));
 
   if (!id)
-    violation (c, "%s accepted without a task id", call->name);
-  else if (*k->id && strcmp (k->id, id) != 0)
-    violation (c, "%s accepted twice, as tasks %s and %s", k->name, k->id, id);
+    report_violation (c, "%s accepted without a task id", call->name);
+  else if (*log->id && strcmp (log->id, id) != 0)
+    report_violation (c, "%s accepted twice, as tasks %s and %s", log->name,
+                      log->id, id);
   else
-    clb_copy (k->id, id, sizeof k->id);
+    clb_copy (log->id, id, sizeof log->id);
   json_decref (json);
 }
 
 void
-check_answer (struct check *c, struct wcall *call)
+check_answer (struct check *c, struct caller_request *call)
 {
-  struct request_log *k;
+  struct request_log *log;
   bool not_run;
 
   if (!*call->name)
     return;
-  k = request_log_get (c, call->name);
+  log = request_log_find_or_add (c, call->name);
   if (call->n_answers > 1)
-    violation (c, "%s answered twice", call->name);
+    report_violation (c, "%s answered twice", call->name);
   if (call->status < 0)
     {
-      violation (c, "connection of %s broken by a planned stop", call->name);
+      report_violation (c, "connection of %s broken by a planned stop",
+                        call->name);
       return;
     }
   not_run = strstr (call->body, "\"outcome\":\"not-run\"") != NULL;
-  if (not_run && k->n_calls == 1)
+  if (not_run && log->n_calls == 1)
     {
-      k->reported_not_run = true;
-      if (has_run (k))
-        violation (c, "%s has run, but its caller was told: %s", k->name,
-                   call->body);
+      log->reported_not_run = true;
+      if (has_run (log))
+        report_violation (c, "%s has run, but its caller was told: %s",
+                          log->name, call->body);
     }
   if (call->status >= 300)
     return;
   check_key (c, call);
   if (call->service && strcmp (call->body, call->name) != 0)
-    violation (c, "%s received the answer to %s", call->name, call->body);
+    report_violation (c, "%s received the answer to %s", call->name,
+                      call->body);
   if (!call->service)
-    check_accepted (c, k, call);
+    check_accepted (c, log, call);
 }
 
 void
-check_limit (struct check *c, const char *team, const struct clb_res *amount,
-             bool outcome_unknown)
+check_note_limit (struct check *c, const char *team,
+                  const struct clb_res *amount, bool outcome_unknown)
 {
-  struct limit *l = &c->limits[c->n_limits++];
+  struct team_limit *l = &c->limits[c->n_limits++];
 
   if (c->n_limits >= LIMITS_MAX)
     abort ();
@@ -387,25 +419,25 @@
 }
 
 void
-check_key_withdrawn (struct check *c, const char *key)
+check_note_key_withdrawn (struct check *c, const char *key)
 {
   if (c->n_withdrawn == WITHDRAWN_MAX)
     abort ();
-  clb_copy (c->withdrawn[c->n_withdrawn].key, key, CLB_NAME_MAX);
-  c->withdrawn[c->n_withdrawn++].at_ms = c->w->now_ms;
+  clb_copy (c->withdrawn[c->n_withdrawn].key_id, key, CLB_NAME_MAX);
+  c->withdrawn[c->n_withdrawn++].withdrawn_ms = c->w->now_ms;
 }
 
 const char *
 check_next_accepted (struct check *c, int *at)
 {
-  struct request_log *k;
+  struct request_log *log;
   int i = 0;
 
-  RB_FOREACH (k, request_log_tree, &c->requests)
-    if (*k->id && i++ == *at)
+  RB_FOREACH (log, request_log_tree, &c->requests)
+    if (*log->id && i++ == *at)
       {
         (*at)++;
-        return k->id;
+        return log->id;
       }
   return NULL;
 }
@@ -413,47 +445,48 @@
 void
 check_final_state (struct check *c, const char *id, const char *state)
 {
-  struct request_log *k;
+  struct request_log *log;
   bool final = strcmp (state, "done") == 0 || strcmp (state, "failed") == 0
                || strcmp (state, "cancelled") == 0
                || strcmp (state, "unknown") == 0;
 
-  RB_FOREACH (k, request_log_tree, &c->requests)
-    if (strcmp (k->id, id) == 0)
+  RB_FOREACH (log, request_log_tree, &c->requests)
+    if (strcmp (log->id, id) == 0)
       break;
-  if (!k)
+  if (!log)
     return;
-  clb_copy (k->state, state, sizeof k->state);
+  clb_copy (log->state, state, sizeof log->state);
   if (!final)
-    violation (c, "%s (%s) was accepted and did not end: its state is %s",
-               k->name, id, state);
-  else if (strcmp (state, "done") == 0 && !k->n_ok[0])
-    violation (c, "%s is reported done, but no worker has completed it",
-               k->name);
-  else if (strcmp (state, "cancelled") == 0 && k->n_running[0])
-    violation (c, "%s is reported cancelled and still runs", k->name);
+    report_violation (c,
+                      "%s (%s) was accepted and did not end: its state is %s",
+                      log->name, id, state);
+  else if (strcmp (state, "done") == 0 && !log->n_ok[0])
+    report_violation (c, "%s is reported done, but no worker has completed it",
+                      log->name);
+  else if (strcmp (state, "cancelled") == 0 && log->n_running[0])
+    report_violation (c, "%s is reported cancelled and still runs", log->name);
 }
 
 int
 check_starts (const struct check *c, const char *name)
 {
-  struct request_log key;
-  const struct request_log *k;
+  struct request_log lookup;
+  const struct request_log *log;
   int n;
 
-  clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (request_log_tree, (struct request_log_tree *)&c->requests,
-               &key);
-  if (!k)
+  clb_copy (lookup.name, name, sizeof lookup.name);
+  log = RB_FIND (request_log_tree, (struct request_log_tree *)&c->requests,
+                 &lookup);
+  if (!log)
     return 0;
-  n = k->n_served;
+  n = log->n_service_starts;
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->n_starts[i];
+    n += log->n_starts[i];
   return n;
 }
 
 int64_t
 check_used_cores (struct check *c, const char *team)
 {
-  return usage_get (c, team)->used.cores;
+  return usage_find_or_add (c, team)->used.cores;
 }
--- a/regress/scn/heap.c
+++ b/regress/scn/heap.c
@@ -1,16 +1,18 @@
-/* Binary heap of the messages on their way, ordered by arrival time. */
+/* Binary heap of the sent messages, ordered by arrival. */
 #include "world.h"
 
 #include <stdlib.h>
 
+/* Whether @a arrives before @b; equal times are ordered by sending. */
 static bool
-arrives_before (const struct event_item *a, const struct event_item *b)
+arrives_before (const struct sim_message *a, const struct sim_message *b)
 {
-  return a->at_ms < b->at_ms || (a->at_ms == b->at_ms && a->seq < b->seq);
+  return a->arrival_ms < b->arrival_ms
+         || (a->arrival_ms == b->arrival_ms && a->seq < b->seq);
 }
 
 void
-world_push (struct world *w, struct event_item *it)
+world_push (struct world *w, struct sim_message *msg)
 {
   size_t i = w->n_heap++;
 
@@ -21,35 +23,36 @@
       if (!w->heap)
         abort ();
     }
-  it->seq = ++w->seq;
-  w->heap[i] = it;
+  msg->seq = ++w->seq;
+  w->heap[i] = msg;
   while (i > 0 && arrives_before (w->heap[i], w->heap[(i - 1) / 2]))
     {
-      struct event_item *parent = w->heap[(i - 1) / 2];
+      struct sim_message *parent = w->heap[(i - 1) / 2];
       w->heap[(i - 1) / 2] = w->heap[i];
       w->heap[i] = parent;
       i = (i - 1) / 2;
     }
 }
 
-struct event_item *
+struct sim_message *
 world_pop (struct world *w)
 {
-  struct event_item *top = w->heap[0];
+  struct sim_message *top = w->heap[0];
   size_t i = 0;
 
   w->heap[0] = w->heap[--w->n_heap];
   for (;;)
     {
       size_t first = i;
-      for (size_t c = 2 * i + 1; c <= 2 * i + 2 && c < w->n_heap; c++)
-        if (arrives_before (w->heap[c], w->heap[first]))
-          first = c;
+      for (size_t child = 2 * i + 1; child <= 2 * i + 2 && child < w->n_heap;
+           child++)
+        if (arrives_before (w->heap[child], w->heap[first]))
+          first = child;
       if (first == i)
         return top;
-      struct event_item *t = w->heap[i];
+      struct sim_message *moved = w->heap[i];
       w->heap[i] = w->heap[first];
-      w->heap[first] = t;
+      w->heap[first] = moved;
       i = first;
     }
 }
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -6,7 +6,8 @@
  *
  * Each script runs once with each of the N seeds SEED, SEED + 1, ...; both
  * default to 1.  The script's directory must hold lib.lua, which runs first.
- * -t prints a trace of answers, events and runs.
+ * -t prints a trace of answers, events and runs, and the state of the entry
+ * instances after a failure.
  */
 #include "world.h"
 
@@ -18,20 +19,24 @@
 #include <string.h>
 
 static struct world world;
-static uint64_t run_seed;
-static int n_passed;
-static int n_failed;
+static uint64_t run_seed; /* seed of the script that is running */
+static int n_passed;      /* scenarios that passed */
+static int n_failed;      /* scenarios and scripts that failed */
 
-static struct wnode *
+/* Returns the entry instance whose id is argument @i; raises a Lua error if
+   there is none. */
+static struct sim_node *
 arg_node (lua_State *L, int i)
 {
-  struct wnode *n = world_node (&world, luaL_checkstring (L, i));
+  struct sim_node *n = world_node (&world, luaL_checkstring (L, i));
 
   if (!n)
     luaL_error (L, "no entry instance %s", lua_tostring (L, i));
   return n;
 }
 
+/* Returns the integer field @name of the table at stack index @t; @fallback if
+   the field is nil. */
 static int64_t
 field_int (lua_State *L, int t, const char *name, int64_t fallback)
 {
@@ -43,6 +48,8 @@
   return v;
 }
 
+/* Returns the boolean field @name of the table at stack index @t; @fallback if
+   the field is nil. */
 static bool
 field_bool (lua_State *L, int t, const char *name, bool fallback)
 {
@@ -54,6 +61,8 @@
   return v;
 }
 
+/* Returns the string field @name of the table at stack index @t; NULL if the
+   field is nil. */
 static const char *
 field_str (lua_State *L, int t, const char *name)
 {
@@ -61,21 +70,22 @@
 
   if (lua_getfield (L, t, name) != LUA_TNIL)
     v = luaL_checkstring (L, -1);
-  lua_pop (L, 1); /* the table keeps the string */
+  lua_pop (L, 1); /* the string stays valid: the Lua table holds it */
   return v;
 }
 
-/* entry(id, domain): adds an entry instance and starts it */
+/* add_entry(id, domain): adds an entry instance and starts its process */
 static int
-v_entry (lua_State *L)
+verb_add_entry (lua_State *L)
 {
   world_add_node (&world, luaL_checkstring (L, 1), luaL_checkstring (L, 2));
   return 0;
 }
 
-/* worker(id, domain, rack, cores, mem_mb, accels): adds a worker */
+/* add_worker(id, domain, rack, cores, mem_mb, accels): adds a worker;
+   accels defaults to 0 */
 static int
-v_worker (lua_State *L)
+verb_add_worker (lua_State *L)
 {
   struct clb_res capacity = { .cores = luaL_checkinteger (L, 4),
                               .mem_mb = luaL_checkinteger (L, 5),
@@ -86,9 +96,9 @@
   return 0;
 }
 
-/* executor(id, domain, slots): adds an executor; slots default to 8 */
+/* add_executor(id, domain, slots): adds an executor; slots defaults to 8 */
 static int
-v_executor (lua_State *L)
+verb_add_executor (lua_State *L)
 {
   struct clb_res capacity = { .slots = luaL_optinteger (L, 3, 8) };
 
@@ -97,9 +107,10 @@
   return 0;
 }
 
-/* run(ms): lets virtual time pass; fails if a guarantee was violated */
+/* run(ms): lets ms of virtual time pass; raises an error if a guarantee was
+   violated */
 static int
-v_run (lua_State *L)
+verb_run (lua_State *L)
 {
   world_run (&world, luaL_checkinteger (L, 1));
   if (check_violation (world.check))
@@ -108,46 +119,47 @@
   return 0;
 }
 
-/* kill(id): ends an entry instance's process, as by SIGKILL */
+/* kill(id): ends the process of an entry instance, as by SIGKILL */
 static int
-v_kill (lua_State *L)
+verb_kill (lua_State *L)
 {
-  struct wnode *n = arg_node (L, 1);
+  struct sim_node *n = arg_node (L, 1);
 
-  n->stopping = false; /* a kill overrides a planned stop */
-  world_kill (&world, n);
+  n->stopping = false; /* broken connections are then no violation */
+  world_kill_node (&world, n);
   return 0;
 }
 
-/* restart(id): starts an entry instance unless it is running */
+/* restart(id): starts a new process of an entry instance, unless its process
+   exists */
 static int
-v_restart (lua_State *L)
+verb_restart (lua_State *L)
 {
-  world_boot (&world, arg_node (L, 1));
+  world_start_node (&world, arg_node (L, 1));
   return 0;
 }
 
-/* freeze(id): pauses an entry instance's process, as by SIGSTOP */
+/* freeze(id): pauses the process of an entry instance, as by SIGSTOP */
 static int
-v_freeze (lua_State *L)
+verb_freeze (lua_State *L)
 {
   arg_node (L, 1)->frozen = true;
   return 0;
 }
 
-/* thaw(id): ends a freeze, as by SIGCONT */
+/* thaw(id): resumes the frozen process of an entry instance, as by SIGCONT */
 static int
-v_thaw (lua_State *L)
+verb_thaw (lua_State *L)
 {
-  world_thaw (&world, arg_node (L, 1));
+  world_thaw_node (&world, arg_node (L, 1));
   return 0;
 }
 
-/* stop(id): begins a planned stop, as by SIGTERM */
+/* stop(id): begins the planned stop of an entry instance, as by SIGTERM */
 static int
-v_stop (lua_State *L)
+verb_stop (lua_State *L)
 {
-  struct wnode *n = arg_node (L, 1);
+  struct sim_node *n = arg_node (L, 1);
 
   if (!n->up || n->stopping)
     return 0;
@@ -156,50 +168,54 @@
   return 0;
 }
 
-/* up(id): whether its process runs, is not frozen and is not stopping */
+/* up(id): returns true if the process of the entry instance exists, is not
+   frozen and is not stopping */
 static int
-v_up (lua_State *L)
+verb_up (lua_State *L)
 {
-  struct wnode *n = arg_node (L, 1);
+  struct sim_node *n = arg_node (L, 1);
 
   lua_pushboolean (L, n->up && !n->frozen && !n->stopping);
   return 1;
 }
 
-/* has_process(id): whether its process exists, also frozen or stopping */
+/* has_process(id): returns true if the process of the entry instance exists,
+   also while it is frozen or stopping */
 static int
-v_has_process (lua_State *L)
+verb_has_process (lua_State *L)
 {
   lua_pushboolean (L, arg_node (L, 1)->up);
   return 1;
 }
 
-/* cut(a, b, one_way): partitions the network between a and b, each an
-   instance, a domain or "platform"; one_way: only from a to b */
+/* partition(a, b, one_way): stops messages between a and b, each an instance
+   id, a domain or "platform"; with one_way = true only messages from a to b */
 static int
-v_cut (lua_State *L)
+verb_partition (lua_State *L)
 {
-  if (world.n_cuts == CUTS_MAX)
-    return luaL_error (L, "too many cuts");
-  clb_copy (world.cuts[world.n_cuts].a, luaL_checkstring (L, 1), CLB_NAME_MAX);
-  clb_copy (world.cuts[world.n_cuts].b, luaL_checkstring (L, 2), CLB_NAME_MAX);
-  world.cuts[world.n_cuts++].one_way = lua_toboolean (L, 3);
+  if (world.n_partitions == PARTITIONS_MAX)
+    return luaL_error (L, "too many partitions");
+  clb_copy (world.partitions[world.n_partitions].a, luaL_checkstring (L, 1),
+            CLB_NAME_MAX);
+  clb_copy (world.partitions[world.n_partitions].b, luaL_checkstring (L, 2),
+            CLB_NAME_MAX);
+  world.partitions[world.n_partitions++].one_way = lua_toboolean (L, 3);
   return 0;
 }
 
-/* heal(): ends all cuts */
+/* heal(): ends all network partitions */
 static int
-v_heal (lua_State *L)
+verb_heal (lua_State *L)
 {
   (void)L;
-  world.n_cuts = 0;
+  world.n_partitions = 0;
   return 0;
 }
 
-/* store(mode): sets how the platform's store behaves: "up", "refuses",
-   "hangs" or "drops-replies", see enum store_mode */
+/* store(mode): sets how the platform's store behaves: "up", "refuses", "hangs"
+   or "drops-replies", in the order of enum store_mode */
 static int
-v_store (lua_State *L)
+verb_store (lua_State *L)
 {
   static const char *const modes[]
       = { "up", "refuses", "hangs", "drops-replies", NULL };
@@ -209,9 +225,10 @@
 }
 
 /* faults{store_delay_ms=, lost_reply_percent=, late_percent=, list_lag_ms=}:
-   sets the fields of struct world; a field that is left out stays */
+   sets the members of struct world that have these names; a field that is left
+   out does not change */
 static int
-v_faults (lua_State *L)
+verb_faults (lua_State *L)
 {
   world.store_delay_ms
       = field_int (L, 1, "store_delay_ms", world.store_delay_ms);
@@ -223,18 +240,27 @@
   return 0;
 }
 
-/* server(id, {fail_all=, fence=, unreachable=, drops_replies=,
-   breaks_connections=, refuses_connections=, listed=, slowness=, reboot=,
-   leaving=}): changes a worker or executor; a field that is left out stays */
+/* server(id, {FIELD = value, ...}): changes a worker or executor.  A field
+   that is left out does not change, but reboot is an action.  Booleans, where
+   not said otherwise: fail_all: each run or service request that ends, ends in
+   failure; fence: the server refuses a sync whose epoch is lower than one that
+   it has seen; unreachable: requests and syncs to the server are lost;
+   drops_replies: the server carries out syncs, but its replies are lost;
+   breaks_connections: an executor's connections break while it serves;
+   refuses_connections: an executor refuses new connections;
+   listed: the platform's list of instances contains the server;
+   slowness: integer; run times of tasks are multiplied by it, 0 counts as 1;
+   reboot: the server reboots now and forgets its runs;
+   leaving: the platform's list shows the server as leaving */
 static int
-v_server (lua_State *L)
+verb_server (lua_State *L)
 {
-  struct wserver *s = world_server (&world, luaL_checkstring (L, 1));
+  struct sim_server *s = world_server (&world, luaL_checkstring (L, 1));
 
   if (!s)
     return luaL_error (L, "no worker or executor %s", lua_tostring (L, 1));
-  s->w.fail_all = field_bool (L, 2, "fail_all", s->w.fail_all);
-  s->w.fence = field_bool (L, 2, "fence", s->w.fence);
+  s->worker.fail_all = field_bool (L, 2, "fail_all", s->worker.fail_all);
+  s->worker.fence = field_bool (L, 2, "fence", s->worker.fence);
   s->unreachable = field_bool (L, 2, "unreachable", s->unreachable);
   s->drops_replies = field_bool (L, 2, "drops_replies", s->drops_replies);
   s->breaks_connections
@@ -242,27 +268,34 @@
   s->refuses_connections
       = field_bool (L, 2, "refuses_connections", s->refuses_connections);
   s->listed = field_bool (L, 2, "listed", s->listed);
-  s->w.slowness = field_int (L, 2, "slowness", s->w.slowness);
+  s->worker.slowness = field_int (L, 2, "slowness", s->worker.slowness);
   if (field_bool (L, 2, "reboot", false))
-    fworker_reboot (&s->w, world.now_ms, ++world.last_boot);
+    fworker_reboot (&s->worker, world.now_ms, ++world.last_boot);
   if (field_bool (L, 2, "leaving", s->leaving_since_ms > 0))
     s->leaving_since_ms
         = s->leaving_since_ms ? s->leaving_since_ms : world.now_ms;
   else
     s->leaving_since_ms = 0;
-  world_publish (&world);
+  world_publish_instances (&world);
   return 0;
 }
 
-/* call{entry=, method=, path=, key=, key_id=, id=, body=, name=,
-        idempotent=, service=, run_ms=}: sends a caller's request; key is the
-   bearer token, id the request id; returns the call for answer() */
+/* call{FIELD = value, ...}: sends a caller's request and returns its number
+   for answer().  Strings, where not said otherwise: entry: id of the entry
+   instance that receives the request; method: "GET", "POST", "PUT" or
+   "DELETE"; path: HTTP path with the query; key: bearer token; key_id: id of
+   the key in the manifest, for the checker; id: request id, sent as the
+   X-Request-Id header; body: body of the request; name: "team:request id", for
+   the checker; without it nothing is checked; idempotent: boolean, for the
+   checker; defaults to true; service: boolean, true for a service request;
+   defaults to false; run_ms: integer, run time of a service request at the
+   executor in ms; 0, the default, stands for 20 */
 static int
-v_call (lua_State *L)
+verb_call (lua_State *L)
 {
   static const char *const methods[]
       = { "GET", "POST", "PUT", "DELETE", NULL };
-  struct wcall proto = { .run_ms = field_int (L, 1, "run_ms", 0) };
+  struct caller_request proto = { .run_ms = field_int (L, 1, "run_ms", 0) };
   const char *method = field_str (L, 1, "method");
   const char *name = field_str (L, 1, "name");
   const char *key_id = field_str (L, 1, "key_id");
@@ -270,23 +303,24 @@
 
   while (methods[m] && strcmp (methods[m], method) != 0)
     m++;
-  clb_copy (proto.entry, field_str (L, 1, "entry"), sizeof proto.entry);
+  clb_copy (proto.entry_id, field_str (L, 1, "entry"), sizeof proto.entry_id);
   if (name)
     clb_copy (proto.name, name, sizeof proto.name);
   if (key_id)
-    clb_copy (proto.key, key_id, sizeof proto.key);
+    clb_copy (proto.key_id, key_id, sizeof proto.key_id);
   proto.idempotent = field_bool (L, 1, "idempotent", true);
   proto.service = field_bool (L, 1, "service", false);
-  lua_pushinteger (L,
-                   world_call (&world, &proto, m, field_str (L, 1, "path"),
-                               field_str (L, 1, "key"), field_str (L, 1, "id"),
-                               field_str (L, 1, "body")));
+  lua_pushinteger (
+      L, world_send_request (&world, &proto, m, field_str (L, 1, "path"),
+                             field_str (L, 1, "key"), field_str (L, 1, "id"),
+                             field_str (L, 1, "body")));
   if (check_violation (world.check))
     return luaL_error (L, "guarantee violated: %s",
                        check_violation (world.check));
   return 1;
 }
 
+/* Pushes the JSON value @v as a Lua value. */
 static void
 push_json (lua_State *L, json_t *v)
 {
@@ -328,12 +362,13 @@
     }
 }
 
-/* answer(call): the answer's JSON as a table, with .status (HTTP status; 0: no
-   answer yet; -1: the connection broke) and .latency_ms */
+/* answer(call): returns the JSON of the answer as a table, with two more
+   fields: status (HTTP status; 0: no answer yet; -1: the connection broke) and
+   latency_ms (time from the request to the answer) */
 static int
-v_answer (lua_State *L)
+verb_answer (lua_State *L)
 {
-  const struct wcall *c = &world.calls[luaL_checkinteger (L, 1)];
+  const struct caller_request *c = &world.calls[luaL_checkinteger (L, 1)];
   json_t *json = c->body ? json_loads (c->body, 0, NULL) : NULL;
 
   if (json)
@@ -348,17 +383,18 @@
   return 1;
 }
 
-/* holder(domain): id of the instance that schedules the domain with the
-   highest epoch, or nothing */
+/* holder(domain): returns the id of the instance that schedules the domain, or
+   nothing if there is none; of several instances, the one with the highest
+   epoch */
 static int
-v_holder (lua_State *L)
+verb_holder (lua_State *L)
 {
   const char *domain = luaL_checkstring (L, 1);
-  const struct wnode *latest = NULL;
+  const struct sim_node *latest = NULL;
 
   for (int i = 0; i < world.n_nodes; i++)
     {
-      struct wnode *n = &world.nodes[i];
+      struct sim_node *n = &world.nodes[i];
       if (n->up && strcmp (n->settings.domain, domain) == 0 && n->node.sched
           && n->node.sched->phase == SCHED_READY
           && n->node.role.state == ROLE_HOLDER
@@ -371,28 +407,28 @@
   return 1;
 }
 
-/* version(id): version of the configuration that an entry instance knows; 0:
-   none, or no process */
+/* version(id): returns the version of the configuration that an entry instance
+   has; 0: it has none, or its process does not exist */
 static int
-v_version (lua_State *L)
+verb_version (lua_State *L)
 {
-  struct wnode *n = arg_node (L, 1);
+  struct sim_node *n = arg_node (L, 1);
 
   lua_pushinteger (L, n->up ? n->node.head.version : 0);
   return 1;
 }
 
-/* now(): virtual time in ms */
+/* now(): returns the virtual time in ms */
 static int
-v_now (lua_State *L)
+verb_now (lua_State *L)
 {
   lua_pushinteger (L, world.now_ms);
   return 1;
 }
 
-/* random(n): a number from 1 to n */
+/* random(n): returns a random integer from 1 to n */
 static int
-v_random (lua_State *L)
+verb_random (lua_State *L)
 {
   uint64_t below = (uint64_t)luaL_checkinteger (L, 1);
 
@@ -400,46 +436,51 @@
   return 1;
 }
 
-/* starts(name): how often the request "team:request id" was started */
+/* starts(name): returns how often the request name "team:request id" was
+   started on any worker or executor */
 static int
-v_starts (lua_State *L)
+verb_starts (lua_State *L)
 {
   lua_pushinteger (L, check_starts (world.check, luaL_checkstring (L, 1)));
   return 1;
 }
 
-/* used(team): cores that the team's tasks use in all domains */
+/* used(team): returns the cores that the team's tasks use in all domains */
 static int
-v_used (lua_State *L)
+verb_used (lua_State *L)
 {
   lua_pushinteger (L, check_used_cores (world.check, luaL_checkstring (L, 1)));
   return 1;
 }
 
-/* note_limit(team, {cores=, mem_mb=, accels=, slots=}, outcome_unknown): tells
-   the checker of a team's new upper limit */
+/* note_limit(team, {cores=, mem_mb=, accels=, slots=}, outcome_unknown):
+   notifies the checker of a change of a team's upper limit; outcome_unknown =
+   true: the change is requested, but not known to be accepted */
 static int
-v_note_limit (lua_State *L)
+verb_note_limit (lua_State *L)
 {
   struct clb_res r
       = { field_int (L, 2, "cores", 0), field_int (L, 2, "mem_mb", 0),
           field_int (L, 2, "accels", 0), field_int (L, 2, "slots", 0) };
 
-  check_limit (world.check, luaL_checkstring (L, 1), &r, lua_toboolean (L, 3));
+  check_note_limit (world.check, luaL_checkstring (L, 1), &r,
+                    lua_toboolean (L, 3));
   return 0;
 }
 
-/* note_key_withdrawn(key): tells the checker that a key is withdrawn now */
+/* note_key_withdrawn(key): notifies the checker that the key with the id key
+   is withdrawn at this time */
 static int
-v_note_key_withdrawn (lua_State *L)
+verb_note_key_withdrawn (lua_State *L)
 {
-  check_key_withdrawn (world.check, luaL_checkstring (L, 1));
+  check_note_key_withdrawn (world.check, luaL_checkstring (L, 1));
   return 0;
 }
 
-/* key_hash(salt, secret): the hash that a manifest keeps of a key */
+/* key_hash(salt, secret): returns the hash of a key's secret that a manifest
+   holds */
 static int
-v_key_hash (lua_State *L)
+verb_key_hash (lua_State *L)
 {
   char hash[CONF_HASH_HEX];
 
@@ -448,9 +489,9 @@
   return 1;
 }
 
-/* accepted_tasks(): list of the ids of all accepted tasks */
+/* accepted_tasks(): returns an array of the ids of all accepted tasks */
 static int
-v_accepted_tasks (lua_State *L)
+verb_accepted_tasks (lua_State *L)
 {
   const char *id;
   int at = 0;
@@ -464,10 +505,10 @@
   return 1;
 }
 
-/* check_final_state(id, state): checks the state that was reported for an
-   accepted task after all faults are over */
+/* check_final_state(id, state): checks the state that an instance reported for
+   an accepted task; all faults must have ended before the state is queried */
 static int
-v_check_final_state (lua_State *L)
+verb_check_final_state (lua_State *L)
 {
   check_final_state (world.check, luaL_checkstring (L, 1),
                      luaL_checkstring (L, 2));
@@ -477,12 +518,13 @@
   return 0;
 }
 
+/* Prints the state of every entry instance, for the trace of a failure. */
 static void
 print_nodes (void)
 {
   for (int i = 0; i < world.n_nodes; i++)
     {
-      const struct wnode *n = &world.nodes[i];
+      const struct sim_node *n = &world.nodes[i];
       const struct role *r = &n->node.role;
       printf ("%s up %d frozen %d: role %d row %s/%lld epoch %lld known %d "
               "unchanged %lld ms promise %lld ms store_up %d sched %d\n",
@@ -494,9 +536,10 @@
     }
 }
 
-/* reset(): a new world with the same seed, for a script's next scenario */
+/* reset(): replaces the world by a new one with the same seed, for the next
+   scenario of the script */
 static int
-v_reset (lua_State *L)
+verb_reset (lua_State *L)
 {
   bool trace = world.trace;
 
@@ -507,9 +550,10 @@
   return 0;
 }
 
-/* report(name, error): counts a scenario's result; error is nil on success */
+/* report(name, error): counts the result of a scenario; error is nil if the
+   scenario passed, else the text of its failure */
 static int
-v_report (lua_State *L)
+verb_report (lua_State *L)
 {
   const char *error = lua_tostring (L, 2);
 
@@ -527,40 +571,42 @@
 }
 
 static const luaL_Reg verbs[] = {
-  { "entry", v_entry },
-  { "worker", v_worker },
-  { "executor", v_executor },
-  { "run", v_run },
-  { "kill", v_kill },
-  { "restart", v_restart },
-  { "freeze", v_freeze },
-  { "thaw", v_thaw },
-  { "stop", v_stop },
-  { "up", v_up },
-  { "cut", v_cut },
-  { "heal", v_heal },
-  { "store", v_store },
-  { "faults", v_faults },
-  { "server", v_server },
-  { "call", v_call },
-  { "answer", v_answer },
-  { "holder", v_holder },
-  { "version", v_version },
-  { "now", v_now },
-  { "random", v_random },
-  { "starts", v_starts },
-  { "note_limit", v_note_limit },
-  { "note_key_withdrawn", v_note_key_withdrawn },
-  { "key_hash", v_key_hash },
-  { "accepted_tasks", v_accepted_tasks },
-  { "check_final_state", v_check_final_state },
-  { "reset", v_reset },
-  { "has_process", v_has_process },
-  { "used", v_used },
-  { "report", v_report },
+  { "add_entry", verb_add_entry },
+  { "add_worker", verb_add_worker },
+  { "add_executor", verb_add_executor },
+  { "run", verb_run },
+  { "kill", verb_kill },
+  { "restart", verb_restart },
+  { "freeze", verb_freeze },
+  { "thaw", verb_thaw },
+  { "stop", verb_stop },
+  { "up", verb_up },
+  { "partition", verb_partition },
+  { "heal", verb_heal },
+  { "store", verb_store },
+  { "faults", verb_faults },
+  { "server", verb_server },
+  { "call", verb_call },
+  { "answer", verb_answer },
+  { "holder", verb_holder },
+  { "version", verb_version },
+  { "now", verb_now },
+  { "random", verb_random },
+  { "starts", verb_starts },
+  { "note_limit", verb_note_limit },
+  { "note_key_withdrawn", verb_note_key_withdrawn },
+  { "key_hash", verb_key_hash },
+  { "accepted_tasks", verb_accepted_tasks },
+  { "check_final_state", verb_check_final_state },
+  { "reset", verb_reset },
+  { "has_process", verb_has_process },
+  { "used", verb_used },
+  { "report", verb_report },
   { NULL, NULL },
 };
 
+/* Runs one script with one seed in a new Lua state.  Returns 0, or nonzero
+   with the text of the error in @error if the script itself fails. */
 static int
 run_script (const char *dir, const char *script, uint64_t seed, bool trace,
             char *error, size_t size)
@@ -586,6 +632,7 @@
   return failed;
 }
 
+/* Copies the directory part of @path to @out, or "." if there is none. */
 static void
 path_dir (const char *path, char *out, size_t size)
 {
@@ -602,8 +649,8 @@
 int
 main (int argc, char **argv)
 {
-  uint64_t first = 1;
-  uint64_t seeds = 1;
+  uint64_t first_seed = 1;
+  uint64_t n_seeds = 1;
   bool trace = false;
   char dir[400];
   char error[512];
@@ -613,11 +660,11 @@
       if (strcmp (argv[i], "-t") == 0)
         trace = true;
       else if (strcmp (argv[i], "-s") == 0 && i + 1 < argc)
-        first = strtoull (argv[++i], NULL, 10);
+        first_seed = strtoull (argv[++i], NULL, 10);
       else if (strcmp (argv[i], "-n") == 0 && i + 1 < argc)
-        seeds = strtoull (argv[++i], NULL, 10);
+        n_seeds = strtoull (argv[++i], NULL, 10);
       else
-        for (uint64_t seed = first; seed < first + seeds; seed++)
+        for (uint64_t seed = first_seed; seed < first_seed + n_seeds; seed++)
           {
             path_dir (argv[i], dir, sizeof dir);
             if (run_script (dir, argv[i], seed, trace, error, sizeof error))
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -1,5 +1,6 @@
-/* Moves messages between the entry instances and the stand-ins for the
-   platform, workers and executors, on a virtual clock. */
+/* Simulates time and the network: delivers messages between the entry
+   instances and the stand-ins for the platform, workers and executors, on a
+   virtual clock. */
 #include "world.h"
 
 #include <stdio.h>
@@ -8,20 +9,24 @@
 
 enum
 {
-  /* Network delays, one way. */
-  SAME_DOMAIN_DELAY_MS = 1,
-  CROSS_DOMAIN_DELAY_MS = 2,
-  STORE_DELAY_MS = 3,
-  /* After this the daemon reports a store operation or sync as timed out. */
+  SAME_DOMAIN_DELAY_MS = 1,  /* one way, within a domain */
+  CROSS_DOMAIN_DELAY_MS = 2, /* one way, between domains */
+  STORE_DELAY_MS = 3,        /* one way, to or from the platform */
+  /* Time after which the daemon reports a store operation or a sync as timed
+     out. */
   CALL_TIMEOUT_MS = 2000,
-  LATE_MAX_MS = 1900, /* bound of the random delay of a late message */
-  /* Journal rows between snapshots: few, so that short runs also load
+  /* Upper bound of the random extra delay of a late message. */
+  LATE_DELAY_MAX_MS = 1900,
+  /* Journal rows between two snapshots: few, so that short scenarios also load
      snapshots. */
   SNAPSHOT_ROWS = 4,
-  /* From the arrival of a request to the break of its connection. */
+  /* Time from the arrival of a service request to the break of its connection,
+     if the executor breaks connections. */
   CONNECTION_BREAK_MS = 30,
-  NO_GENERATION = -1,      /* differs from the generation of every process */
-  SERVICE_DEFAULT_MS = 20, /* run time of a service request without run_ms */
+  /* Differs from the generation of every process. */
+  NO_GENERATION = -1,
+  /* Run time of a service request whose run_ms is 0. */
+  SERVICE_RUN_DEFAULT_MS = 20,
 };
 
 uint64_t
@@ -33,6 +38,7 @@
   return below ? w->rng % below : 0;
 }
 
+/* Returns true with a probability of @percent. */
 static bool
 chance (struct world *w, int percent)
 {
@@ -40,28 +46,29 @@
 }
 
 static void
-item_free (struct event_item *it)
+message_free (struct sim_message *msg)
 {
-  free (it->text);
-  free (it);
+  free (msg->text);
+  free (msg);
 }
 
-static struct event_item *
-item_new (struct world *w, int kind, struct wnode *n, int64_t delay_ms)
+/* Returns a message from or to @n that arrives after @delay_ms. */
+static struct sim_message *
+message_new (struct world *w, int kind, struct sim_node *n, int64_t delay_ms)
 {
-  struct event_item *it = calloc (1, sizeof *it);
+  struct sim_message *msg = calloc (1, sizeof *msg);
 
-  if (!it)
+  if (!msg)
     abort ();
-  it->kind = kind;
-  it->at_ms = w->now_ms + delay_ms;
-  it->node = (int)(n - w->nodes);
-  it->generation = n->generation;
-  clb_copy (it->from, n->settings.domain, sizeof it->from);
-  return it;
+  msg->kind = kind;
+  msg->arrival_ms = w->now_ms + delay_ms;
+  msg->node_index = (int)(n - w->nodes);
+  msg->generation = n->generation;
+  clb_copy (msg->from, n->settings.domain, sizeof msg->from);
+  return msg;
 }
 
-struct wnode *
+struct sim_node *
 world_node (struct world *w, const char *id)
 {
   for (int i = 0; i < w->n_nodes; i++)
@@ -70,7 +77,7 @@
   return NULL;
 }
 
-struct wserver *
+struct sim_server *
 world_server (struct world *w, const char *id)
 {
   for (int i = 0; i < w->n_servers; i++)
@@ -79,140 +86,154 @@
   return NULL;
 }
 
+/* Whether a partition stops messages from @from to @to; each is the id of an
+   entry instance, a domain or "platform". */
 static bool
-is_cut (const struct world *w, const char *from, const char *to)
+is_partitioned (const struct world *w, const char *from, const char *to)
 {
-  for (int i = 0; i < w->n_cuts; i++)
+  for (int i = 0; i < w->n_partitions; i++)
     {
-      if (strcmp (w->cuts[i].a, from) == 0 && strcmp (w->cuts[i].b, to) == 0)
+      if (strcmp (w->partitions[i].a, from) == 0
+          && strcmp (w->partitions[i].b, to) == 0)
         return true;
-      if (!w->cuts[i].one_way && strcmp (w->cuts[i].a, to) == 0
-          && strcmp (w->cuts[i].b, from) == 0)
+      if (!w->partitions[i].one_way && strcmp (w->partitions[i].a, to) == 0
+          && strcmp (w->partitions[i].b, from) == 0)
         return true;
     }
   return false;
 }
 
-/* Outputs of the entry instances. */
+/* Handling of what the entry instances send. */
 
+/* Returns @base or @base + 1, at random. */
 static int64_t
 jitter (struct world *w, int64_t base)
 {
   return base + (int64_t)world_random (w, 2);
 }
 
+/* Returns @delay, with an extra delay in world::late_percent of the calls. */
 static int64_t
 add_late_delay (struct world *w, int64_t delay)
 {
   if (!chance (w, w->late_percent))
     return delay;
-  return delay + (int64_t)world_random (w, LATE_MAX_MS);
+  return delay + (int64_t)world_random (w, LATE_DELAY_MAX_MS);
 }
 
 static void
-send_peer (struct world *w, struct wnode *n, const struct out *o)
+send_peer (struct world *w, struct sim_node *n, const struct out *o)
 {
-  struct wnode *to = world_node (w, o->u.peer.to);
-  struct event_item *it;
+  struct sim_node *to = world_node (w, o->u.peer.to);
+  struct sim_message *msg;
 
   if (!to)
     return;
   bool same_domain = strcmp (to->settings.domain, n->settings.domain) == 0;
-  it = item_new (
-      w, ITEM_PEER, to,
+  msg = message_new (
+      w, SIM_MSG_PEER, to,
       jitter (w, same_domain ? SAME_DOMAIN_DELAY_MS : CROSS_DOMAIN_DELAY_MS));
-  clb_copy (it->from, n->settings.domain, sizeof it->from);
-  clb_copy (it->to, to->settings.domain, sizeof it->to);
-  clb_copy (it->server, n->settings.id, sizeof it->server);
-  pmsg_pack (&o->u.peer.msg, &it->text, &it->len);
-  world_push (w, it);
+  clb_copy (msg->from, n->settings.domain, sizeof msg->from);
+  clb_copy (msg->to, to->settings.domain, sizeof msg->to);
+  clb_copy (msg->server, n->settings.id, sizeof msg->server);
+  pmsg_pack (&o->u.peer.msg, &msg->text, &msg->len);
+  world_push (w, msg);
 }
 
+/* Schedules the reply to a store operation.  @timed_out: the daemon itself
+   reports a timeout. */
 static void
-schedule_store_rep (struct world *w, struct wnode *n, uint64_t token,
-                    const struct store_rep *rep, bool timed_out, int64_t delay)
+schedule_store_reply (struct world *w, struct sim_node *n, uint64_t token,
+                      const struct store_rep *rep, bool timed_out,
+                      int64_t delay)
 {
-  struct event_item *it = item_new (w, ITEM_STORE_REP, n, delay);
+  struct sim_message *msg = message_new (w, SIM_MSG_STORE_REPLY, n, delay);
 
-  it->token = token;
-  it->call = timed_out;
-  it->text = codec_text (&store_rep_desc, rep);
-  it->len = strlen (it->text);
-  world_push (w, it);
+  msg->token = token;
+  msg->call = timed_out;
+  msg->text = codec_text (&store_rep_desc, rep);
+  msg->len = strlen (msg->text);
+  world_push (w, msg);
 }
 
 static void
-send_store (struct world *w, struct wnode *n, const struct out *o)
+send_store_req (struct world *w, struct sim_node *n, const struct out *o)
 {
   struct store_rep timeout = { .err = CLB_EUNKNOWN };
-  struct event_item *it = item_new (
-      w, ITEM_STORE_REQ, n,
+  struct sim_message *msg = message_new (
+      w, SIM_MSG_STORE_REQ, n,
       add_late_delay (w, jitter (w, STORE_DELAY_MS) + w->store_delay_ms));
 
-  it->token = o->u.store.token;
-  it->text = codec_text (&store_op_desc, &o->u.store.op);
-  it->len = strlen (it->text);
-  world_push (w, it);
-  schedule_store_rep (w, n, it->token, &timeout, true, CALL_TIMEOUT_MS);
+  msg->token = o->u.store.token;
+  msg->text = codec_text (&store_op_desc, &o->u.store.op);
+  msg->len = strlen (msg->text);
+  world_push (w, msg);
+  schedule_store_reply (w, n, msg->token, &timeout, true, CALL_TIMEOUT_MS);
 }
 
 static void
-send_sync (struct world *w, struct wnode *n, const struct out *o)
-{
-  struct event_item *it
-      = item_new (w, ITEM_SYNC_REQ, n,
-                  add_late_delay (w, jitter (w, SAME_DOMAIN_DELAY_MS)));
-  struct event_item *timeout = item_new (w, ITEM_SYNC_REP, n, CALL_TIMEOUT_MS);
-
-  clb_copy (it->server, o->u.sync.worker, sizeof it->server);
-  it->seq_no = o->u.sync.req.seq;
-  it->text = codec_text (&sync_req_desc, &o->u.sync.req);
-  it->len = strlen (it->text);
-  world_push (w, it);
-  clb_copy (timeout->server, it->server, sizeof timeout->server);
-  timeout->seq_no = it->seq_no;
+send_sync_req (struct world *w, struct sim_node *n, const struct out *o)
+{
+  struct sim_message *msg
+      = message_new (w, SIM_MSG_SYNC_REQ, n,
+                     add_late_delay (w, jitter (w, SAME_DOMAIN_DELAY_MS)));
+  struct sim_message *timeout
+      = message_new (w, SIM_MSG_SYNC_REPLY, n, CALL_TIMEOUT_MS);
+
+  clb_copy (msg->server, o->u.sync.worker, sizeof msg->server);
+  msg->seq_no = o->u.sync.req.seq;
+  msg->text = codec_text (&sync_req_desc, &o->u.sync.req);
+  msg->len = strlen (msg->text);
+  world_push (w, msg);
+  clb_copy (timeout->server, msg->server, sizeof timeout->server);
+  timeout->seq_no = msg->seq_no;
   world_push (w, timeout);
 }
 
-static struct event_item *
-schedule_forward_end (struct world *w, struct wnode *n, int call,
-                      const char *server, int end, int64_t delay)
+/* Schedules how the service request @call ends for the entry instance @n.
+   @end: enum forward_end. */
+static struct sim_message *
+schedule_service_result (struct world *w, struct sim_node *n, int call,
+                         const char *server, int end, int64_t delay)
 {
-  struct event_item *it = item_new (w, ITEM_FORWARD_END, n, delay);
+  struct sim_message *msg = message_new (w, SIM_MSG_SERVICE_RESULT, n, delay);
 
-  it->call = call;
-  it->end = end;
-  clb_copy (it->server, server, sizeof it->server);
-  world_push (w, it);
-  return it;
+  msg->call = call;
+  msg->forward_end = end;
+  clb_copy (msg->server, server, sizeof msg->server);
+  world_push (w, msg);
+  return msg;
 }
 
 static void
-send_forward (struct world *w, struct wnode *n, const struct out *o)
+send_service_req (struct world *w, struct sim_node *n, const struct out *o)
 {
   int call = (int)o->u.forward.call - 1;
-  struct wserver *s = world_server (w, o->u.forward.executor);
-  struct event_item *it;
+  struct sim_server *s = world_server (w, o->u.forward.executor);
+  struct sim_message *msg;
 
   if (!node_may_forward (&n->node, w->now_ms, o->u.forward.call) || !s
       || s->refuses_connections)
     {
-      schedule_forward_end (w, n, call, o->u.forward.executor,
-                            FORWARD_UNREACHED, 1);
+      schedule_service_result (w, n, call, o->u.forward.executor,
+                               FORWARD_UNREACHED, 1);
       return;
     }
-  it = item_new (w, ITEM_FORWARD, n, jitter (w, SAME_DOMAIN_DELAY_MS));
-  it->call = call;
-  clb_copy (it->server, o->u.forward.executor, sizeof it->server);
-  world_push (w, it);
-  schedule_forward_end (w, n, call, o->u.forward.executor, FORWARD_FAILED,
-                        o->u.forward.max_run_ms);
+  msg = message_new (w, SIM_MSG_SERVICE_REQ, n,
+                     jitter (w, SAME_DOMAIN_DELAY_MS));
+  msg->call = call;
+  clb_copy (msg->server, o->u.forward.executor, sizeof msg->server);
+  world_push (w, msg);
+  schedule_service_result (w, n, call, o->u.forward.executor, FORWARD_FAILED,
+                           o->u.forward.max_run_ms);
 }
 
+/* Records and checks an entry instance's answer to a caller.  If the request
+   has an answer already, only the number of answers is raised. */
 static void
 record_answer (struct world *w, const struct out *o)
 {
-  struct wcall *c = &w->calls[o->u.answer.call - 1];
+  struct caller_request *c = &w->calls[o->u.answer.call - 1];
 
   c->n_answers++;
   if (c->status)
@@ -223,12 +244,12 @@
   c->complete = true;
   if (w->trace)
     printf ("%8lld answer to %s at %s: %d %s\n", (long long)w->now_ms, c->name,
-            c->entry, c->status, c->body);
+            c->entry_id, c->status, c->body);
   check_answer (w->check, c);
 }
 
 static void
-trace_event (const struct world *w, const struct wnode *n,
+trace_event (const struct world *w, const struct sim_node *n,
              const struct event *e)
 {
   if (w->trace)
@@ -236,8 +257,9 @@
             clb_reason_name (e->reason), e->id, e->where);
 }
 
+/* Sends everything that the entry instance @n has put out. */
 static void
-process_outputs (struct world *w, struct wnode *n)
+process_outputs (struct world *w, struct sim_node *n)
 {
   struct out *o;
 
@@ -249,13 +271,13 @@
           send_peer (w, n, o);
           break;
         case OUT_STORE:
-          send_store (w, n, o);
+          send_store_req (w, n, o);
           break;
         case OUT_SYNC:
-          send_sync (w, n, o);
+          send_sync_req (w, n, o);
           break;
         case OUT_FORWARD:
-          send_forward (w, n, o);
+          send_service_req (w, n, o);
           break;
         case OUT_ANSWER:
           record_answer (w, o);
@@ -271,12 +293,12 @@
 /* Delivery of messages. */
 
 static void
-deliver_peer (struct world *w, struct wnode *n, struct event_item *it)
+deliver_peer (struct world *w, struct sim_node *n, struct sim_message *msg)
 {
   struct pmsg m;
   struct codec_err ce;
 
-  if (pmsg_unpack (it->text, it->len, &m, &ce))
+  if (pmsg_unpack (msg->text, msg->len, &m, &ce))
     {
       fprintf (stderr, "cannot decode peer message: field %s\n", ce.path);
       abort ();
@@ -286,60 +308,64 @@
 }
 
 static void
-deliver_store (struct world *w, struct wnode *n, struct event_item *it)
+deliver_store_req (struct world *w, struct sim_node *n,
+                   struct sim_message *msg)
 {
   struct store_op op;
   struct store_rep rep = { .err = CLB_EUNAVAIL };
   struct codec_err ce;
   bool write;
-  int64_t back = jitter (w, STORE_DELAY_MS);
+  int64_t reply_delay = jitter (w, STORE_DELAY_MS);
 
   if (w->store_mode == STORE_HANGS)
     return;
   if (w->store_mode == STORE_REFUSES)
     {
-      schedule_store_rep (w, n, it->token, &rep, false, back);
+      schedule_store_reply (w, n, msg->token, &rep, false, reply_delay);
       return;
     }
-  if (codec_parse (&store_op_desc, it->text, it->len, CODEC_STRICT, &op, &ce))
+  if (codec_parse (&store_op_desc, msg->text, msg->len, CODEC_STRICT, &op,
+                   &ce))
     abort ();
   fstore_apply (w->store, &op, &rep);
   write = op.kind == STORE_TXN || op.kind == STORE_OBJ_PUT;
   if (w->store_mode != STORE_DROPS_REPLIES
       && !(write && chance (w, w->lost_reply_percent)))
-    schedule_store_rep (w, n, it->token, &rep, false, back);
+    schedule_store_reply (w, n, msg->token, &rep, false, reply_delay);
   codec_free (&store_rep_desc, &rep);
   codec_free (&store_op_desc, &op);
 }
 
 static void
-deliver_store_rep (struct world *w, struct wnode *n, struct event_item *it)
+deliver_store_reply (struct world *w, struct sim_node *n,
+                     struct sim_message *msg)
 {
   struct store_rep rep;
   struct codec_err ce;
 
-  if (codec_parse (&store_rep_desc, it->text, it->len, CODEC_STRICT, &rep,
+  if (codec_parse (&store_rep_desc, msg->text, msg->len, CODEC_STRICT, &rep,
                    &ce))
     abort ();
-  node_store (&n->node, w->now_ms, it->token, &rep);
+  node_store (&n->node, w->now_ms, msg->token, &rep);
   codec_free (&store_rep_desc, &rep);
 }
 
 static void
-deliver_sync (struct world *w, struct wnode *n, struct event_item *it)
+deliver_sync_req (struct world *w, struct sim_node *n, struct sim_message *msg)
 {
-  struct wserver *s = world_server (w, it->server);
+  struct sim_server *s = world_server (w, msg->server);
   struct sync_req req;
   struct sync_rep rep;
   struct codec_err ce;
-  struct event_item *back;
+  struct sim_message *reply;
 
   if (!s || s->unreachable)
     return;
-  if (codec_parse (&sync_req_desc, it->text, it->len, CODEC_STRICT, &req, &ce))
+  if (codec_parse (&sync_req_desc, msg->text, msg->len, CODEC_STRICT, &req,
+                   &ce))
     abort ();
-  s->w.busy = s->n_open;
-  if (fworker_sync (&s->w, w->now_ms, &req, &rep) == 0)
+  s->worker.busy = s->n_serving;
+  if (fworker_sync (&s->worker, w->now_ms, &req, &rep) == 0)
     {
       if (s->drops_replies)
         {
@@ -347,209 +373,227 @@
           codec_free (&sync_req_desc, &req);
           return;
         }
-      back = item_new (w, ITEM_SYNC_REP, n, jitter (w, SAME_DOMAIN_DELAY_MS));
-      back->generation = it->generation;
-      clb_copy (back->server, it->server, sizeof back->server);
-      back->seq_no = it->seq_no;
-      back->text = codec_text (&sync_rep_desc, &rep);
-      back->len = strlen (back->text);
-      world_push (w, back);
+      reply = message_new (w, SIM_MSG_SYNC_REPLY, n,
+                           jitter (w, SAME_DOMAIN_DELAY_MS));
+      reply->generation = msg->generation;
+      clb_copy (reply->server, msg->server, sizeof reply->server);
+      reply->seq_no = msg->seq_no;
+      reply->text = codec_text (&sync_rep_desc, &rep);
+      reply->len = strlen (reply->text);
+      world_push (w, reply);
       codec_free (&sync_rep_desc, &rep);
     }
   codec_free (&sync_req_desc, &req);
 }
 
 static void
-deliver_sync_rep (struct world *w, struct wnode *n, struct event_item *it)
+deliver_sync_reply (struct world *w, struct sim_node *n,
+                    struct sim_message *msg)
 {
   struct sync_rep rep;
   struct codec_err ce;
 
-  if (it->text
-      && codec_parse (&sync_rep_desc, it->text, it->len, CODEC_STRICT, &rep,
+  if (msg->text
+      && codec_parse (&sync_rep_desc, msg->text, msg->len, CODEC_STRICT, &rep,
                       &ce))
     abort ();
-  node_sync (&n->node, w->now_ms, it->server, it->seq_no,
-             it->text ? &rep : NULL);
-  if (it->text)
+  node_sync (&n->node, w->now_ms, msg->server, msg->seq_no,
+             msg->text ? &rep : NULL);
+  if (msg->text)
     codec_free (&sync_rep_desc, &rep);
 }
 
 static void
-deliver_forward (struct world *w, struct wnode *n, struct event_item *it)
+deliver_service_req (struct world *w, struct sim_node *n,
+                     struct sim_message *msg)
 {
-  struct wserver *s = world_server (w, it->server);
-  struct wcall *c = &w->calls[it->call];
-  int64_t run = c->run_ms ? c->run_ms : SERVICE_DEFAULT_MS;
+  struct sim_server *s = world_server (w, msg->server);
+  struct caller_request *c = &w->calls[msg->call];
+  int64_t run_ms = c->run_ms ? c->run_ms : SERVICE_RUN_DEFAULT_MS;
 
   if (!s || s->unreachable)
     return;
-  s->n_open++;
-  check_served (w->check, s, it->call, true);
-  struct event_item *end
-      = schedule_forward_end (w, n, it->call, it->server,
-                              s->w.fail_all ? FORWARD_ERROR : FORWARD_OK, run);
+  s->n_serving++;
+  check_service_run (w->check, s, msg->call, true);
+  struct sim_message *end = schedule_service_result (
+      w, n, msg->call, msg->server,
+      s->worker.fail_all ? FORWARD_ERROR : FORWARD_OK, run_ms);
   if (!s->breaks_connections)
     return;
-  /* The entry instance sees only the break, not the end. */
+  /* The entry instance is notified only of the broken connection.  The end of
+     the request reaches no process, but ends the request on the executor. */
   end->generation = NO_GENERATION;
-  schedule_forward_end (w, n, it->call, it->server, FORWARD_FAILED,
-                        CONNECTION_BREAK_MS);
+  schedule_service_result (w, n, msg->call, msg->server, FORWARD_FAILED,
+                           CONNECTION_BREAK_MS);
 }
 
 static void
-deliver_forward_end (struct world *w, struct wnode *n, struct event_item *it)
+deliver_service_result (struct world *w, struct sim_node *n,
+                        struct sim_message *msg)
 {
-  struct wcall *c = &w->calls[it->call];
-  bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
+  struct caller_request *c = &w->calls[msg->call];
+  bool ran
+      = msg->forward_end == FORWARD_OK || msg->forward_end == FORWARD_ERROR;
 
   if (ran && !c->status)
     {
-      c->status = it->end == FORWARD_OK ? 200 : 500;
+      c->status = msg->forward_end == FORWARD_OK ? 200 : 500;
       c->answered_ms = w->now_ms;
       c->body = strdup (c->name);
       c->complete = true;
       c->n_answers++;
       check_answer (w->check, c);
     }
-  node_forwarded (&n->node, w->now_ms, (uint64_t)it->call + 1, it->end);
+  node_forwarded (&n->node, w->now_ms, (uint64_t)msg->call + 1,
+                  msg->forward_end);
 }
 
-/* Ends a service request on the executor's side.  This happens on time, also
-   while the caller's entry instance is frozen or dead. */
+/* Ends a service request on the executor, unless it has ended there already.
+   The end happens on time, also while the entry instance that forwarded the
+   request is frozen or dead. */
 static void
-executor_request_ended (struct world *w, struct event_item *it)
+end_service_on_executor (struct world *w, struct sim_message *msg)
 {
-  struct wserver *s = world_server (w, it->server);
-  bool ran = it->end == FORWARD_OK || it->end == FORWARD_ERROR;
+  struct sim_server *s = world_server (w, msg->server);
+  bool ran
+      = msg->forward_end == FORWARD_OK || msg->forward_end == FORWARD_ERROR;
 
-  if (!ran || !s || it->seq_no)
+  if (!ran || !s || msg->seq_no)
     return;
-  it->seq_no = 1;
-  s->n_open--;
-  check_served (w->check, s, it->call, false);
+  msg->seq_no = 1;
+  s->n_serving--;
+  check_service_run (w->check, s, msg->call, false);
 }
 
+/* Whether a partition stops the peer message @msg. */
 static bool
-is_peer_cut (struct world *w, const struct event_item *it)
+are_peers_partitioned (struct world *w, const struct sim_message *msg)
 {
-  return is_cut (w, it->from, it->to)
-         || is_cut (w, it->server, w->nodes[it->node].settings.id);
+  return is_partitioned (w, msg->from, msg->to)
+         || is_partitioned (w, msg->server,
+                            w->nodes[msg->node_index].settings.id);
 }
 
-/* Delays @it by one tick if it cannot be delivered now, and tells whether it
-   did.  Messages to a frozen process wait until it is thawed.  Peer messages
-   that meet a cut wait until it has healed if the receiver's generation is
-   even; otherwise they are lost. */
+/* Delays @msg by one tick if it cannot be delivered now; returns true if it
+   was delayed.  Messages to a frozen process wait until the process is thawed.
+   Peer messages that a partition stops wait until the partition has ended if
+   the receiver's generation is even; otherwise they are lost. */
 static bool
-defer (struct world *w, struct event_item *it)
+defer_message (struct world *w, struct sim_message *msg)
 {
-  struct wnode *n = &w->nodes[it->node];
-  bool to_node = it->kind == ITEM_PEER || it->kind == ITEM_STORE_REP
-                 || it->kind == ITEM_SYNC_REP || it->kind == ITEM_FORWARD_END;
-  bool deferred = to_node && n->frozen && n->generation == it->generation;
+  struct sim_node *n = &w->nodes[msg->node_index];
+  bool to_node = msg->kind == SIM_MSG_PEER || msg->kind == SIM_MSG_STORE_REPLY
+                 || msg->kind == SIM_MSG_SYNC_REPLY
+                 || msg->kind == SIM_MSG_SERVICE_RESULT;
+  bool is_deferred = to_node && n->frozen && n->generation == msg->generation;
 
-  if (it->kind == ITEM_FORWARD_END)
-    executor_request_ended (w, it);
-  if (it->kind == ITEM_PEER && it->generation % 2 == 0)
-    deferred |= is_peer_cut (w, it);
-  if (deferred)
-    it->at_ms = w->now_ms + TICK_MS;
-  return deferred;
+  if (msg->kind == SIM_MSG_SERVICE_RESULT)
+    end_service_on_executor (w, msg);
+  if (msg->kind == SIM_MSG_PEER && msg->generation % 2 == 0)
+    is_deferred |= are_peers_partitioned (w, msg);
+  if (is_deferred)
+    msg->arrival_ms = w->now_ms + TICK_MS;
+  return is_deferred;
 }
 
+/* Whether @msg is lost because of a partition or because its receiving process
+   has ended. */
 static bool
-is_lost (struct world *w, struct event_item *it)
+is_lost (struct world *w, struct sim_message *msg)
 {
-  struct wnode *n = &w->nodes[it->node];
-  bool dead = !n->up || n->generation != it->generation;
+  struct sim_node *n = &w->nodes[msg->node_index];
+  bool receiver_dead = !n->up || n->generation != msg->generation;
 
-  switch (it->kind)
+  switch (msg->kind)
     {
-    case ITEM_STORE_REQ:
-      return is_cut (w, it->from, "platform")
-             || is_cut (w, n->settings.id, "platform");
-    case ITEM_PEER:
-      return dead || is_peer_cut (w, it);
-    case ITEM_STORE_REP:
-      /* A timeout is reported within the daemon and is never lost. */
-      return dead
-             || (!it->call
-                 && (is_cut (w, "platform", it->from)
-                     || is_cut (w, "platform", n->settings.id)));
-    case ITEM_SYNC_REP:
-    case ITEM_FORWARD_END:
-      return dead;
+    case SIM_MSG_STORE_REQ:
+      return is_partitioned (w, msg->from, "platform")
+             || is_partitioned (w, n->settings.id, "platform");
+    case SIM_MSG_PEER:
+      return receiver_dead || are_peers_partitioned (w, msg);
+    case SIM_MSG_STORE_REPLY:
+      /* A timeout is reported within the daemon, so a partition does not stop
+         the report. */
+      return receiver_dead
+             || (!msg->call
+                 && (is_partitioned (w, "platform", msg->from)
+                     || is_partitioned (w, "platform", n->settings.id)));
+    case SIM_MSG_SYNC_REPLY:
+    case SIM_MSG_SERVICE_RESULT:
+      return receiver_dead;
     default:
       return false;
     }
 }
 
 static void
-deliver (struct world *w, struct event_item *it)
+deliver (struct world *w, struct sim_message *msg)
 {
-  struct wnode *n = &w->nodes[it->node];
+  struct sim_node *n = &w->nodes[msg->node_index];
 
-  switch (it->kind)
+  switch (msg->kind)
     {
-    case ITEM_PEER:
-      deliver_peer (w, n, it);
+    case SIM_MSG_PEER:
+      deliver_peer (w, n, msg);
       break;
-    case ITEM_STORE_REQ:
-      deliver_store (w, n, it);
+    case SIM_MSG_STORE_REQ:
+      deliver_store_req (w, n, msg);
       return;
-    case ITEM_STORE_REP:
-      deliver_store_rep (w, n, it);
+    case SIM_MSG_STORE_REPLY:
+      deliver_store_reply (w, n, msg);
       break;
-    case ITEM_SYNC_REQ:
-      deliver_sync (w, n, it);
+    case SIM_MSG_SYNC_REQ:
+      deliver_sync_req (w, n, msg);
       return;
-    case ITEM_SYNC_REP:
-      deliver_sync_rep (w, n, it);
+    case SIM_MSG_SYNC_REPLY:
+      deliver_sync_reply (w, n, msg);
       break;
-    case ITEM_FORWARD:
-      deliver_forward (w, n, it);
+    case SIM_MSG_SERVICE_REQ:
+      deliver_service_req (w, n, msg);
       return;
-    case ITEM_FORWARD_END:
-      deliver_forward_end (w, n, it);
+    case SIM_MSG_SERVICE_RESULT:
+      deliver_service_result (w, n, msg);
       break;
-    case ITEM_INSTANCES:
-      fstore_instances (w->store, it->text);
+    case SIM_MSG_INSTANCE_LIST:
+      fstore_instances (w->store, msg->text);
       return;
     }
-  if (n->up && n->generation == it->generation)
+  if (n->up && n->generation == msg->generation)
     process_outputs (w, n);
 }
 
+/* Whether the platform or its store has a fault or a delay, or a partition
+   separates the platform from an instance or domain. */
 static bool
-platform_faulty (const struct world *w)
+has_platform_fault (const struct world *w)
 {
-  bool cut = false;
+  bool partitioned = false;
 
-  for (int i = 0; i < w->n_cuts; i++)
-    cut |= strcmp (w->cuts[i].a, "platform") == 0
-           || strcmp (w->cuts[i].b, "platform") == 0;
-  return cut || w->store_mode != STORE_UP || w->late_percent
+  for (int i = 0; i < w->n_partitions; i++)
+    partitioned |= strcmp (w->partitions[i].a, "platform") == 0
+                   || strcmp (w->partitions[i].b, "platform") == 0;
+  return partitioned || w->store_mode != STORE_UP || w->late_percent
          || w->store_delay_ms;
 }
 
+/* Performs one tick of every worker and of every entry instance that runs. */
 static void
 tick_all (struct world *w)
 {
-  if (platform_faulty (w))
+  if (has_platform_fault (w))
     w->platform_fault_ms = w->now_ms;
   for (int i = 0; i < w->n_servers; i++)
     if (w->servers[i].inst.kind == INST_WORKER)
-      fworker_tick (&w->servers[i].w, w->now_ms);
+      fworker_tick (&w->servers[i].worker, w->now_ms);
   for (int i = 0; i < w->n_nodes; i++)
     {
-      struct wnode *n = &w->nodes[i];
+      struct sim_node *n = &w->nodes[i];
       if (!n->up || n->frozen)
         continue;
       node_tick (&n->node, w->now_ms);
       process_outputs (w, n);
       if (n->stopping && node_stopped (&n->node))
-        world_kill (w, n);
+        world_kill_node (w, n);
     }
 }
 
@@ -561,24 +605,24 @@
   while (w->now_ms < until && !check_violation (w->check))
     {
       w->now_ms++;
-      while (w->n_heap && w->heap[0]->at_ms <= w->now_ms)
+      while (w->n_heap && w->heap[0]->arrival_ms <= w->now_ms)
         {
-          struct event_item *it = world_pop (w);
-          if (defer (w, it))
+          struct sim_message *msg = world_pop (w);
+          if (defer_message (w, msg))
             {
-              world_push (w, it);
+              world_push (w, msg);
               continue;
             }
-          if (!is_lost (w, it))
-            deliver (w, it);
-          item_free (it);
+          if (!is_lost (w, msg))
+            deliver (w, msg);
+          message_free (msg);
         }
       if (w->now_ms % TICK_MS == 0)
         tick_all (w);
     }
 }
 
-/* Setup, start and end of processes. */
+/* Setup of the world, and start and end of processes. */
 
 void
 world_init (struct world *w, uint64_t seed)
@@ -600,9 +644,9 @@
     if (w->nodes[i].up)
       node_fini (&w->nodes[i].node);
   for (int i = 0; i < w->n_servers; i++)
-    fworker_clear (&w->servers[i].w);
+    fworker_clear (&w->servers[i].worker);
   while (w->n_heap)
-    item_free (world_pop (w));
+    message_free (world_pop (w));
   for (int i = 0; i < w->n_calls; i++)
     free (w->calls[i].body);
   free (w->heap);
@@ -611,10 +655,10 @@
   check_free (w->check);
 }
 
-struct wnode *
+struct sim_node *
 world_add_node (struct world *w, const char *id, const char *domain)
 {
-  struct wnode *n = &w->nodes[w->n_nodes++];
+  struct sim_node *n = &w->nodes[w->n_nodes++];
 
   clb_copy (n->settings.id, id, sizeof n->settings.id);
   clb_copy (n->settings.domain, domain, sizeof n->settings.domain);
@@ -622,12 +666,12 @@
   n->settings.snap_every = SNAPSHOT_ROWS;
   clb_copy (n->settings.first_salt, "first", sizeof n->settings.first_salt);
   conf_key_hash ("first", "ops.first", n->settings.first_hash);
-  world_boot (w, n);
+  world_start_node (w, n);
   return n;
 }
 
 void
-world_boot (struct world *w, struct wnode *n)
+world_start_node (struct world *w, struct sim_node *n)
 {
   if (n->up)
     return;
@@ -637,13 +681,13 @@
   n->stopping = false;
   n->generation++;
   node_init (&n->node, &n->settings, w->now_ms);
-  world_publish (w);
+  world_publish_instances (w);
 }
 
-/* The callers of a killed instance see their connections break.  That counts
-   as an answer to be checked only if the instance was stopping as planned. */
+/* Ends the process of @n.  The connections of its callers break, which is a
+   violation if the process ends because of a planned stop. */
 void
-world_kill (struct world *w, struct wnode *n)
+world_kill_node (struct world *w, struct sim_node *n)
 {
   if (!n->up)
     return;
@@ -653,28 +697,29 @@
   node_fini (&n->node);
   for (int i = 0; i < w->n_calls; i++)
     {
-      struct wcall *c = &w->calls[i];
-      if (c->status == 0 && strcmp (c->entry, n->settings.id) == 0)
+      struct caller_request *c = &w->calls[i];
+      if (c->status == 0 && strcmp (c->entry_id, n->settings.id) == 0)
         {
           c->status = -1;
           if (n->stopping)
             check_answer (w->check, c);
         }
     }
-  world_publish (w);
+  world_publish_instances (w);
 }
 
 void
-world_thaw (struct world *w, struct wnode *n)
+world_thaw_node (struct world *w, struct sim_node *n)
 {
   (void)w;
   n->frozen = false;
 }
 
+/* Is called by a worker at each start and end of a run. */
 static void
 on_run (void *arg, int64_t now_ms, const struct frun *run, bool started)
 {
-  struct wserver *s = arg;
+  struct sim_server *s = arg;
   struct world *w = s->world;
 
   (void)now_ms;
@@ -684,15 +729,15 @@
   check_run (w->check, s, run, started);
 }
 
-struct wserver *
+struct sim_server *
 world_add_server (struct world *w, const char *id, const char *domain,
                   const char *rack, int kind, const struct clb_res *capacity)
 {
-  struct wserver *s = &w->servers[w->n_servers++];
+  struct sim_server *s = &w->servers[w->n_servers++];
 
-  fworker_init (&s->w, ++w->last_boot);
-  s->w.arg = s;
-  s->w.watch = on_run;
+  fworker_init (&s->worker, ++w->last_boot);
+  s->worker.arg = s;
+  s->worker.watch = on_run;
   s->world = w;
   s->listed = true;
   s->inst.kind = kind;
@@ -701,18 +746,18 @@
   clb_copy (s->inst.domain, domain, sizeof s->inst.domain);
   clb_copy (s->inst.rack, rack, sizeof s->inst.rack);
   clb_copy (s->inst.addr, id, sizeof s->inst.addr);
-  world_publish (w);
+  world_publish_instances (w);
   return s;
 }
 
 void
-world_publish (struct world *w)
+world_publish_instances (struct world *w)
 {
   struct inst_list list = { .n_items = 0 };
-  struct event_item *it = calloc (1, sizeof *it);
+  struct sim_message *msg = calloc (1, sizeof *msg);
 
   list.items = calloc (NODES_MAX + SERVERS_MAX, sizeof *list.items);
-  if (!list.items || !it)
+  if (!list.items || !msg)
     abort ();
   for (int i = 0; i < w->n_nodes; i++)
     if (w->nodes[i].up)
@@ -730,21 +775,21 @@
         list.items[list.n_items++].leaving
             = w->servers[i].leaving_since_ms > 0;
       }
-  it->kind = ITEM_INSTANCES;
-  it->at_ms = w->now_ms + w->list_lag_ms;
-  it->text = codec_text (&inst_list_desc, &list);
-  world_push (w, it);
+  msg->kind = SIM_MSG_INSTANCE_LIST;
+  msg->arrival_ms = w->now_ms + w->list_lag_ms;
+  msg->text = codec_text (&inst_list_desc, &list);
+  world_push (w, msg);
   free (list.items);
 }
 
 int
-world_call (struct world *w, const struct wcall *proto, int method,
-            const char *path, const char *bearer, const char *request_id,
-            const char *body)
+world_send_request (struct world *w, const struct caller_request *proto,
+                    int method, const char *path, const char *bearer,
+                    const char *request_id, const char *body)
 {
-  struct wnode *n = world_node (w, proto->entry);
-  struct wcall *c = &w->calls[w->n_calls++];
-  struct request rq = {
+  struct sim_node *n = world_node (w, proto->entry_id);
+  struct caller_request *c = &w->calls[w->n_calls++];
+  struct request request = {
     .http_call = (uint64_t)w->n_calls,
     .method = method,
     .path = path,
@@ -758,12 +803,12 @@
     abort ();
   *c = *proto;
   c->sent_ms = w->now_ms;
-  check_call (w->check, c);
+  check_note_request (w->check, c);
   if (!n || !n->up || n->frozen)
     c->status = -1;
   else
     {
-      node_request (&n->node, w->now_ms, &rq);
+      node_request (&n->node, w->now_ms, &request);
       process_outputs (w, n);
     }
   return w->n_calls - 1;
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -16,40 +16,45 @@
 
 enum
 {
-  NODES_MAX = 16,
-  SERVERS_MAX = 64,
-  CUTS_MAX = 16,
+  NODES_MAX = 16,      /* entry instances of all domains */
+  SERVERS_MAX = 64,    /* workers and executors of all domains */
+  PARTITIONS_MAX = 16, /* network partitions at the same time */
+  /* Virtual time between two ticks of an entry instance or worker. */
   TICK_MS = 10,
-  CALLS_MAX = 20000,
+  CALLS_MAX = 20000, /* callers' requests in one scenario */
 };
 
-/** struct wnode - an entry instance */
-struct wnode
+/** struct sim_node - an entry instance */
+struct sim_node
 {
   struct settings settings;
   struct node node;
-  bool up;
-  bool frozen;
-  bool stopping;
-  /* Number of the process, raised by each start and kill.  Messages to an
-     earlier process are lost. */
+  bool up;       /* its process exists; true also while frozen or stopping */
+  bool frozen;   /* its process is paused, as by SIGSTOP */
+  bool stopping; /* a planned stop has begun and has not ended */
+  /* Number of the instance's process, raised by each start and kill.  Messages
+     to an earlier process are lost. */
   int generation;
 };
 
-/** struct wserver - a worker or executor */
-struct wserver
+/** struct sim_server - a worker or executor */
+struct sim_server
 {
   struct inst inst;
-  struct fworker w;
-  bool listed;
-  bool unreachable;   /* requests to it are lost */
-  bool drops_replies; /* workers: syncs are carried out, replies are lost */
+  struct fworker worker;
+  bool listed;      /* the platform's list of instances contains the server */
+  bool unreachable; /* requests and syncs to the server are lost */
+  /* The server carries out syncs, but its replies to them are lost. */
+  bool drops_replies;
   /* Executors: the connection breaks while a request is being served. */
   bool breaks_connections;
-  bool refuses_connections; /* executors */
-  int64_t leaving_since_ms; /* 0: not leaving */
-  int64_t n_open;           /* executors: requests being served */
-  /* Resources of the runs and requests that really run on it now. */
+  /* Executors: every new connection is refused, so that nothing runs. */
+  bool refuses_connections;
+  /* When the server began to leave; 0: it is not leaving. */
+  int64_t leaving_since_ms;
+  int64_t n_serving; /* executors: number of requests being served */
+  /* Resources used by the task runs and service requests that are running on
+     the server at this moment, whatever the scheduler knows of them. */
   struct clb_res used;
   struct world *world;
 };
@@ -57,176 +62,252 @@
 /** enum store_mode - how the platform's table and object store behave */
 enum store_mode
 {
-  STORE_UP,
+  STORE_UP,            /* carries out and answers every operation */
   STORE_REFUSES,       /* answers CLB_EUNAVAIL and does nothing */
   STORE_HANGS,         /* does nothing and answers nothing */
   STORE_DROPS_REPLIES, /* carries out every operation and answers nothing */
 };
 
-/** struct wcall - a request of a caller, and its answer */
-struct wcall
+/** struct caller_request - a caller's HTTP request, and the answer to it */
+struct caller_request
 {
-  char entry[CLB_ID_MAX]; /* entry instance that the caller is connected to */
-  char name[CLB_ID_MAX];  /* "team:request id"; empty: not checked */
-  bool idempotent;
-  bool service; /* a service request, not a task request */
-  bool keyed;
-  char key[CLB_NAME_MAX]; /* id of the caller's key */
+  /* Id of the entry instance that the caller is connected to. */
+  char entry_id[CLB_ID_MAX];
+  char name[CLB_ID_MAX];     /* "team:request id"; empty: not checked */
+  bool idempotent;           /* the request may run more than once */
+  bool service;              /* true: service request; false: any other */
+  bool keyed;                /* neither set nor read */
+  char key_id[CLB_NAME_MAX]; /* id of the caller's key; empty: not checked */
   int64_t sent_ms;
-  int64_t answered_ms;
-  int status; /* HTTP status; 0: no answer yet; -1: the connection broke */
-  char *body;
-  bool complete;
-  int64_t run_ms; /* service: time at the executor; 0: the default */
-  int n_answers;
+  int64_t answered_ms; /* 0: no answer yet */
+  /* HTTP status; 0: no answer yet; -1: the caller's connection broke. */
+  int status;
+  char *body;    /* of the answer; NULL: no answer yet */
+  bool complete; /* the whole answer has arrived */
+  /* Service requests: run time at the executor; 0: the default. */
+  int64_t run_ms;
+  int n_answers; /* number of answers received; more than 1 is a violation */
 };
 
-/** struct limit - a team's upper limit since some time */
-struct limit
+/** struct team_limit - a team's upper limit, with the time of its change */
+struct team_limit
 {
   char team[CLB_NAME_MAX];
   struct clb_res amount;
+  /* When the change was requested or its acceptance became known. */
   int64_t since_ms;
-  bool outcome_unknown; /* requested, but not known to be accepted */
+  /* The change was requested, but is not known to be accepted. */
+  bool outcome_unknown;
 };
 
-/** enum item_kind - what a message on its way is */
-enum item_kind
+/** enum sim_message_kind - what a simulated message is and who receives it */
+enum sim_message_kind
 {
-  ITEM_PEER,
-  ITEM_STORE_REQ,
-  ITEM_STORE_REP,
-  ITEM_SYNC_REQ,
-  ITEM_SYNC_REP,
-  ITEM_FORWARD,     /* a service request to an executor */
-  ITEM_FORWARD_END, /* its end, to the entry instance */
-  ITEM_INSTANCES,   /* the platform's list of instances, published */
+  SIM_MSG_PEER,           /* from one entry instance to another */
+  SIM_MSG_STORE_REQ,      /* a store operation, to the platform */
+  SIM_MSG_STORE_REPLY,    /* the reply or timeout of a store operation */
+  SIM_MSG_SYNC_REQ,       /* a sync, to a worker or executor */
+  SIM_MSG_SYNC_REPLY,     /* the reply or timeout of a sync */
+  SIM_MSG_SERVICE_REQ,    /* a service request, to an executor */
+  SIM_MSG_SERVICE_RESULT, /* how a service request ended, to the entry
+                             instance that forwarded it */
+  SIM_MSG_INSTANCE_LIST,  /* the platform's list of instances changes */
 };
 
-/** struct event_item - a message on its way */
-struct event_item
+/** struct sim_message - a message that has been sent and has not arrived */
+struct sim_message
 {
-  int64_t at_ms; /* arrival */
-  uint64_t seq;  /* order of sending, for messages that arrive together */
-  int kind;      /* enum item_kind */
-  int node;      /* index of the entry instance that it concerns */
+  int64_t arrival_ms;
+  /* Order of sending; breaks ties between messages that arrive together. */
+  uint64_t seq;
+  int kind;       /* enum sim_message_kind */
+  int node_index; /* index of its entry instance in world::nodes */
+  /* Generation of that entry instance's process.  A message to the instance is
+     lost if the generation has changed before the message arrives. */
   int generation;
-  /* Domains of sender and receiver, for cuts. */
+  /* Domain of the sender; for messages between an entry instance and the
+     platform, domain of the entry instance.  Decides whether a partition
+     stops the message. */
   char from[CLB_NAME_MAX];
-  char to[CLB_NAME_MAX];
-  /* Worker or executor; for ITEM_PEER, the sending entry instance. */
+  char to[CLB_NAME_MAX]; /* SIM_MSG_PEER: domain of the receiver */
+  /* Id of the worker or executor; for SIM_MSG_PEER, id of the sending entry
+     instance. */
   char server[CLB_ID_MAX];
-  uint64_t token;
-  /* Sequence number of a sync.  For ITEM_FORWARD_END: 1 once the executor's
-     side has ended. */
+  uint64_t token; /* matches a store reply with its operation */
+  /* Syncs: the sync's sequence number.  SIM_MSG_SERVICE_RESULT: 1 once the
+     executor has ended the request, else 0. */
   int64_t seq_no;
-  /* Index of the call.  For ITEM_STORE_REP: 1 if the daemon itself reports
-     that the operation timed out. */
+  /* Index of the caller's request in world::calls.  SIM_MSG_STORE_REPLY: 1 if
+     the daemon itself reports that the operation timed out, else 0. */
   int call;
-  int end; /* enum forward_end */
-  char *text;
-  size_t len;
+  int forward_end; /* SIM_MSG_SERVICE_RESULT: enum forward_end */
+  char *text;      /* encoded message; NULL: none; freed with the message */
+  size_t len;      /* bytes of text */
 };
 
+/** struct world - the simulated system of one scenario */
 struct world
 {
   int64_t now_ms;
-  uint64_t rng;
+  uint64_t rng; /* state of the random number generator */
   struct fstore *store;
   int store_mode; /* enum store_mode */
+  /* Added to the delay of every operation on its way to the store. */
   int64_t store_delay_ms;
-  int lost_reply_percent; /* store writes that are done but not answered */
-  int late_percent; /* store operations and syncs delayed by up to 1900 ms */
-  struct wnode nodes[NODES_MAX];
+  /* Share of store writes that are carried out but not answered. */
+  int lost_reply_percent;
+  /* Share of store operations and syncs that are delayed by up to 1900 ms. */
+  int late_percent;
+  struct sim_node nodes[NODES_MAX];
   int n_nodes;
-  struct wserver servers[SERVERS_MAX];
+  struct sim_server servers[SERVERS_MAX];
   int n_servers;
-  /* Network partitions.  Each end is an instance id, a domain or
-     "platform". */
+  /* Present network partitions.  Both a and b are the id of an entry instance,
+     a domain or "platform"; messages between a and b do not pass. */
   struct
   {
     char a[CLB_NAME_MAX];
     char b[CLB_NAME_MAX];
-    bool one_way; /* only messages from a to b are lost */
-  } cuts[CUTS_MAX];
-  int n_cuts;
-  int64_t list_lag_ms;       /* delay of the platform's list of instances */
-  int64_t platform_fault_ms; /* when the platform last had a fault */
-  struct event_item **heap;  /* messages on their way */
-  size_t n_heap;
-  size_t cap_heap;
-  uint64_t seq; /* last event_item::seq */
-  struct wcall *calls;
+    bool one_way; /* only messages from a to b are stopped */
+  } partitions[PARTITIONS_MAX];
+  int n_partitions;
+  /* Time until a change of the platform's list of instances is visible. */
+  int64_t list_lag_ms;
+  /* When the platform last had a fault; 0: it has had none. */
+  int64_t platform_fault_ms;
+  /* Binary heap of the sent messages, ordered by arrival. */
+  struct sim_message **heap;
+  size_t n_heap;   /* number of messages in the heap */
+  size_t cap_heap; /* number of messages that the heap has memory for */
+  uint64_t seq;    /* sim_message::seq of the last message sent; 0: none */
+  /* All requests of callers in this scenario, in the order of sending. */
+  struct caller_request *calls;
   int n_calls;
-  int64_t last_boot; /* last boot number given to a node or server */
-  bool trace;
+  /* Last boot number given to an entry instance, worker or executor. */
+  int64_t last_boot;
+  bool trace; /* answers, events and runs are printed */
   struct check *check;
 };
 
 /* world.c */
+/**
+ * world_init() - Set up a world without instances.
+ * @seed: determines every random choice
+ */
 void world_init (struct world *w, uint64_t seed);
+/** world_fini() - Free everything that the world @w owns. */
 void world_fini (struct world *w);
-/** world_random() - A number from 0 to @below - 1. */
+/** world_random() - Return a random number from 0 to @below - 1. */
 uint64_t world_random (struct world *w, uint64_t below);
-/** world_node() - The entry instance @id, or NULL. */
-struct wnode *world_node (struct world *w, const char *id);
-/** world_server() - The worker or executor @id, or NULL. */
-struct wserver *world_server (struct world *w, const char *id);
-/** world_add_node() - Add an entry instance and start it. */
-struct wnode *world_add_node (struct world *w, const char *id,
-                              const char *domain);
-/** world_boot() - Start a new process of @n, unless one is running. */
-void world_boot (struct world *w, struct wnode *n);
-/** world_kill() - End the process of @n as by SIGKILL. */
-void world_kill (struct world *w, struct wnode *n);
-/** world_thaw() - Let the frozen process of @n continue, as by SIGCONT. */
-void world_thaw (struct world *w, struct wnode *n);
-struct wserver *world_add_server (struct world *w, const char *id,
-                                  const char *domain, const char *rack,
-                                  int kind, const struct clb_res *capacity);
-/** world_publish() - Update the platform's list after list_lag_ms. */
-void world_publish (struct world *w);
-/** world_run() - Let @ms of virtual time pass, or less on a violation. */
+/** world_node() - Return the entry instance @id, or NULL if none has it. */
+struct sim_node *world_node (struct world *w, const char *id);
+/** world_server() - Return the worker or executor @id, or NULL. */
+struct sim_server *world_server (struct world *w, const char *id);
+/** world_add_node() - Add an entry instance and start its process. */
+struct sim_node *world_add_node (struct world *w, const char *id,
+                                 const char *domain);
+/** world_start_node() - Start a new process of @n, unless one exists. */
+void world_start_node (struct world *w, struct sim_node *n);
+/** world_kill_node() - End the process of @n as by SIGKILL. */
+void world_kill_node (struct world *w, struct sim_node *n);
+/** world_thaw_node() - Resume the frozen process of @n, as by SIGCONT. */
+void world_thaw_node (struct world *w, struct sim_node *n);
+/**
+ * world_add_server() - Add a worker or executor.
+ * @kind: INST_WORKER or INST_EXECUTOR
+ */
+struct sim_server *world_add_server (struct world *w, const char *id,
+                                     const char *domain, const char *rack,
+                                     int kind, const struct clb_res *capacity);
+/**
+ * world_publish_instances() - Update the platform's list of instances.
+ *
+ * The update is visible after world::list_lag_ms.
+ */
+void world_publish_instances (struct world *w);
+/**
+ * world_run() - Let @ms of virtual time pass.
+ *
+ * The function returns earlier if a guarantee is violated.
+ */
 void world_run (struct world *w, int64_t ms);
-/** world_call() - Send a caller's request; returns its index in calls. */
-int world_call (struct world *w, const struct wcall *proto, int method,
-                const char *path, const char *bearer, const char *request_id,
-                const char *body);
+/**
+ * world_send_request() - Send a caller's request to an entry instance.
+ * @proto: its settings, which are copied
+ * @method: enum method
+ * @bearer: bearer token, or NULL
+ * @request_id: value of the X-Request-Id header, or NULL
+ * @body: text of the request's body, or NULL
+ *
+ * Return: the index of the request in world::calls.
+ */
+int world_send_request (struct world *w, const struct caller_request *proto,
+                        int method, const char *path, const char *bearer,
+                        const char *request_id, const char *body);
 
 /* heap.c */
-/** world_push() - Queue @it, which the world then owns. */
-void world_push (struct world *w, struct event_item *it);
-/** world_pop() - Take the message that arrives first; one must be queued. */
-struct event_item *world_pop (struct world *w);
+/** world_push() - Queue @msg; the function takes ownership of @msg. */
+void world_push (struct world *w, struct sim_message *msg);
+/**
+ * world_pop() - Remove and return the message that arrives first.
+ *
+ * At least one message must be queued.  The caller owns the message.
+ */
+struct sim_message *world_pop (struct world *w);
 
 /* check.c */
+/** check_new() - Create the checker of the world @w. */
 struct check *check_new (struct world *w);
+/** check_free() - Free the checker @c. */
 void check_free (struct check *c);
-/** check_run() - A run has started or ended on the worker @s. */
-void check_run (struct check *c, struct wserver *s, const struct frun *run,
+/**
+ * check_run() - Record and check that a run starts or ends on a worker.
+ * @started: true: the run has started; false: the run has ended
+ */
+void check_run (struct check *c, struct sim_server *s, const struct frun *run,
                 bool started);
-/** check_served() - The executor @s starts or ends serving @call. */
-void check_served (struct check *c, struct wserver *s, int call, bool started);
-/** check_call() - A caller sends a request. */
-void check_call (struct check *c, const struct wcall *call);
-/** check_answer() - A caller has got its answer. */
-void check_answer (struct check *c, struct wcall *call);
 /**
- * check_limit() - A team's upper limit changes now.
- * @outcome_unknown: the change is requested but not yet accepted
+ * check_service_run() - Record and check a service request at an executor.
+ * @call: index of the request in world::calls
+ * @started: true: its service has started; false: its service has ended
+ */
+void check_service_run (struct check *c, struct sim_server *s, int call,
+                        bool started);
+/** check_note_request() - Record that a caller sends the request @call. */
+void check_note_request (struct check *c, const struct caller_request *call);
+/** check_answer() - Check the answer that the caller of @call received. */
+void check_answer (struct check *c, struct caller_request *call);
+/**
+ * check_note_limit() - Record that a team's upper limit changes at this time.
+ * @outcome_unknown: true: the change is requested and not known to be
+ * accepted; false: the change is accepted
+ */
+void check_note_limit (struct check *c, const char *team,
+                       const struct clb_res *amount, bool outcome_unknown);
+/** check_note_key_withdrawn() - Record that a key is withdrawn at this time.
+ */
+void check_note_key_withdrawn (struct check *c, const char *key);
+/**
+ * check_next_accepted() - Iterate over the accepted tasks.
+ * @at: position of the iteration, 0 before the first call
+ *
+ * Return: the id of the next accepted task, or NULL at the end.
  */
-void check_limit (struct check *c, const char *team,
-                  const struct clb_res *amount, bool outcome_unknown);
-void check_key_withdrawn (struct check *c, const char *key);
-/** check_next_accepted() - Iterate over accepted tasks; NULL at the end. */
 const char *check_next_accepted (struct check *c, int *at);
-/** check_final_state() - Check the state reported for an accepted task. */
+/**
+ * check_final_state() - Check the last reported state of an accepted task.
+ * @id: id of the task
+ * @state: state that an entry instance reported once all faults had ended
+ */
 void check_final_state (struct check *c, const char *id, const char *state);
-/** check_violation() - The first violation that was found, or NULL. */
+/** check_violation() - Return the first violation that was found, or NULL. */
 const char *check_violation (const struct check *c);
-/** check_starts() - How often the request @name was started anywhere. */
+/**
+ * check_starts() - Return how often a request was started on any server.
+ * @name: "team:request id"
+ */
 int check_starts (const struct check *c, const char *name);
-/** check_used_cores() - Cores that a team's tasks use in all domains. */
+/** check_used_cores() - Return the cores in use by a team in all domains. */
 int64_t check_used_cores (struct check *c, const char *team);
 
 #endif
