--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -251,7 +251,7 @@
                       s->inst.id, run->id);
   if (++log->n_running[member] > 1)
     report_violation (c, "%s member %d runs in two places at once", log->name,
-                      i);
+                      member);
   if (++log->n_starts[member] > 1 && !log->idempotent)
     report_violation (c, "%s is not idempotent and was started twice",
                       log->name);
