--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -224,9 +224,17 @@
   return 0;
 }
 
-/* faults{store_delay_ms=, lost_reply_percent=, late_percent=, list_lag_ms=}:
-   sets the members of struct world that have these names; a field that is left
-   out does not change */
+/*
+ * faults{FIELD = value, ...}: sets faults of the platform and the network.  A
+ * field that is left out keeps its value.
+ * @store_delay_ms: added to the delay of each operation on its way to the
+ * store
+ * @lost_reply_percent: percentage of store writes that are carried out, not
+ * answered
+ * @late_percent: percentage of store operations and syncs that are delayed by
+ * up to 1900 ms
+ * @list_lag_ms: time until a change of the platform's list is visible
+ */
 static int
 verb_faults (lua_State *L)
 {
@@ -240,18 +248,22 @@
   return 0;
 }
 
-/* server(id, {FIELD = value, ...}): changes a worker or executor.  A field
-   that is left out does not change, but reboot is an action.  Booleans, where
-   not said otherwise: fail_all: each run or service request that ends, ends in
-   failure; fence: the server refuses a sync whose epoch is lower than one that
-   it has seen; unreachable: requests and syncs to the server are lost;
-   drops_replies: the server carries out syncs, but its replies are lost;
-   breaks_connections: an executor's connections break while it serves;
-   refuses_connections: an executor refuses new connections;
-   listed: the platform's list of instances contains the server;
-   slowness: integer; run times of tasks are multiplied by it, 0 counts as 1;
-   reboot: the server reboots now and forgets its runs;
-   leaving: the platform's list shows the server as leaving */
+/*
+ * server(id, {FIELD = value, ...}): changes a worker or executor.  A setting
+ * that is left out keeps its value.  Settings, boolean unless said otherwise:
+ * @fail_all: runs fail as they start, service requests end with HTTP status
+ * 500
+ * @fence: a sync whose epoch is lower than one seen before is refused
+ * @unreachable: requests and syncs to the server are lost
+ * @drops_replies: the server carries out syncs, but its replies are lost
+ * @breaks_connections: connections to the executor break while it serves
+ * @refuses_connections: the executor refuses new connections
+ * @listed: the platform's list of instances contains the server
+ * @slowness: integer; task run times are multiplied by it; 0 counts as 1
+ * @leaving: the platform's list shows the server as leaving
+ *
+ * @reboot is no setting: true reboots the server now, which forgets its runs.
+ */
 static int
 verb_server (lua_State *L)
 {
@@ -280,16 +292,23 @@
   return 0;
 }
 
-/* call{FIELD = value, ...}: sends a caller's request and returns its number
-   for answer().  Strings, where not said otherwise: entry: id of the entry
-   instance that receives the request; method: "GET", "POST", "PUT" or
-   "DELETE"; path: HTTP path with the query; key: bearer token; key_id: id of
-   the key in the manifest, for the checker; id: request id, sent as the
-   X-Request-Id header; body: body of the request; name: "team:request id", for
-   the checker; without it nothing is checked; idempotent: boolean, for the
-   checker; defaults to true; service: boolean, true for a service request;
-   defaults to false; run_ms: integer, run time of a service request at the
-   executor in ms; 0, the default, stands for 20 */
+/*
+ * call{FIELD = value, ...}: sends a caller's request and returns its number,
+ * for answer().  Fields, optional but for the first three:
+ * @entry: id of the entry instance that receives the request
+ * @method: "GET", "POST", "PUT" or "DELETE"
+ * @path: HTTP path with the query
+ * @key: bearer token, sent with the request
+ * @key_id: id of the key in the manifest, for the checker
+ * @id: request id, sent as the X-Request-Id header
+ * @body: text of the request's body
+ * @name: "team:request id", for the checker; without it nothing is checked
+ * @idempotent: boolean, for the checker: the request may run more than once;
+ *              default true
+ * @service: boolean: true for a service request; default false
+ * @run_ms: run time of a service request at the executor; default 0, which
+ *          stands for 20 ms
+ */
 static int
 verb_call (lua_State *L)
 {
@@ -453,9 +472,13 @@
   return 1;
 }
 
-/* note_limit(team, {cores=, mem_mb=, accels=, slots=}, outcome_unknown):
-   notifies the checker of a change of a team's upper limit; outcome_unknown =
-   true: the change is requested, but not known to be accepted */
+/*
+ * note_limit(team, {cores=, mem_mb=, accels=, slots=}, outcome_unknown):
+ * notifies the checker that a team's upper limit changes at this time.  An
+ * amount that is left out is 0.
+ * @outcome_unknown: true: the change is requested, but not known to be
+ * accepted; default false: the change is accepted
+ */
 static int
 verb_note_limit (lua_State *L)
 {
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -3,9 +3,9 @@
  * clock, with stand-ins for the platform, workers and executors.  The seed
  * determines every random choice.
  *
- * world.c moves messages and time, heap.c orders the messages, check.c checks
- * what workers, executors and callers saw against the guarantees, and verbs.c
- * is the Lua interface.
+ * world.c simulates time and the network, heap.c orders the messages by
+ * arrival, check.c compares what workers, executors and callers observed with
+ * the guarantees, and verbs.c is the Lua interface.
  */
 #ifndef WORLD_H
 #define WORLD_H
@@ -82,7 +82,7 @@
   int64_t answered_ms; /* 0: no answer yet */
   /* HTTP status; 0: no answer yet; -1: the caller's connection broke. */
   int status;
-  char *body;    /* of the answer; NULL: no answer yet */
+  char *body;    /* text of the answer; NULL: no answer */
   bool complete; /* the whole answer has arrived */
   /* Service requests: run time at the executor; 0: the default. */
   int64_t run_ms;
@@ -118,7 +118,8 @@
 struct sim_message
 {
   int64_t arrival_ms;
-  /* Order of sending; breaks ties between messages that arrive together. */
+  /* Order of the calls of world_push(); breaks ties between messages that
+     arrive at the same time. */
   uint64_t seq;
   int kind;       /* enum sim_message_kind */
   int node_index; /* index of its entry instance in world::nodes */
@@ -148,15 +149,16 @@
 /** struct world - the simulated system of one scenario */
 struct world
 {
-  int64_t now_ms;
-  uint64_t rng; /* state of the random number generator */
+  int64_t now_ms; /* virtual time */
+  uint64_t rng;   /* state of the random number generator */
   struct fstore *store;
   int store_mode; /* enum store_mode */
   /* Added to the delay of every operation on its way to the store. */
   int64_t store_delay_ms;
-  /* Share of store writes that are carried out but not answered. */
+  /* Percentage of store writes that are carried out but not answered. */
   int lost_reply_percent;
-  /* Share of store operations and syncs that are delayed by up to 1900 ms. */
+  /* Percentage of store operations and syncs that are delayed by up to 1900
+   * ms. */
   int late_percent;
   struct sim_node nodes[NODES_MAX];
   int n_nodes;
@@ -179,7 +181,8 @@
   struct sim_message **heap;
   size_t n_heap;   /* number of messages in the heap */
   size_t cap_heap; /* number of messages that the heap has memory for */
-  uint64_t seq;    /* sim_message::seq of the last message sent; 0: none */
+  /* sim_message::seq of the last message that was queued; 0: none. */
+  uint64_t seq;
   /* All requests of callers in this scenario, in the order of sending. */
   struct caller_request *calls;
   int n_calls;
@@ -233,7 +236,7 @@
 void world_run (struct world *w, int64_t ms);
 /**
  * world_send_request() - Send a caller's request to an entry instance.
- * @proto: its settings, which are copied
+ * @proto: entry instance, name and other fixed fields of the request; copied
  * @method: enum method
  * @bearer: bearer token, or NULL
  * @request_id: value of the X-Request-Id header, or NULL
