--- a/regress/scenarios/g01_overcommit.lua
+++ b/regress/scenarios/g01_overcommit.lua
@@ -1,4 +1,6 @@
 -- Guarantee 1: the capacity of a backend server is never exceeded.
+-- Submits n tasks of 5 cores and 9000 MB, with a run time of ms (default 2000),
+-- to the instance at.
 local function submit_burst(at, n, ms)
   for i = 1, n do
     task{at = at, team = "red", id = "b" .. now() .. "-" .. i, cores = 5,
--- a/regress/scenarios/g02_old_holder.lua
+++ b/regress/scenarios/g02_old_holder.lua
@@ -7,7 +7,8 @@
   begin{entries = 2, workers = 1}
   local h = holder("a")
   server("a-w1", {unreachable = true})
-  -- After this a sync is outstanding, and no other is sent before it ends.
+  -- After 1100 ms a sync is outstanding, and no other sync is sent before this one
+  -- has ended.
   run(1100)
   for i = 1, 3 do
     task{at = h, team = "red", id = "t" .. i, cores = 2, ms = 60000}
@@ -19,8 +20,8 @@
   run(3000)
   server("a-w1", {reboot = true})
   run(6000)
-  -- The former holder's reads are answered, but its renewal is not: only its
-  -- clock shows that its lease is over.
+  -- The former holder gets answers to its reads, but not to the renewal of its
+  -- lease: only its clock shows that the lease has expired.
   faults{lost_reply_percent = 100}
   thaw(h)
   run(3000)
--- a/regress/scenarios/g02_two_places.lua
+++ b/regress/scenarios/g02_two_places.lua
@@ -1,6 +1,7 @@
 -- Guarantee 2: no task runs in two places at once.
 
--- Submits n tasks with a run time of ms to the instance at.
+-- Submits n tasks of 2 cores with a run time of ms to a queue (default: "batch"),
+-- at the instance at.
 local function submit(at, n, ms, queue)
   for i = 1, n do
     task{at = at, team = "red", id = "t" .. now() .. "-" .. i, cores = 2, ms = ms,
@@ -21,7 +22,7 @@
   end)
 end
 
-scenario("a holder is frozen past its lease and thawed with unsent starts", function()
+scenario("a holder is frozen for longer than its lease and thawed with unsent starts", function()
   begin{entries = 2}
   local h = holder("a")
   for _ = 1, 8 do
@@ -58,7 +59,7 @@
   recover_and_check(900000)
 end)
 
-scenario("the domain is cut off from the platform, then its holder is frozen", function()
+scenario("a partition separates the domain from the platform, then the holder is frozen", function()
   begin{entries = 3}
   submit("a1", 6, 60000)
   run(2000)
@@ -73,7 +74,7 @@
   recover_and_check(300000)
 end)
 
-scenario("only the holder is cut off from the platform", function()
+scenario("a partition separates only the holder from the platform", function()
   begin{entries = 3}
   submit("a1", 6, 60000)
   run(2000)
@@ -142,7 +143,7 @@
   local h = holder("a")
   faults{store_delay_ms = 300}
   submit(h, 2, 60000)
-  -- After this the tasks are accepted and their intents are on the way to the
+  -- After 330 ms the tasks are accepted and their intents are on the way to the
   -- table.
   run(330)
   partition(h, "platform")
--- a/regress/scenarios/g03_keys.lua
+++ b/regress/scenarios/g03_keys.lua
@@ -1,7 +1,8 @@
 -- Guarantee 3: a request is accepted only with a valid key of its team, and a
 -- withdrawn key is refused everywhere within seconds.
 
--- Applies a manifest without red's key through the instance at.
+-- Sends a manifest without red's key to the instance at, and expects that the
+-- manifest is accepted.
 local function withdraw_red_key(at)
   local m = manifest({red = {}, blue = {}}, {"blue"})
   local c = apply(at, m)
@@ -9,7 +10,8 @@
   expect(accepted_config(c, m), "the withdrawal is accepted")
 end
 
--- Sends requests with red's key to every instance that is up, for ms.
+-- Sends a task and a service request with red's key to every instance that is
+-- up, every 250 ms for ms.
 local function use_red_key(ms)
   local deadline = now() + ms
   while now() < deadline do
@@ -29,7 +31,7 @@
   use_red_key(10000)
 end)
 
-scenario("a key is withdrawn while a domain is cut off", function()
+scenario("a key is withdrawn while a partition separates a domain from the platform and its peers", function()
   begin{domains = {"a", "b"}}
   partition("b", "platform")
   partition("a", "b")
@@ -105,7 +107,7 @@
   expect(answer(keyed).status == 200, "a request with a key is served")
 end)
 
-scenario("table unreachable and domain cut off: only open queues are served", function()
+scenario("table and peer domain unreachable: only open queues are served", function()
   begin{domains = {"a", "b"}}
   store("hangs")
   partition("a", "b")
--- a/regress/scenarios/g04_limits.lua
+++ b/regress/scenarios/g04_limits.lua
@@ -1,7 +1,8 @@
 -- Guarantee 4: the running work of a team in all domains never exceeds its upper
 -- limit.
 
--- Submits n tasks of 3 cores over all entry instances.
+-- Submits n tasks of 3 cores, in turn to each entry instance; a task is left out
+-- if its instance is not up.
 local function submit(n, team, ms)
   for i = 1, n do
     local e = entries[i % #entries + 1]
@@ -57,7 +58,7 @@
   recover_and_check(600000)
 end)
 
-scenario("a limit is lowered while a domain is cut off", function()
+scenario("a limit is lowered while a partition separates a domain from the platform and its peers", function()
   begin({domains = {"a", "b"}, entries = 2}, {red = {cores = 60}, blue = {}})
   submit(20, "red", 30000)
   run(2000)
--- a/regress/scenarios/g09_graceful.lua
+++ b/regress/scenarios/g09_graceful.lua
@@ -1,4 +1,6 @@
 -- Guarantee 9: a planned stop is graceful: it breaks no request's connection.
+-- Sends 5 preview requests, 5 print requests and 5 tasks to the instance at; tag
+-- makes their request ids unique.  Returns the calls for answer().
 local function send_requests(at, tag)
   local calls = {}
   for i = 1, 5 do
@@ -9,6 +11,7 @@
   return calls
 end
 
+-- Expects that each of the calls has an answer.
 local function expect_all_answered(calls)
   for _, c in ipairs(calls) do
     local a = answer(c)
--- a/regress/scenarios/g10_config.lua
+++ b/regress/scenarios/g10_config.lua
@@ -1,8 +1,10 @@
 -- Guarantee 10: an accepted configuration is in force everywhere within
 -- seconds and never reverts to an earlier one.
 
--- The highest version seen at each instance.
-local seen = {}
+-- By instance: the highest configuration version that it has had in the current
+-- scenario.
+local highest_versions = {}
+-- Expects that the version of no instance is lower than it was before.
 local function expect_no_rollback()
   for _, e in ipairs(entries) do
     if up(e) then
@@ -10,21 +12,21 @@
       -- A new process has no configuration (version 0) at first.  The first that
       -- it loads must not be older than what the instance had before.
       if v > 0 then
-        expect(v >= (seen[e] or 0), e .. " does not go back to version " .. v)
-        seen[e] = v
+        expect(v >= (highest_versions[e] or 0), e .. " does not go back to version " .. v)
+        highest_versions[e] = v
       end
     end
   end
 end
 
--- A manifest that differs by n.
+-- A manifest that gives red a limit of 100 + n cores; at is not used.
 local function changed_manifest(at, n)
   return manifest({red = {cores = 100 + n}, blue = {}}, {"red", "blue"})
 end
 
--- Expects version v or a later one at all instances of which (default: all)
--- that are up.
-local function in_force_within(ms, v, which)
+-- Waits up to ms until all instances in the list which (default: entries) that
+-- are up have version v or a later one; fails the scenario if they do not.
+local function expect_version_within(ms, v, which)
   within(ms, "version " .. v .. " everywhere", function()
     expect_no_rollback()
     for _, e in ipairs(which or entries) do
@@ -35,19 +37,19 @@
 end
 
 scenario("each accepted change is in force at every instance within 3 s", function()
-  seen = {}
+  highest_versions = {}
   begin{domains = {"a", "b", "c"}, entries = 2}
   for i = 1, 10 do
     local m = changed_manifest("a1", i)
     local c = apply(entries[i % 6 + 1], m)
     within(3000, "an answer to the change", function() return answer(c).status ~= 0 end)
     expect(accepted_config(c, m), "the change is accepted")
-    in_force_within(3000, in_force.version)
+    expect_version_within(3000, in_force.version)
   end
 end)
 
 scenario("of several changes from one version one is accepted, the others conflict", function()
-  seen = {}
+  highest_versions = {}
   begin{domains = {"a", "b"}, entries = 2}
   for round = 1, 6 do
     local calls, ms = {}, {}
@@ -68,12 +70,12 @@
       end
     end
     expect(n_accepted == 1, "one change is accepted from one version, not " .. n_accepted)
-    in_force_within(3000, in_force.version)
+    expect_version_within(3000, in_force.version)
   end
 end)
 
 scenario("a change is accepted although replies of the table are lost", function()
-  seen = {}
+  highest_versions = {}
   begin{domains = {"a", "b"}, entries = 2}
   faults{lost_reply_percent = 60}
   for i = 1, 6 do
@@ -85,12 +87,12 @@
     end)
     expect(accepted_config(c, m),
            "the change is found by its id and accepted, error: " .. tostring(answer(c).error))
-    in_force_within(5000, in_force.version)
+    expect_version_within(5000, in_force.version)
   end
 end)
 
-scenario("a domain that was cut off and an instance that was frozen catch up", function()
-  seen = {}
+scenario("a domain that was behind a partition and an instance that was frozen catch up", function()
+  highest_versions = {}
   begin{domains = {"a", "b"}, entries = 2}
   partition("b", "platform")
   partition("a", "b")
@@ -105,29 +107,29 @@
   run(10000)
   heal()
   thaw("a2")
-  in_force_within(3000, in_force.version)
+  expect_version_within(3000, in_force.version)
 end)
 
 scenario("an instance that gets no replies from the platform refuses keys, then catches up", function()
-  seen = {}
+  highest_versions = {}
   begin{domains = {"a", "b"}, entries = 2}
   partition("platform", "b1", true)
   local m = changed_manifest("a1", 1)
   local c = apply("a1", m)
   within(5000, "an answer to the change", function() return answer(c).status ~= 0 end)
   expect(accepted_config(c, m), "the change is accepted")
-  in_force_within(3000, in_force.version, {"a1", "a2", "b2"})
+  expect_version_within(3000, in_force.version, {"a1", "a2", "b2"})
   run(5000)
   local k = task{at = "b1", team = "red", id = "stale"}
   run(1000)
   expect(answer(k).status == 503,
          "an instance without a current configuration refuses a request with a key")
   heal()
-  in_force_within(3000, in_force.version)
+  expect_version_within(3000, in_force.version)
 end)
 
 scenario("an invalid manifest is refused, names the field and changes nothing", function()
-  seen = {}
+  highest_versions = {}
   begin{}
   local m = changed_manifest("a1", 1)
   m.teams[1].limit.cores = -5
--- a/regress/scenarios/lib.lua
+++ b/regress/scenarios/lib.lua
@@ -24,12 +24,13 @@
 end
 json = encode
 
--- Fails the scenario unless ok; what: the text of the expectation.
+-- Fails the scenario unless ok is true; what is the text of the expectation.
 function expect(ok, what)
   if not ok then error("expected: " .. what, 2) end
 end
 
--- Lets time pass until f() is true; fails the scenario if it is not after ms.
+-- Lets virtual time pass until f() is true; fails the scenario if f() is still
+-- false after ms.  what is the text of the expectation.
 function within(ms, what, f)
   local deadline = now() + ms
   while not f() do
@@ -38,15 +39,15 @@
   end
 end
 
--- Ids of the entry instances and of the domains of the present scenario.
+-- Ids of the entry instances, and names of the domains, of the current scenario.
 entries, domains = {}, {}
 
--- Runs f as one scenario in a new world and reports its result.
+-- Runs the function f as one scenario in a new world and reports the result.
 function scenario(name, f)
   reset()
   entries, domains, in_force = {}, {}, {version = 0}
-  local ok, why = pcall(f)
-  report(name, not ok and tostring(why) or nil)
+  local ok, failure = pcall(f)
+  report(name, not ok and tostring(failure) or nil)
 end
 
 -- add_domains{domains={"a"}, entries=2, workers=3, executors=1, cores=16,
@@ -67,9 +68,11 @@
   end
 end
 
--- Bearer token of a key of the manifest.
+-- Bearer token of the key in the manifest that has this name as its id.
 function key_of(name) return name .. ".secret-" .. name end
 
+-- The entry of a key in a manifest: of a team key, or of an operator key if team is
+-- nil.
 local function key_row(name, team)
   local row = {id = name, salt = "s", hash = key_hash("s", "secret-" .. name)}
   if team then row.team, row.kind = team, "team" else row.kind = "operator" end
@@ -107,8 +110,8 @@
 in_force = {version = 0}
 
 -- Sends the manifest m to the instance at, as a change from version base
--- (default: in_force.version), and notes its limits as possibly in force.
--- Returns the call for answer().
+-- (default: in_force.version), and notifies the checker that the limits of m may be
+-- in force.  Returns the call for answer().
 function apply(at, m, base)
   local first = (base or in_force.version) == 0
   for _, t in ipairs(m.teams) do note_limit(t.name, t.limit, true) end
@@ -119,8 +122,8 @@
   return c
 end
 
--- Whether the change c to the manifest m was accepted; if so, notes its limits
--- and the keys that it withdraws for the checker.
+-- Whether the call c, which sent the manifest m, was answered as accepted.  If so,
+-- the checker is notified of the limits of m and of the keys that m withdraws.
 function accepted_config(c, m)
   local a = answer(c)
   if a.status ~= 200 then return false end
@@ -137,7 +140,8 @@
   return true
 end
 
--- Standard setup: domains, a first manifest, and a holder in each domain.
+-- Standard setup: adds the domains c (see add_domains), applies the first manifest
+-- with these limits and keys (see manifest), and waits for a holder in each domain.
 function begin(c, limits, keys)
   add_domains(c)
   run(1500)
@@ -153,8 +157,9 @@
 end
 
 -- task{at=, team=, id=, queue=, cores=, mem_mb=, accels=, members=, spread=,
---      ms=, deadline=, key=, key_id=}: submits a task; ms is its run time.
--- Returns the call for answer().
+--      ms=, deadline=, key=, key_id=}: submits a task.  ms is its run
+-- time, deadline its deadline_ms; only at, team and id are needed.  Returns the
+-- call for answer().
 function task(t)
   local name = t.team .. ":" .. t.id
   return call{entry = t.at, method = "POST", path = "/v1/tasks",
@@ -168,7 +173,8 @@
 end
 
 -- service{at=, team=, id=, queue=, ms=, key=, key_id=}: sends a service request;
--- ms is its time at the executor.  Returns the call for answer().
+-- ms is its run time at the executor; only at, team and id are needed.  Returns
+-- the call for answer().
 function service(t)
   local q = t.queue or "preview"
   return call{entry = t.at, method = "POST", path = "/v1/service/" .. q,
@@ -177,11 +183,14 @@
     idempotent = q ~= "print"}
 end
 
+-- Queries the state of a task, with the operator key.  Returns the call for
+-- answer().
 function get_task(at, id)
   return call{entry = at, method = "GET", path = "/v1/tasks/" .. id,
               key = key_of("ops")}
 end
 
+-- Cancels a task, with the operator key.  Returns the call for answer().
 function cancel(at, id)
   return call{entry = at, method = "DELETE", path = "/v1/tasks/" .. id,
               key = key_of("ops")}
@@ -194,8 +203,8 @@
 
 local final_states = {done = true, failed = true, cancelled = true, unknown = true}
 
--- The state of an accepted task, queried until an instance answers with 200;
--- "lost" after 40 tries.
+-- The state of an accepted task, which is queried until an instance answers with
+-- status 200; "lost" if none did in 40 tries.
 function task_state(id)
   for _ = 1, 40 do
     local at = any_up()
@@ -209,7 +218,7 @@
 end
 
 -- Ends all faults, waits up to ms (default 120000) until every accepted task has
--- a final state, and checks these states against what the workers did.
+-- a final state, and checks that these states agree with what the workers did.
 function recover_and_check(ms)
   heal()
   store("up")
--- a/regress/scenarios/nothing_lost.lua
+++ b/regress/scenarios/nothing_lost.lua
@@ -101,8 +101,8 @@
   local h = holder("a")
   for i = 1, 6 do task{at = h, team = "red", id = "y" .. i, ms = 60000} end
   run(2000)
-  -- All instances but the new one lose the platform, and the new one has no
-  -- contact to them.
+  -- Partitions separate all instances but the new one from the platform, and the
+  -- new one from all others.
   partition("a1", "platform")
   partition("a2", "platform")
   add_entry("a9", "a")
--- a/regress/scenarios/urgent.lua
+++ b/regress/scenarios/urgent.lua
@@ -1,4 +1,6 @@
 -- Urgent tasks start within 3.6 s, also when all workers are in use.
+
+-- Submits n tasks of 4 cores, with a run time of ms, to the queue.
 local function fill_workers(n, queue, ms)
   for i = 1, n do
     task{at = "a1", team = "red", id = queue .. i, queue = queue, cores = 4, ms = ms}
--- a/regress/scenarios/walk.lua
+++ b/regress/scenarios/walk.lua
@@ -1,21 +1,21 @@
--- A random walk over all faults, determined by the seed.  The checker tests all
--- of its guarantees throughout.
+-- Random requests, configuration changes and faults of all kinds, determined by
+-- the seed.  The checker tests all guarantees throughout.
 scenario("walk", function()
   local function pick(list) return list[random(#list)] end
   local function one_in(n) return random(n) == 1 end
 
   local n_domains = random(3)
   local names = {"a", "b", "c"}
-  local ds = {}
-  for i = 1, n_domains do ds[i] = names[i] end
+  local domain_names = {}
+  for i = 1, n_domains do domain_names[i] = names[i] end
   local limits = {red = {cores = 20 + random(30), slots = 4 + random(12)},
                   blue = {cores = 10 + random(60), slots = 4 + random(12)}}
   faults{list_lag_ms = random(3000)}
-  begin({domains = ds, entries = 1 + random(2), workers = 1 + random(4),
+  begin({domains = domain_names, entries = 1 + random(2), workers = 1 + random(4),
          executors = random(2), cores = 8, mem_mb = 8000}, limits)
 
   local servers = {}
-  for _, d in ipairs(ds) do
+  for _, d in ipairs(domain_names) do
     for i = 1, 5 do
       local id = d .. "-w" .. i
       if pcall(server, id, {}) then servers[#servers + 1] = id end
@@ -26,25 +26,25 @@
     end
   end
 
-  local n = 0
+  local n_requests = 0
   local sent = {}
   local pending_apply
 
   local function send_request()
-    n = n + 1
+    n_requests = n_requests + 1
     local at = pick(entries)
     local team = pick{"red", "blue"}
     local kind = random(10)
     if kind <= 5 then
-      local t = {at = at, team = team, id = "t" .. n, cores = random(6),
+      local t = {at = at, team = team, id = "t" .. n_requests, cores = random(6),
         mem_mb = random(3000), ms = random(8000),
         queue = pick{"batch", "batch", "once", "urgent"}}
       if one_in(4) then t.members = random(4) end
-      if one_in(12) then t.id = "fail" .. n end
+      if one_in(12) then t.id = "fail" .. n_requests end
       sent[#sent + 1] = t
       t.call = task(t)
     elseif kind <= 8 then
-      service{at = at, team = team, id = "s" .. n, ms = random(3000),
+      service{at = at, team = team, id = "s" .. n_requests, ms = random(3000),
               queue = pick{"preview", "preview", "print"}}
     elseif #sent > 0 then
       local t = pick(sent)
@@ -79,7 +79,7 @@
     elseif kind == 4 then freeze(pick(entries))
     elseif kind == 5 or kind == 6 then thaw(pick(entries))
     elseif kind == 7 then stop(pick(entries))
-    elseif kind == 8 then partition(pick(ds), pick{"platform", "a", "b", "c"}, one_in(3))
+    elseif kind == 8 then partition(pick(domain_names), pick{"platform", "a", "b", "c"}, one_in(3))
     elseif kind == 9 or kind == 10 then heal()
     elseif kind == 11 then store(pick{"refuses", "hangs", "drops-replies"})
     elseif kind == 12 or kind == 13 then store("up")
@@ -111,7 +111,7 @@
   faults{store_delay_ms = 0, lost_reply_percent = 0, late_percent = 0}
   run(12000)
   if pending_apply then accepted_config(pending_apply.call, pending_apply.m) end
-  -- Raise the limits, so that every task can run and end.
+  -- The last manifest raises the limits, so that every task can run and end.
   within(60000, "the last manifest is accepted", function()
     for _, e in ipairs(entries) do thaw(e) restart(e) end
     run(4000)
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -256,8 +256,9 @@
     report_violation (c, "%s is not idempotent and was started twice",
                       log->name);
   if (log->reported_not_run)
-    report_violation (c, "%s started after its caller was told not-run",
-                      log->name);
+    report_violation (
+        c, "%s started after its caller received the outcome not-run",
+        log->name);
   check_leaving (c, s, log->name, false);
   usage_add (c, log->name, &run->need, 1);
 }
@@ -287,27 +288,29 @@
 check_service_run (struct check *c, struct sim_server *s, int call,
                    bool started)
 {
-  const struct caller_request *wc = &c->w->calls[call];
-  struct request_log *log = request_log_find_or_add (c, wc->name);
+  const struct caller_request *request = &c->w->calls[call];
+  struct request_log *log = request_log_find_or_add (c, request->name);
   struct clb_res one_slot = { .slots = 1 };
 
   clb_res_add (&s->used, &one_slot, started ? 1 : -1);
   if (started)
     {
       if (!clb_res_fits (&s->used, &s->inst.capacity))
-        report_violation (c, "executor %s serves more requests than its slots",
+        report_violation (c,
+                          "executor %s serves more requests than it has slots",
                           s->inst.id);
-      if (++log->n_service_starts > 1 && !wc->idempotent)
+      if (++log->n_service_starts > 1 && !request->idempotent)
         report_violation (
             c, "%s is not idempotent and was sent to an executor twice",
             log->name);
       if (log->reported_not_run)
-        report_violation (
-            c, "%s sent to an executor after its caller was told not-run",
-            log->name);
+        report_violation (c,
+                          "%s sent to an executor after its caller received "
+                          "the outcome not-run",
+                          log->name);
       check_leaving (c, s, log->name, true);
     }
-  usage_add (c, wc->name, &one_slot, started ? 1 : -1);
+  usage_add (c, request->name, &one_slot, started ? 1 : -1);
 }
 
 void
@@ -327,7 +330,7 @@
 
 /* Whether any run or service of the request has started. */
 static bool
-has_run (const struct request_log *log)
+has_started (const struct request_log *log)
 {
   int n = log->n_service_starts;
 
@@ -390,8 +393,8 @@
   if (not_run && log->n_calls == 1)
     {
       log->reported_not_run = true;
-      if (has_run (log))
-        report_violation (c, "%s has run, but its caller was told: %s",
+      if (has_started (log))
+        report_violation (c, "%s has run, but its caller received: %s",
                           log->name, call->body);
     }
   if (call->status >= 300)
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -302,7 +302,8 @@
  * @key_id: id of the key in the manifest, for the checker
  * @id: request id, sent as the X-Request-Id header
  * @body: text of the request's body
- * @name: "team:request id", for the checker; without it nothing is checked
+ * @name: "team:request id", for the checker; without it the answer is not
+ *        checked
  * @idempotent: boolean, for the checker: the request may run more than once;
  *              default true
  * @service: boolean: true for a service request; default false
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -73,11 +73,11 @@
 {
   /* Id of the entry instance that the caller is connected to. */
   char entry_id[CLB_ID_MAX];
-  char name[CLB_ID_MAX];     /* "team:request id"; empty: not checked */
+  char name[CLB_ID_MAX];     /* "team:request id"; empty: answer not checked */
   bool idempotent;           /* the request may run more than once */
   bool service;              /* true: service request; false: any other */
   bool keyed;                /* neither set nor read */
-  char key_id[CLB_NAME_MAX]; /* id of the caller's key; empty: not checked */
+  char key_id[CLB_NAME_MAX]; /* id of the caller's key; empty: unknown */
   int64_t sent_ms;
   int64_t answered_ms; /* 0: no answer yet */
   /* HTTP status; 0: no answer yet; -1: the caller's connection broke. */
@@ -157,15 +157,15 @@
   int64_t store_delay_ms;
   /* Percentage of store writes that are carried out but not answered. */
   int lost_reply_percent;
-  /* Percentage of store operations and syncs that are delayed by up to 1900
-   * ms. */
+  /* Percentage of store operations and syncs that get an extra delay of up to
+     1900 ms. */
   int late_percent;
   struct sim_node nodes[NODES_MAX];
   int n_nodes;
   struct sim_server servers[SERVERS_MAX];
   int n_servers;
-  /* Present network partitions.  Both a and b are the id of an entry instance,
-     a domain or "platform"; messages between a and b do not pass. */
+  /* Network partitions in effect.  Both a and b are the id of an entry
+     instance, a domain or "platform"; messages between a and b do not pass. */
   struct
   {
     char a[CLB_NAME_MAX];
