--- a/regress/scenarios/lib.lua
+++ b/regress/scenarios/lib.lua
@@ -227,7 +227,7 @@
   for _, e in ipairs(entries) do restart(e) end
   local deadline = now() + (ms or 120000)
   local ended, n_open = {}, 1
-  run(11000) -- longer than a caller waits to be accepted
+  run(11000) -- longer than a caller waits for the acceptance of its request
   while n_open > 0 and now() < deadline do
     run(2000)
     for _, e in ipairs(entries) do restart(e) end
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -14,14 +14,14 @@
 {
   /* An accepted configuration change is in force at every instance within
      this time. */
-  CONF_IN_FORCE_MS = 3500,
+  CONF_APPLY_MAX_MS = 3500,
   /* A worker or executor gets no new work later than this after the platform's
      list shows the server as leaving. */
   LEAVING_GRACE_MS = 4000,
-  MEMBERS_MAX = 32,   /* members of a gang */
-  LIMITS_MAX = 1024,  /* changes of team limits in one scenario */
-  WITHDRAWN_MAX = 64, /* withdrawn keys in one scenario */
-  TEAMS_MAX = 16,     /* teams in one scenario */
+  MEMBERS_MAX = 32,        /* members of a gang */
+  LIMITS_MAX = 1024,       /* changes of team limits in one scenario */
+  WITHDRAWN_KEYS_MAX = 64, /* withdrawn keys in one scenario */
+  TEAMS_MAX = 16,          /* teams in one scenario */
 };
 
 /* struct request_log - what callers, workers and executors observed of one
@@ -35,13 +35,15 @@
   /* The request was sent once, and its answer said that it was not run. */
   bool reported_not_run;
   char id[CLB_ID_MAX]; /* id of the accepted task; empty: not accepted */
-  /* Last reported state of the accepted task; empty: none. */
+  /* Last state that an entry instance reported for the accepted task; empty:
+     none was reported. */
   char state[CLB_NAME_MAX];
-  /* Runs of a task by gang member; a task that is no gang has member 0. */
-  int n_starts[MEMBERS_MAX];  /* runs that have started */
-  int n_running[MEMBERS_MAX]; /* runs that have not ended */
-  int n_ok[MEMBERS_MAX];      /* runs that ended in success */
-  /* Times that a service request started at an executor. */
+  /* Runs of the task, counted for each gang member.  The runs of a task that
+     is no gang count for member 0. */
+  int n_starts[MEMBERS_MAX];    /* runs that have started */
+  int n_running[MEMBERS_MAX];   /* runs that have not ended */
+  int n_succeeded[MEMBERS_MAX]; /* runs that ended in success */
+  /* Number of times that the service request was started at an executor. */
   int n_service_starts;
 };
 RB_HEAD (request_log_tree, request_log);
@@ -68,8 +70,8 @@
   {
     char key_id[CLB_NAME_MAX];
     int64_t withdrawn_ms;
-  } withdrawn[WITHDRAWN_MAX];
-  int n_withdrawn;
+  } withdrawn_keys[WITHDRAWN_KEYS_MAX];
+  int n_withdrawn_keys;
   bool violated;            /* a guarantee was violated */
   char violation_text[256]; /* text of the first violation */
 };
@@ -153,7 +155,8 @@
   return log;
 }
 
-/* Copies the team of a request's name "team:request id" to @out. */
+/* Copies the team, the part before the colon, of the request name
+   "team:request id" to @out. */
 static void
 team_of_name (const char *name, char out[CLB_NAME_MAX])
 {
@@ -179,8 +182,8 @@
 }
 
 /* Whether @used is within any limit of @team that may be in force now.  An
-   earlier limit may be in force until CONF_IN_FORCE_MS after the acceptance of
-   a later one. */
+   earlier limit may be in force until CONF_APPLY_MAX_MS after the acceptance
+   of a later one. */
 static bool
 within_limit (const struct check *c, const char *team,
               const struct clb_res *used)
@@ -197,7 +200,7 @@
         return true;
       if (l->outcome_unknown)
         continue;
-      until = l->since_ms + CONF_IN_FORCE_MS;
+      until = l->since_ms + CONF_APPLY_MAX_MS;
       if (now > until)
         return false;
     }
@@ -280,7 +283,7 @@
     }
   clb_res_add (&s->used, &run->need, -1);
   log->n_running[member]--;
-  log->n_ok[member] += run->state == RUN_OK;
+  log->n_succeeded[member] += run->state == RUN_OK;
   usage_add (c, log->name, &run->need, -1);
 }
 
@@ -328,7 +331,7 @@
   log->n_calls++;
 }
 
-/* Whether any run or service of the request has started. */
+/* Whether a worker or executor has started to run the request. */
 static bool
 has_started (const struct request_log *log)
 {
@@ -344,13 +347,14 @@
 static void
 check_key (struct check *c, const struct caller_request *call)
 {
-  for (int i = 0; i < c->n_withdrawn; i++)
-    if (strcmp (c->withdrawn[i].key_id, call->key_id) == 0
-        && call->sent_ms > c->withdrawn[i].withdrawn_ms + CONF_IN_FORCE_MS)
+  for (int i = 0; i < c->n_withdrawn_keys; i++)
+    if (strcmp (c->withdrawn_keys[i].key_id, call->key_id) == 0
+        && call->sent_ms
+               > c->withdrawn_keys[i].withdrawn_ms + CONF_APPLY_MAX_MS)
       report_violation (
           c, "%s accepted with key %s, which was withdrawn %lld ms before",
           call->name, call->key_id,
-          (long long)(call->sent_ms - c->withdrawn[i].withdrawn_ms));
+          (long long)(call->sent_ms - c->withdrawn_keys[i].withdrawn_ms));
 }
 
 /* Checks that an accepted task has an id, and the same id as in any earlier
@@ -422,12 +426,13 @@
 }
 
 void
-check_note_key_withdrawn (struct check *c, const char *key)
+check_note_key_withdrawn (struct check *c, const char *key_id)
 {
-  if (c->n_withdrawn == WITHDRAWN_MAX)
+  if (c->n_withdrawn_keys == WITHDRAWN_KEYS_MAX)
     abort ();
-  clb_copy (c->withdrawn[c->n_withdrawn].key_id, key, CLB_NAME_MAX);
-  c->withdrawn[c->n_withdrawn++].withdrawn_ms = c->w->now_ms;
+  clb_copy (c->withdrawn_keys[c->n_withdrawn_keys].key_id, key_id,
+            CLB_NAME_MAX);
+  c->withdrawn_keys[c->n_withdrawn_keys++].withdrawn_ms = c->w->now_ms;
 }
 
 const char *
@@ -463,7 +468,7 @@
     report_violation (c,
                       "%s (%s) was accepted and did not end: its state is %s",
                       log->name, id, state);
-  else if (strcmp (state, "done") == 0 && !log->n_ok[0])
+  else if (strcmp (state, "done") == 0 && !log->n_succeeded[0])
     report_violation (c, "%s is reported done, but no worker has completed it",
                       log->name);
   else if (strcmp (state, "cancelled") == 0 && log->n_running[0])
@@ -471,7 +476,7 @@
 }
 
 int
-check_starts (const struct check *c, const char *name)
+check_count_starts (const struct check *c, const char *name)
 {
   struct request_log lookup;
   const struct request_log *log;
--- a/regress/scn/heap.c
+++ b/regress/scn/heap.c
@@ -3,7 +3,8 @@
 
 #include <stdlib.h>
 
-/* Whether @a arrives before @b; equal times are ordered by sending. */
+/* Whether @a arrives before @b; of two messages that arrive at the same time,
+   the one queued first is before the other. */
 static bool
 arrives_before (const struct sim_message *a, const struct sim_message *b)
 {
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -315,7 +315,7 @@
 {
   static const char *const methods[]
       = { "GET", "POST", "PUT", "DELETE", NULL };
-  struct caller_request proto = { .run_ms = field_int (L, 1, "run_ms", 0) };
+  struct caller_request template = { .run_ms = field_int (L, 1, "run_ms", 0) };
   const char *method = field_str (L, 1, "method");
   const char *name = field_str (L, 1, "name");
   const char *key_id = field_str (L, 1, "key_id");
@@ -323,15 +323,16 @@
 
   while (methods[m] && strcmp (methods[m], method) != 0)
     m++;
-  clb_copy (proto.entry_id, field_str (L, 1, "entry"), sizeof proto.entry_id);
+  clb_copy (template.entry_id, field_str (L, 1, "entry"),
+            sizeof template.entry_id);
   if (name)
-    clb_copy (proto.name, name, sizeof proto.name);
+    clb_copy (template.name, name, sizeof template.name);
   if (key_id)
-    clb_copy (proto.key_id, key_id, sizeof proto.key_id);
-  proto.idempotent = field_bool (L, 1, "idempotent", true);
-  proto.service = field_bool (L, 1, "service", false);
+    clb_copy (template.key_id, key_id, sizeof template.key_id);
+  template.idempotent = field_bool (L, 1, "idempotent", true);
+  template.service = field_bool (L, 1, "service", false);
   lua_pushinteger (
-      L, world_send_request (&world, &proto, m, field_str (L, 1, "path"),
+      L, world_send_request (&world, &template, m, field_str (L, 1, "path"),
                              field_str (L, 1, "key"), field_str (L, 1, "id"),
                              field_str (L, 1, "body")));
   if (check_violation (world.check))
@@ -461,13 +462,15 @@
 static int
 verb_starts (lua_State *L)
 {
-  lua_pushinteger (L, check_starts (world.check, luaL_checkstring (L, 1)));
+  lua_pushinteger (L,
+                   check_count_starts (world.check, luaL_checkstring (L, 1)));
   return 1;
 }
 
-/* used(team): returns the cores that the team's tasks use in all domains */
+/* used_cores(team): returns the number of cores that the team's tasks use in
+   all domains */
 static int
-verb_used (lua_State *L)
+verb_used_cores (lua_State *L)
 {
   lua_pushinteger (L, check_used_cores (world.check, luaL_checkstring (L, 1)));
   return 1;
@@ -492,8 +495,8 @@
   return 0;
 }
 
-/* note_key_withdrawn(key): notifies the checker that the key with the id key
-   is withdrawn at this time */
+/* note_key_withdrawn(key_id): notifies the checker that the key key_id is
+   withdrawn at this time */
 static int
 verb_note_key_withdrawn (lua_State *L)
 {
@@ -624,7 +627,7 @@
   { "check_final_state", verb_check_final_state },
   { "reset", verb_reset },
   { "has_process", verb_has_process },
-  { "used", verb_used },
+  { "used_cores", verb_used_cores },
   { "report", verb_report },
   { NULL, NULL },
 };
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -9,9 +9,9 @@
 
 enum
 {
-  SAME_DOMAIN_DELAY_MS = 1,  /* one way, within a domain */
-  CROSS_DOMAIN_DELAY_MS = 2, /* one way, between domains */
-  STORE_DELAY_MS = 3,        /* one way, to or from the platform */
+  SAME_DOMAIN_DELAY_MS = 1,  /* one-way delay within a domain */
+  CROSS_DOMAIN_DELAY_MS = 2, /* one-way delay between domains */
+  STORE_DELAY_MS = 3,        /* one-way delay to or from the platform */
   /* Time after which the daemon reports a store operation or a sync as timed
      out. */
   CALL_TIMEOUT_MS = 2000,
@@ -38,7 +38,7 @@
   return below ? w->rng % below : 0;
 }
 
-/* Returns true with a probability of @percent. */
+/* Returns true with a probability of @percent percent. */
 static bool
 chance (struct world *w, int percent)
 {
@@ -103,7 +103,7 @@
   return false;
 }
 
-/* Handling of what the entry instances send. */
+/* Processing of the outputs of entry instances. */
 
 /* Returns @base or @base + 1, at random. */
 static int64_t
@@ -122,7 +122,7 @@
 }
 
 static void
-send_peer (struct world *w, struct sim_node *n, const struct out *o)
+send_peer_msg (struct world *w, struct sim_node *n, const struct out *o)
 {
   struct sim_node *to = world_node (w, o->u.peer.to);
   struct sim_message *msg;
@@ -257,7 +257,8 @@
             clb_reason_name (e->reason), e->id, e->where);
 }
 
-/* Sends everything that the entry instance @n has put out. */
+/* Processes all queued outputs of the entry instance @n: sends its messages,
+   records its answers and traces its events. */
 static void
 process_outputs (struct world *w, struct sim_node *n)
 {
@@ -268,7 +269,7 @@
       switch (o->kind)
         {
         case OUT_PEER:
-          send_peer (w, n, o);
+          send_peer_msg (w, n, o);
           break;
         case OUT_STORE:
           send_store_req (w, n, o);
@@ -293,7 +294,7 @@
 /* Delivery of messages. */
 
 static void
-deliver_peer (struct world *w, struct sim_node *n, struct sim_message *msg)
+deliver_peer_msg (struct world *w, struct sim_node *n, struct sim_message *msg)
 {
   struct pmsg m;
   struct codec_err ce;
@@ -452,7 +453,7 @@
    The end happens on time, also while the entry instance that forwarded the
    request is frozen or dead. */
 static void
-end_service_on_executor (struct world *w, struct sim_message *msg)
+end_service_run (struct world *w, struct sim_message *msg)
 {
   struct sim_server *s = world_server (w, msg->server);
   bool ran
@@ -467,7 +468,7 @@
 
 /* Whether a partition stops the peer message @msg. */
 static bool
-are_peers_partitioned (struct world *w, const struct sim_message *msg)
+is_peer_msg_partitioned (struct world *w, const struct sim_message *msg)
 {
   return is_partitioned (w, msg->from, msg->to)
          || is_partitioned (w, msg->server,
@@ -488,9 +489,9 @@
   bool is_deferred = to_node && n->frozen && n->generation == msg->generation;
 
   if (msg->kind == SIM_MSG_SERVICE_RESULT)
-    end_service_on_executor (w, msg);
+    end_service_run (w, msg);
   if (msg->kind == SIM_MSG_PEER && msg->generation % 2 == 0)
-    is_deferred |= are_peers_partitioned (w, msg);
+    is_deferred |= is_peer_msg_partitioned (w, msg);
   if (is_deferred)
     msg->arrival_ms = w->now_ms + TICK_MS;
   return is_deferred;
@@ -510,7 +511,7 @@
       return is_partitioned (w, msg->from, "platform")
              || is_partitioned (w, n->settings.id, "platform");
     case SIM_MSG_PEER:
-      return receiver_dead || are_peers_partitioned (w, msg);
+      return receiver_dead || is_peer_msg_partitioned (w, msg);
     case SIM_MSG_STORE_REPLY:
       /* A timeout is reported within the daemon, so a partition does not stop
          the report. */
@@ -534,7 +535,7 @@
   switch (msg->kind)
     {
     case SIM_MSG_PEER:
-      deliver_peer (w, n, msg);
+      deliver_peer_msg (w, n, msg);
       break;
     case SIM_MSG_STORE_REQ:
       deliver_store_req (w, n, msg);
@@ -715,7 +716,7 @@
   n->frozen = false;
 }
 
-/* Is called by a worker at each start and end of a run. */
+/* Called by a worker at each start and end of a run. */
 static void
 on_run (void *arg, int64_t now_ms, const struct frun *run, bool started)
 {
@@ -783,11 +784,11 @@
 }
 
 int
-world_send_request (struct world *w, const struct caller_request *proto,
+world_send_request (struct world *w, const struct caller_request *template,
                     int method, const char *path, const char *bearer,
                     const char *request_id, const char *body)
 {
-  struct sim_node *n = world_node (w, proto->entry_id);
+  struct sim_node *n = world_node (w, template->entry_id);
   struct caller_request *c = &w->calls[w->n_calls++];
   struct request request = {
     .http_call = (uint64_t)w->n_calls,
@@ -801,7 +802,7 @@
 
   if (w->n_calls >= CALLS_MAX)
     abort ();
-  *c = *proto;
+  *c = *template;
   c->sent_ms = w->now_ms;
   check_note_request (w->check, c);
   if (!n || !n->up || n->frozen)
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -29,8 +29,10 @@
 {
   struct settings settings;
   struct node node;
-  bool up;       /* its process exists; true also while frozen or stopping */
-  bool frozen;   /* its process is paused, as by SIGSTOP */
+  /* The instance's process exists; true also while it is frozen or stopping.
+   */
+  bool up;
+  bool frozen;   /* the instance's process is paused, as by SIGSTOP */
   bool stopping; /* a planned stop has begun and has not ended */
   /* Number of the instance's process, raised by each start and kill.  Messages
      to an earlier process are lost. */
@@ -63,8 +65,8 @@
 enum store_mode
 {
   STORE_UP,            /* carries out and answers every operation */
-  STORE_REFUSES,       /* answers CLB_EUNAVAIL and does nothing */
-  STORE_HANGS,         /* does nothing and answers nothing */
+  STORE_REFUSES,       /* answers CLB_EUNAVAIL, carries out nothing */
+  STORE_HANGS,         /* carries out and answers nothing */
   STORE_DROPS_REPLIES, /* carries out every operation and answers nothing */
 };
 
@@ -73,7 +75,7 @@
 {
   /* Id of the entry instance that the caller is connected to. */
   char entry_id[CLB_ID_MAX];
-  char name[CLB_ID_MAX];     /* "team:request id"; empty: answer not checked */
+  char name[CLB_ID_MAX];     /* "team:request id"; empty: unchecked request */
   bool idempotent;           /* the request may run more than once */
   bool service;              /* true: service request; false: any other */
   bool keyed;                /* neither set nor read */
@@ -94,7 +96,8 @@
 {
   char team[CLB_NAME_MAX];
   struct clb_res amount;
-  /* When the change was requested or its acceptance became known. */
+  /* Time of the change's acceptance, or of the request for the change if its
+     outcome is unknown. */
   int64_t since_ms;
   /* The change was requested, but is not known to be accepted. */
   bool outcome_unknown;
@@ -121,10 +124,13 @@
   /* Order of the calls of world_push(); breaks ties between messages that
      arrive at the same time. */
   uint64_t seq;
-  int kind;       /* enum sim_message_kind */
-  int node_index; /* index of its entry instance in world::nodes */
-  /* Generation of that entry instance's process.  A message to the instance is
-     lost if the generation has changed before the message arrives. */
+  int kind; /* enum sim_message_kind */
+  /* Index in world::nodes of the entry instance that sent the message or will
+     receive it; SIM_MSG_PEER: of the receiver. */
+  int node_index;
+  /* sim_node::generation of the entry instance node_index when the message was
+     sent.  A message to the instance is lost if the generation has changed
+     before the message arrives. */
   int generation;
   /* Domain of the sender; for messages between an entry instance and the
      platform, domain of the entry instance.  Decides whether a partition
@@ -135,15 +141,19 @@
      instance. */
   char server[CLB_ID_MAX];
   uint64_t token; /* matches a store reply with its operation */
-  /* Syncs: the sync's sequence number.  SIM_MSG_SERVICE_RESULT: 1 once the
-     executor has ended the request, else 0. */
+  /* SIM_MSG_SYNC_REQ and SIM_MSG_SYNC_REPLY: the sync's sequence number.
+     SIM_MSG_SERVICE_RESULT: 0 until the executor has ended the request, then
+     1. */
   int64_t seq_no;
-  /* Index of the caller's request in world::calls.  SIM_MSG_STORE_REPLY: 1 if
-     the daemon itself reports that the operation timed out, else 0. */
+  /* SIM_MSG_SERVICE_REQ and SIM_MSG_SERVICE_RESULT: index of the caller's
+     request in world::calls.  SIM_MSG_STORE_REPLY: 1 if the message is the
+     daemon's own report of a timeout, 0 if it is the platform's reply. */
   int call;
-  int forward_end; /* SIM_MSG_SERVICE_RESULT: enum forward_end */
-  char *text;      /* encoded message; NULL: none; freed with the message */
-  size_t len;      /* bytes of text */
+  /* SIM_MSG_SERVICE_RESULT: how the forwarded request ended, a value of enum
+     forward_end. */
+  int forward_end;
+  char *text; /* encoded message; NULL: none; freed with the message */
+  size_t len; /* bytes of text */
 };
 
 /** struct world - the simulated system of one scenario */
@@ -165,7 +175,7 @@
   struct sim_server servers[SERVERS_MAX];
   int n_servers;
   /* Network partitions in effect.  Both a and b are the id of an entry
-     instance, a domain or "platform"; messages between a and b do not pass. */
+     instance, a domain or "platform"; messages between a and b are stopped. */
   struct
   {
     char a[CLB_NAME_MAX];
@@ -202,9 +212,11 @@
 void world_fini (struct world *w);
 /** world_random() - Return a random number from 0 to @below - 1. */
 uint64_t world_random (struct world *w, uint64_t below);
-/** world_node() - Return the entry instance @id, or NULL if none has it. */
+/** world_node() - Return the entry instance @id; NULL if there is none. */
 struct sim_node *world_node (struct world *w, const char *id);
-/** world_server() - Return the worker or executor @id, or NULL. */
+/**
+ * world_server() - Return the worker or executor @id; NULL if there is none.
+ */
 struct sim_server *world_server (struct world *w, const char *id);
 /** world_add_node() - Add an entry instance and start its process. */
 struct sim_node *world_add_node (struct world *w, const char *id,
@@ -236,7 +248,7 @@
 void world_run (struct world *w, int64_t ms);
 /**
  * world_send_request() - Send a caller's request to an entry instance.
- * @proto: entry instance, name and other fixed fields of the request; copied
+ * @template: request with the fields that the caller chooses; copied
  * @method: enum method
  * @bearer: bearer token, or NULL
  * @request_id: value of the X-Request-Id header, or NULL
@@ -244,7 +256,7 @@
  *
  * Return: the index of the request in world::calls.
  */
-int world_send_request (struct world *w, const struct caller_request *proto,
+int world_send_request (struct world *w, const struct caller_request *template,
                         int method, const char *path, const char *bearer,
                         const char *request_id, const char *body);
 
@@ -287,9 +299,8 @@
  */
 void check_note_limit (struct check *c, const char *team,
                        const struct clb_res *amount, bool outcome_unknown);
-/** check_note_key_withdrawn() - Record that a key is withdrawn at this time.
- */
-void check_note_key_withdrawn (struct check *c, const char *key);
+/** check_note_key_withdrawn() - Record that a key is withdrawn now. */
+void check_note_key_withdrawn (struct check *c, const char *key_id);
 /**
  * check_next_accepted() - Iterate over the accepted tasks.
  * @at: position of the iteration, 0 before the first call
@@ -306,10 +317,11 @@
 /** check_violation() - Return the first violation that was found, or NULL. */
 const char *check_violation (const struct check *c);
 /**
- * check_starts() - Return how often a request was started on any server.
+ * check_count_starts() - Return how often a request was started on any
+ * worker or executor.
  * @name: "team:request id"
  */
-int check_starts (const struct check *c, const char *name);
+int check_count_starts (const struct check *c, const char *name);
 /** check_used_cores() - Return the cores in use by a team in all domains. */
 int64_t check_used_cores (struct check *c, const char *team);
 
