--- a/regress/scenarios/smoke.lua
+++ b/regress/scenarios/smoke.lua
@@ -8,8 +8,8 @@
   local s = service{at = "a1", team = "blue", id = "s1"}
   local p = service{at = "b2", team = "blue", id = "p1", queue = "print"}
   run(3000)
-  for i = 1, 20 do expect(answer(calls[i]).status == 202, "task accepted") end
-  expect(answer(s).status == 200, "service answered")
-  expect(answer(p).status == 200, "print answered")
+  for i = 1, 20 do expect(answer(calls[i]).status == 202, "the task is accepted") end
+  expect(answer(s).status == 200, "the service request is answered")
+  expect(answer(p).status == 200, "the print request is answered")
   recover_and_check()
 end)
--- a/regress/scenarios/walk.lua
+++ b/regress/scenarios/walk.lua
@@ -1,6 +1,6 @@
 -- Random requests, configuration changes and faults of all kinds, determined by
 -- the seed.  The checker tests all guarantees throughout.
-scenario("walk", function()
+scenario("random requests, configuration changes and faults", function()
   local function pick(list) return list[random(#list)] end
   local function one_in(n) return random(n) == 1 end
 
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -34,7 +34,7 @@
   int n_calls;           /* times that callers sent the request id */
   /* The request was sent once, and its answer said that it was not run. */
   bool reported_not_run;
-  char id[CLB_ID_MAX]; /* id of the accepted task; empty: not accepted */
+  char task_id[CLB_ID_MAX]; /* id of the accepted task; empty: not accepted */
   /* Last state that an entry instance reported for the accepted task; empty:
      none was reported. */
   char state[CLB_NAME_MAX];
@@ -368,11 +368,11 @@
 
   if (!id)
     report_violation (c, "%s accepted without a task id", call->name);
-  else if (*log->id && strcmp (log->id, id) != 0)
+  else if (*log->task_id && strcmp (log->task_id, id) != 0)
     report_violation (c, "%s accepted twice, as tasks %s and %s", log->name,
-                      log->id, id);
+                      log->task_id, id);
   else
-    clb_copy (log->id, id, sizeof log->id);
+    clb_copy (log->task_id, id, sizeof log->task_id);
   json_decref (json);
 }
 
@@ -442,10 +442,10 @@
   int i = 0;
 
   RB_FOREACH (log, request_log_tree, &c->requests)
-    if (*log->id && i++ == *at)
+    if (*log->task_id && i++ == *at)
       {
         (*at)++;
-        return log->id;
+        return log->task_id;
       }
   return NULL;
 }
@@ -459,7 +459,7 @@
                || strcmp (state, "unknown") == 0;
 
   RB_FOREACH (log, request_log_tree, &c->requests)
-    if (strcmp (log->id, id) == 0)
+    if (strcmp (log->task_id, id) == 0)
       break;
   if (!log)
     return;
--- a/regress/scn/heap.c
+++ b/regress/scn/heap.c
@@ -9,7 +9,7 @@
 arrives_before (const struct sim_message *a, const struct sim_message *b)
 {
   return a->arrival_ms < b->arrival_ms
-         || (a->arrival_ms == b->arrival_ms && a->seq < b->seq);
+         || (a->arrival_ms == b->arrival_ms && a->push_seq < b->push_seq);
 }
 
 void
@@ -24,7 +24,7 @@
       if (!w->heap)
         abort ();
     }
-  msg->seq = ++w->seq;
+  msg->push_seq = ++w->last_push_seq;
   w->heap[i] = msg;
   while (i > 0 && arrives_before (w->heap[i], w->heap[(i - 1) / 2]))
     {
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -262,7 +262,8 @@
  * @slowness: integer; task run times are multiplied by it; 0 counts as 1
  * @leaving: the platform's list shows the server as leaving
  *
- * @reboot is no setting: true reboots the server now, which forgets its runs.
+ * @reboot is no setting: true reboots the server once, at this time, and the
+ * server forgets its runs.
  */
 static int
 verb_server (lua_State *L)
@@ -404,9 +405,9 @@
   return 1;
 }
 
-/* holder(domain): returns the id of the instance that schedules the domain, or
-   nothing if there is none; of several instances, the one with the highest
-   epoch */
+/* holder(domain): returns the id of the entry instance that schedules the
+   domain; of several such instances, the id of the one with the highest epoch;
+   nothing if there is none */
 static int
 verb_holder (lua_State *L)
 {
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -29,8 +29,8 @@
 {
   struct settings settings;
   struct node node;
-  /* The instance's process exists; true also while it is frozen or stopping.
-   */
+  /* The instance's process exists; true also while it is frozen
+     or stopping. */
   bool up;
   bool frozen;   /* the instance's process is paused, as by SIGSTOP */
   bool stopping; /* a planned stop has begun and has not ended */
@@ -75,7 +75,8 @@
 {
   /* Id of the entry instance that the caller is connected to. */
   char entry_id[CLB_ID_MAX];
-  char name[CLB_ID_MAX];     /* "team:request id"; empty: unchecked request */
+  /* "team:request id"; empty: the checker does not check the answer. */
+  char name[CLB_ID_MAX];
   bool idempotent;           /* the request may run more than once */
   bool service;              /* true: service request; false: any other */
   bool keyed;                /* neither set nor read */
@@ -123,7 +124,7 @@
   int64_t arrival_ms;
   /* Order of the calls of world_push(); breaks ties between messages that
      arrive at the same time. */
-  uint64_t seq;
+  uint64_t push_seq;
   int kind; /* enum sim_message_kind */
   /* Index in world::nodes of the entry instance that sent the message or will
      receive it; SIM_MSG_PEER: of the receiver. */
@@ -191,8 +192,8 @@
   struct sim_message **heap;
   size_t n_heap;   /* number of messages in the heap */
   size_t cap_heap; /* number of messages that the heap has memory for */
-  /* sim_message::seq of the last message that was queued; 0: none. */
-  uint64_t seq;
+  /* sim_message::push_seq of the last message that was queued; 0: none. */
+  uint64_t last_push_seq;
   /* All requests of callers in this scenario, in the order of sending. */
   struct caller_request *calls;
   int n_calls;
@@ -284,7 +285,8 @@
 /**
  * check_service_run() - Record and check a service request at an executor.
  * @call: index of the request in world::calls
- * @started: true: its service has started; false: its service has ended
+ * @started: true: the executor starts to serve the request; false: the request
+ * has ended at the executor
  */
 void check_service_run (struct check *c, struct sim_server *s, int call,
                         bool started);
