--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -167,7 +167,7 @@
     out[len] = '\0';
 }
 
-/* Returns the usage of @team; adds a zero one if there is none. */
+/* Returns the usage of @team; adds a usage of zero if there is none. */
 static struct team_usage *
 usage_find_or_add (struct check *c, const char *team)
 {
--- a/regress/scn/verbs.c
+++ b/regress/scn/verbs.c
@@ -125,7 +125,7 @@
 {
   struct sim_node *n = arg_node (L, 1);
 
-  n->stopping = false; /* broken connections are then no violation */
+  n->stopping = false; /* so that broken connections are no violation */
   world_kill_node (&world, n);
   return 0;
 }
@@ -458,8 +458,8 @@
   return 1;
 }
 
-/* starts(name): returns how often the request name "team:request id" was
-   started on any worker or executor */
+/* starts(name): returns how often the request with this name, "team:request
+   id", was started on any worker or executor */
 static int
 verb_starts (lua_State *L)
 {
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -190,8 +190,8 @@
   world_push (w, timeout);
 }
 
-/* Schedules how the service request @call ends for the entry instance @n.
-   @end: enum forward_end. */
+/* Schedules the message that reports to the entry instance @n how the service
+   request @call ended; @end is a value of enum forward_end. */
 static struct sim_message *
 schedule_service_result (struct world *w, struct sim_node *n, int call,
                          const char *server, int end, int64_t delay)
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -127,7 +127,8 @@
   uint64_t push_seq;
   int kind; /* enum sim_message_kind */
   /* Index in world::nodes of the entry instance that sent the message or will
-     receive it; SIM_MSG_PEER: of the receiver. */
+     receive it.  SIM_MSG_PEER: index of the receiver.  SIM_MSG_INSTANCE_LIST:
+     not used. */
   int node_index;
   /* sim_node::generation of the entry instance node_index when the message was
      sent.  A message to the instance is lost if the generation has changed
