--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -1,6 +1,6 @@
 /*
- * Holds what workers, executors and callers saw against the guarantees.
- * Never reads the scheduler's own books.
+ * Checker: compares what workers, executors and callers observed with the
+ * guarantees.  The checker never reads the scheduler's own state.
  */
 #include "world.h"
 
@@ -12,63 +12,78 @@
 
 enum
 {
-  IN_FORCE_MS = 3500, /* a change is in force everywhere within this */
-  LEAVING_MS = 4000,  /* after the list shows it, nothing new arrives */
-  MEMBERS_MAX = 32,
-  LIMITS_MAX = 1024,
-  WITHDRAWN_MAX = 64,
-  TEAMS_MAX = 16,
+  /* An accepted configuration change is in force at every instance within
+     this time. */
+  CONF_APPLY_MAX_MS = 3500,
+  /* A worker or executor gets no new work later than this after the platform's
+     list shows the server as leaving. */
+  LEAVING_GRACE_MS = 4000,
+  MEMBERS_MAX = 32,        /* members of a gang */
+  LIMITS_MAX = 1024,       /* changes of team limits in one scenario */
+  WITHDRAWN_KEYS_MAX = 64, /* withdrawn keys in one scenario */
+  TEAMS_MAX = 16,          /* teams in one scenario */
 };
 
-/* struct work - one request id, as the outside saw it */
-struct work
+/* struct request_log - what callers, workers and executors observed of one
+   request id */
+struct request_log
 {
-  RB_ENTRY (work) by_name;
-  char name[CLB_ID_MAX];
-  bool idempotent;
-  int calls;
-  bool not_run;        /* its only caller was told so */
-  char id[CLB_ID_MAX]; /* once accepted */
+  RB_ENTRY (request_log) by_name;
+  char name[CLB_ID_MAX]; /* "team:request id" */
+  bool idempotent;       /* the request may run more than once */
+  int n_calls;           /* times that callers sent the request id */
+  /* The request was sent once, and its answer said that it was not run. */
+  bool reported_not_run;
+  char task_id[CLB_ID_MAX]; /* id of the accepted task; empty: not accepted */
+  /* Last state that an entry instance reported for the accepted task; empty:
+     none was reported. */
   char state[CLB_NAME_MAX];
-  int starts[MEMBERS_MAX];
-  int running[MEMBERS_MAX];
-  int ok[MEMBERS_MAX];
-  int served;
+  /* Runs of the task, counted for each gang member.  The runs of a task that
+     is no gang count for member 0. */
+  int n_starts[MEMBERS_MAX];    /* runs that have started */
+  int n_running[MEMBERS_MAX];   /* runs that have not ended */
+  int n_succeeded[MEMBERS_MAX]; /* runs that ended in success */
+  /* Number of times that the service request was started at an executor. */
+  int n_service_starts;
 };
-RB_HEAD (work_tree, work);
+RB_HEAD (request_log_tree, request_log);
 
-struct usage
+/* struct team_usage - resources that a team's tasks and service requests use
+   in all domains */
+struct team_usage
 {
   char team[CLB_NAME_MAX];
   struct clb_res used;
 };
 
+/* struct check - observations of one scenario, and the first violation */
 struct check
 {
   struct world *w;
-  struct work_tree works;
-  struct limit limits[LIMITS_MAX];
+  struct request_log_tree requests;
+  /* Changes of all teams' limits, oldest first. */
+  struct team_limit limits[LIMITS_MAX];
   int n_limits;
-  struct usage usage[TEAMS_MAX];
+  struct team_usage usage[TEAMS_MAX];
   int n_usage;
   struct
   {
-    char key[CLB_NAME_MAX];
-    int64_t at_ms;
-  } withdrawn[WITHDRAWN_MAX];
-  int n_withdrawn;
-  bool is_broken;
-  char broken[256];
+    char key_id[CLB_NAME_MAX];
+    int64_t withdrawn_ms;
+  } withdrawn_keys[WITHDRAWN_KEYS_MAX];
+  int n_withdrawn_keys;
+  bool violated;            /* a guarantee was violated */
+  char violation_text[256]; /* text of the first violation */
 };
 
 static int
-work_cmp (const struct work *a, const struct work *b)
+request_log_cmp (const struct request_log *a, const struct request_log *b)
 {
   return strcmp (a->name, b->name);
 }
 
-RB_PROTOTYPE (work_tree, work, by_name, work_cmp)
-RB_GENERATE (work_tree, work, by_name, work_cmp)
+RB_PROTOTYPE (request_log_tree, request_log, by_name, request_log_cmp)
+RB_GENERATE (request_log_tree, request_log, by_name, request_log_cmp)
 
 struct check *
 check_new (struct world *w)
@@ -78,67 +93,72 @@
   if (!c)
     abort ();
   c->w = w;
-  RB_INIT (&c->works);
+  RB_INIT (&c->requests);
   return c;
 }
 
 void
 check_free (struct check *c)
 {
-  struct work *k;
+  struct request_log *log;
 
-  while ((k = RB_MIN (work_tree, &c->works)))
+  while ((log = RB_MIN (request_log_tree, &c->requests)))
     {
-      RB_REMOVE (work_tree, &c->works, k);
-      free (k);
+      RB_REMOVE (request_log_tree, &c->requests, log);
+      free (log);
     }
   free (c);
 }
 
+/* Records a violation, unless an earlier one is recorded already. */
 static void __attribute__ ((format (printf, 2, 3)))
-broken (struct check *c, const char *fmt, ...)
+report_violation (struct check *c, const char *fmt, ...)
 {
   va_list ap;
   int n;
 
-  if (c->is_broken)
+  if (c->violated)
     return;
-  c->is_broken = true;
-  n = snprintf (c->broken, sizeof c->broken,
+  c->violated = true;
+  n = snprintf (c->violation_text, sizeof c->violation_text,
                 "at %lld ms: ", (long long)c->w->now_ms);
   va_start (ap, fmt);
-  vsnprintf (c->broken + n, sizeof c->broken - (size_t)n, fmt, ap);
+  vsnprintf (c->violation_text + n, sizeof c->violation_text - (size_t)n, fmt,
+             ap);
   va_end (ap);
 }
 
 const char *
-check_broken (const struct check *c)
+check_violation (const struct check *c)
 {
-  return c->is_broken ? c->broken : NULL;
+  return c->violated ? c->violation_text : NULL;
 }
 
-static struct work *
-work_of (struct check *c, const char *name)
+/* Returns the log of the request @name "team:request id"; adds an empty one if
+   there is none. */
+static struct request_log *
+request_log_find_or_add (struct check *c, const char *name)
 {
-  struct work key;
-  struct work *k;
-
-  clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (work_tree, &c->works, &key);
-  if (k)
-    return k;
-  k = calloc (1, sizeof *k);
-  if (!k)
+  struct request_log lookup;
+  struct request_log *log;
+
+  clb_copy (lookup.name, name, sizeof lookup.name);
+  log = RB_FIND (request_log_tree, &c->requests, &lookup);
+  if (log)
+    return log;
+  log = calloc (1, sizeof *log);
+  if (!log)
     abort ();
-  clb_copy (k->name, name, sizeof k->name);
-  k->idempotent = true;
-  RB_INSERT (work_tree, &c->works, k);
-  return k;
+  clb_copy (log->name, name, sizeof log->name);
+  log->idempotent = true;
+  RB_INSERT (request_log_tree, &c->requests, log);
+  return log;
 }
 
-/* Work is named "team:request id". */
+/* Copies the team, the part before the colon, of the request name
+   "team:request id" to @out. */
 static void
-team_of (const char *name, char out[CLB_NAME_MAX])
+team_of_name (const char *name, char out[CLB_NAME_MAX])
 {
   size_t len = strcspn (name, ":");
 
@@ -147,20 +167,23 @@
     out[len] = '\0';
 }
 
-static struct usage *
-usage_of (struct check *c, const char *team)
+/* Returns the usage of @team; adds a usage of zero if there is none. */
+static struct team_usage *
+usage_find_or_add (struct check *c, const char *team)
 {
   for (int i = 0; i < c->n_usage; i++)
     if (strcmp (c->usage[i].team, team) == 0)
       return &c->usage[i];
   if (c->n_usage == TEAMS_MAX)
     abort ();
-  struct usage *u = &c->usage[c->n_usage++];
+  struct team_usage *u = &c->usage[c->n_usage++];
   clb_copy (u->team, team, sizeof u->team);
   return u;
 }
 
-/* A lowered limit binds new starts once it is in force everywhere. */
+/* Whether @used is within any limit of @team that may be in force now.  An
+   earlier limit may be in force until CONF_APPLY_MAX_MS after the acceptance
+   of a later one. */
 static bool
 within_limit (const struct check *c, const char *team,
               const struct clb_res *used)
@@ -170,268 +193,308 @@
 
   for (int i = c->n_limits - 1; i >= 0; i--)
     {
-      const struct limit *l = &c->limits[i];
+      const struct team_limit *l = &c->limits[i];
       if (strcmp (l->team, team) != 0)
         continue;
       if (now <= until && clb_res_fits (used, &l->amount))
         return true;
-      if (l->maybe)
+      if (l->outcome_unknown)
         continue;
-      until = l->since_ms + IN_FORCE_MS;
+      until = l->since_ms + CONF_APPLY_MAX_MS;
       if (now > until)
         return false;
     }
   return false;
 }
 
+/* Adds @factor times @need to the usage of the team of the request @name.  An
+   increase above the team's limit is a violation. */
 static void
-use (struct check *c, const char *name, const struct clb_res *need,
-     int64_t times)
+usage_add (struct check *c, const char *name, const struct clb_res *need,
+           int64_t factor)
 {
   char team[CLB_NAME_MAX];
 
-  team_of (name, team);
-  struct usage *u = usage_of (c, team);
-  clb_res_add (&u->used, need, times);
-  if (times > 0 && !within_limit (c, team, &u->used))
-    broken (c, "team %s over its upper limit with %s", team, name);
+  team_of_name (name, team);
+  struct team_usage *u = usage_find_or_add (c, team);
+  clb_res_add (&u->used, need, factor);
+  if (factor > 0 && !within_limit (c, team, &u->used))
+    report_violation (c, "team %s exceeds its upper limit by the start of %s",
+                      team, name);
 }
 
-/* A service request needs no record, so a domain serves it while the platform
-   and its list are away: its bound counts from when the platform was back. */
+/* Reports work that starts on a worker or executor too long after the server
+   began to leave.  Service requests need no record in the table, so a domain
+   serves them also while the platform and its list of instances are
+   unreachable: the bound for service requests counts from the end of the
+   platform's last fault. */
 static void
-check_leaving (struct check *c, const struct wserver *s, const char *name,
+check_leaving (struct check *c, const struct sim_server *s, const char *name,
                bool service)
 {
-  int64_t since = s->leaving_ms;
-
-  if (service && c->w->platform_bad_ms > since)
-    since = c->w->platform_bad_ms;
-  if (s->leaving_ms && c->w->now_ms - since > c->w->list_lag_ms + LEAVING_MS)
-    broken (c, "%s given to %s, leaving for %lld ms", name, s->inst.id,
-            (long long)(c->w->now_ms - s->leaving_ms));
+  int64_t since = s->leaving_since_ms;
+
+  if (service && c->w->platform_fault_ms > since)
+    since = c->w->platform_fault_ms;
+  if (s->leaving_since_ms
+      && c->w->now_ms - since > c->w->list_lag_ms + LEAVING_GRACE_MS)
+    report_violation (
+        c, "%s started on %s, which has been leaving for %lld ms", name,
+        s->inst.id, (long long)(c->w->now_ms - s->leaving_since_ms));
 }
 
+/* Records and checks the start of a run of gang member @member. */
 static void
-run_started (struct check *c, struct wserver *s, struct work *k, int i,
-             const struct frun *run)
+run_started (struct check *c, struct sim_server *s, struct request_log *log,
+             int member, const struct frun *run)
 {
   clb_res_add (&s->used, &run->need, 1);
   if (!clb_res_fits (&s->used, &s->inst.capacity))
-    broken (c, "%s overcommitted by %s", s->inst.id, run->id);
-  if (++k->running[i] > 1)
-    broken (c, "%s member %d runs in two places", k->name, i);
-  if (++k->starts[i] > 1 && !k->idempotent)
-    broken (c, "%s is not idempotent and started again", k->name);
-  if (k->not_run)
-    broken (c, "%s started after it was said not to run", k->name);
-  check_leaving (c, s, k->name, false);
-  use (c, k->name, &run->need, 1);
+    report_violation (c, "capacity of worker %s exceeded by run %s",
+                      s->inst.id, run->id);
+  if (++log->n_running[member] > 1)
+    report_violation (c, "%s member %d runs in two places at once", log->name,
+                      member);
+  if (++log->n_starts[member] > 1 && !log->idempotent)
+    report_violation (c, "%s is not idempotent and was started twice",
+                      log->name);
+  if (log->reported_not_run)
+    report_violation (
+        c, "%s started after its caller received the outcome not-run",
+        log->name);
+  check_leaving (c, s, log->name, false);
+  usage_add (c, log->name, &run->need, 1);
 }
 
 void
-check_run (struct check *c, struct wserver *s, const struct frun *run,
+check_run (struct check *c, struct sim_server *s, const struct frun *run,
            bool started)
 {
-  struct work *k = work_of (c, run->name);
+  struct request_log *log = request_log_find_or_add (c, run->name);
   const char *slash = strrchr (run->id, '/');
-  int i = slash ? atoi (slash + 1) : 0;
+  int member = slash ? atoi (slash + 1) : 0;
 
-  if (i < 0 || i >= MEMBERS_MAX)
+  if (member < 0 || member >= MEMBERS_MAX)
     return;
   if (started)
     {
-      run_started (c, s, k, i, run);
+      run_started (c, s, log, member, run);
       return;
     }
   clb_res_add (&s->used, &run->need, -1);
-  k->running[i]--;
-  k->ok[i] += run->state == RUN_OK;
-  use (c, k->name, &run->need, -1);
+  log->n_running[member]--;
+  log->n_succeeded[member] += run->state == RUN_OK;
+  usage_add (c, log->name, &run->need, -1);
 }
 
 void
-check_served (struct check *c, struct wserver *s, int call, bool started)
+check_service_run (struct check *c, struct sim_server *s, int call,
+                   bool started)
 {
-  const struct wcall *wc = &c->w->calls[call];
-  struct work *k = work_of (c, wc->name);
-  struct clb_res slot = { .slots = 1 };
+  const struct caller_request *request = &c->w->calls[call];
+  struct request_log *log = request_log_find_or_add (c, request->name);
+  struct clb_res one_slot = { .slots = 1 };
 
-  clb_res_add (&s->used, &slot, started ? 1 : -1);
+  clb_res_add (&s->used, &one_slot, started ? 1 : -1);
   if (started)
     {
       if (!clb_res_fits (&s->used, &s->inst.capacity))
-        broken (c, "%s has more requests than slots", s->inst.id);
-      if (++k->served > 1 && !wc->idempotent)
-        broken (c, "%s is not idempotent and was sent again", k->name);
-      if (k->not_run)
-        broken (c, "%s sent after it was said not to run", k->name);
-      check_leaving (c, s, k->name, true);
+        report_violation (c,
+                          "executor %s serves more requests than it has slots",
+                          s->inst.id);
+      if (++log->n_service_starts > 1 && !request->idempotent)
+        report_violation (
+            c, "%s is not idempotent and was sent to an executor twice",
+            log->name);
+      if (log->reported_not_run)
+        report_violation (c,
+                          "%s sent to an executor after its caller received "
+                          "the outcome not-run",
+                          log->name);
+      check_leaving (c, s, log->name, true);
     }
-  use (c, wc->name, &slot, started ? 1 : -1);
+  usage_add (c, request->name, &one_slot, started ? 1 : -1);
 }
 
 void
-check_call (struct check *c, const struct wcall *call)
+check_note_request (struct check *c, const struct caller_request *call)
 {
-  struct work *k;
+  struct request_log *log;
 
   if (!*call->name)
     return;
-  k = work_of (c, call->name);
-  k->idempotent = call->idempotent;
-  /* A refusal speaks of its own call: a later one may well run. */
-  k->not_run = false;
-  k->calls++;
+  log = request_log_find_or_add (c, call->name);
+  log->idempotent = call->idempotent;
+  /* An answer "not-run" is about one sending only: the request may run when
+     its id is sent again. */
+  log->reported_not_run = false;
+  log->n_calls++;
 }
 
+/* Whether a worker or executor has started to run the request. */
 static bool
-has_run (const struct work *k)
+has_started (const struct request_log *log)
 {
-  int n = k->served;
+  int n = log->n_service_starts;
 
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->starts[i];
+    n += log->n_starts[i];
   return n > 0;
 }
 
+/* Reports the acceptance of a request that was sent too long after its key was
+   withdrawn. */
 static void
-check_key (struct check *c, const struct wcall *call)
+check_key (struct check *c, const struct caller_request *call)
 {
-  for (int i = 0; i < c->n_withdrawn; i++)
-    if (strcmp (c->withdrawn[i].key, call->key) == 0
-        && call->sent_ms > c->withdrawn[i].at_ms + IN_FORCE_MS)
-      broken (c, "%s accepted with key %s, withdrawn %lld ms before",
-              call->name, call->key,
-              (long long)(call->sent_ms - c->withdrawn[i].at_ms));
+  for (int i = 0; i < c->n_withdrawn_keys; i++)
+    if (strcmp (c->withdrawn_keys[i].key_id, call->key_id) == 0
+        && call->sent_ms
+               > c->withdrawn_keys[i].withdrawn_ms + CONF_APPLY_MAX_MS)
+      report_violation (
+          c, "%s accepted with key %s, which was withdrawn %lld ms before",
+          call->name, call->key_id,
+          (long long)(call->sent_ms - c->withdrawn_keys[i].withdrawn_ms));
 }
 
+/* Checks that an accepted task has an id, and the same id as in any earlier
+   answer to its request id. */
 static void
-check_accepted (struct check *c, struct work *k, const struct wcall *call)
+check_accepted (struct check *c, struct request_log *log,
+                const struct caller_request *call)
 {
   json_t *json = json_loads (call->body, 0, NULL);
   const char *id = json_string_value (json_object_get (json, "id"));
 
   if (!id)
-    broken (c, "%s accepted without an id", call->name);
-  else if (*k->id && strcmp (k->id, id) != 0)
-    broken (c, "%s accepted twice, as %s and %s", k->name, k->id, id);
+    report_violation (c, "%s accepted without a task id", call->name);
+  else if (*log->task_id && strcmp (log->task_id, id) != 0)
+    report_violation (c, "%s accepted twice, as tasks %s and %s", log->name,
+                      log->task_id, id);
   else
-    clb_copy (k->id, id, sizeof k->id);
+    clb_copy (log->task_id, id, sizeof log->task_id);
   json_decref (json);
 }
 
 void
-check_answer (struct check *c, struct wcall *call)
+check_answer (struct check *c, struct caller_request *call)
 {
-  struct work *k;
+  struct request_log *log;
   bool not_run;
 
   if (!*call->name)
     return;
-  k = work_of (c, call->name);
-  if (call->answers > 1)
-    broken (c, "%s answered twice", call->name);
+  log = request_log_find_or_add (c, call->name);
+  if (call->n_answers > 1)
+    report_violation (c, "%s answered twice", call->name);
   if (call->status < 0)
     {
-      broken (c, "%s cut short by a planned stop", call->name);
+      report_violation (c, "connection of %s broken by a planned stop",
+                        call->name);
       return;
     }
   not_run = strstr (call->body, "\"outcome\":\"not-run\"") != NULL;
-  if (not_run && k->calls == 1)
+  if (not_run && log->n_calls == 1)
     {
-      k->not_run = true;
-      if (has_run (k))
-        broken (c, "%s has run and was answered %s", k->name, call->body);
+      log->reported_not_run = true;
+      if (has_started (log))
+        report_violation (c, "%s has run, but its caller received: %s",
+                          log->name, call->body);
     }
   if (call->status >= 300)
     return;
   check_key (c, call);
   if (call->service && strcmp (call->body, call->name) != 0)
-    broken (c, "%s got the answer of %s", call->name, call->body);
+    report_violation (c, "%s received the answer to %s", call->name,
+                      call->body);
   if (!call->service)
-    check_accepted (c, k, call);
+    check_accepted (c, log, call);
 }
 
 void
-check_limit (struct check *c, const char *team, const struct clb_res *amount,
-             bool maybe)
+check_note_limit (struct check *c, const char *team,
+                  const struct clb_res *amount, bool outcome_unknown)
 {
-  struct limit *l = &c->limits[c->n_limits++];
+  struct team_limit *l = &c->limits[c->n_limits++];
 
   if (c->n_limits >= LIMITS_MAX)
     abort ();
   clb_copy (l->team, team, sizeof l->team);
   l->amount = *amount;
-  l->maybe = maybe;
+  l->outcome_unknown = outcome_unknown;
   l->since_ms = c->w->now_ms;
 }
 
 void
-check_key_withdrawn (struct check *c, const char *key)
+check_note_key_withdrawn (struct check *c, const char *key_id)
 {
-  if (c->n_withdrawn == WITHDRAWN_MAX)
+  if (c->n_withdrawn_keys == WITHDRAWN_KEYS_MAX)
     abort ();
-  clb_copy (c->withdrawn[c->n_withdrawn].key, key, CLB_NAME_MAX);
-  c->withdrawn[c->n_withdrawn++].at_ms = c->w->now_ms;
+  clb_copy (c->withdrawn_keys[c->n_withdrawn_keys].key_id, key_id,
+            CLB_NAME_MAX);
+  c->withdrawn_keys[c->n_withdrawn_keys++].withdrawn_ms = c->w->now_ms;
 }
 
 const char *
 check_next_accepted (struct check *c, int *at)
 {
-  struct work *k;
+  struct request_log *log;
   int i = 0;
 
-  RB_FOREACH (k, work_tree, &c->works)
-    if (*k->id && i++ == *at)
+  RB_FOREACH (log, request_log_tree, &c->requests)
+    if (*log->task_id && i++ == *at)
       {
         (*at)++;
-        return k->id;
+        return log->task_id;
       }
   return NULL;
 }
 
 void
-check_state (struct check *c, const char *id, const char *state)
+check_final_state (struct check *c, const char *id, const char *state)
 {
-  struct work *k;
+  struct request_log *log;
   bool final = strcmp (state, "done") == 0 || strcmp (state, "failed") == 0
                || strcmp (state, "cancelled") == 0
                || strcmp (state, "unknown") == 0;
 
-  RB_FOREACH (k, work_tree, &c->works)
-    if (strcmp (k->id, id) == 0)
+  RB_FOREACH (log, request_log_tree, &c->requests)
+    if (strcmp (log->task_id, id) == 0)
       break;
-  if (!k)
+  if (!log)
     return;
-  clb_copy (k->state, state, sizeof k->state);
+  clb_copy (log->state, state, sizeof log->state);
   if (!final)
-    broken (c, "%s (%s) was accepted and is left %s", k->name, id, state);
-  else if (strcmp (state, "done") == 0 && !k->ok[0])
-    broken (c, "%s is said to be done and no worker has ended it", k->name);
-  else if (strcmp (state, "cancelled") == 0 && k->running[0])
-    broken (c, "%s is said to be cancelled and runs", k->name);
+    report_violation (c,
+                      "%s (%s) was accepted and did not end: its state is %s",
+                      log->name, id, state);
+  else if (strcmp (state, "done") == 0 && !log->n_succeeded[0])
+    report_violation (c, "%s is reported done, but no worker has completed it",
+                      log->name);
+  else if (strcmp (state, "cancelled") == 0 && log->n_running[0])
+    report_violation (c, "%s is reported cancelled and still runs", log->name);
 }
 
 int
-check_starts (const struct check *c, const char *name)
+check_count_starts (const struct check *c, const char *name)
 {
-  struct work key;
-  const struct work *k;
+  struct request_log lookup;
+  const struct request_log *log;
   int n;
 
-  clb_copy (key.name, name, sizeof key.name);
-  k = RB_FIND (work_tree, (struct work_tree *)&c->works, &key);
-  if (!k)
+  clb_copy (lookup.name, name, sizeof lookup.name);
+  log = RB_FIND (request_log_tree, (struct request_log_tree *)&c->requests,
+                 &lookup);
+  if (!log)
     return 0;
-  n = k->served;
+  n = log->n_service_starts;
   for (int i = 0; i < MEMBERS_MAX; i++)
-    n += k->starts[i];
+    n += log->n_starts[i];
   return n;
 }
 
 int64_t
-check_used (struct check *c, const char *team)
+check_used_cores (struct check *c, const char *team)
 {
-  return usage_of (c, team)->used.cores;
+  return usage_find_or_add (c, team)->used.cores;
 }
