--- a/bench/load.c
+++ b/bench/load.c
@@ -4,7 +4,8 @@
  *
  * IN-FLIGHT requests are outstanding at any time.  The first %d in BODY is
  * replaced by the number of requests that are still to be sent, so that each
- * body differs.  Answers with status 200 or 202 count as good.
+ * body differs.  A request counts as "good" if its answer has status 200 or
+ * 202, and as "bad" otherwise.
  */
 #include <curl/curl.h>
 #include <stdio.h>
@@ -13,23 +14,23 @@
 
 enum
 {
-  IN_FLIGHT_MAX = 256,
-  TIMEOUT_MS = 30000,
-  BODY_MAX = 1024,
+  IN_FLIGHT_MAX = 256, /* most requests outstanding at once */
+  TIMEOUT_MS = 30000,  /* a request without an answer fails after this time */
+  BODY_MAX = 1024,     /* size of the body buffer; longer bodies are cut */
   US_PER_S = 1000000,
 };
 
-/* struct run - the whole measurement */
-struct run
+/* struct load_run - state of one run of the benchmark */
+struct load_run
 {
   CURLM *multi;
   struct curl_slist *headers;
   const char *url;
   const char *body;
-  double *times_s; /* latencies of good answers */
-  int n_good;
-  int n_left; /* requests still to be sent */
-  int n_bad;
+  double *latencies_s; /* latencies of the requests answered with 200 or 202 */
+  int n_succeeded;     /* requests answered with status 200 or 202 */
+  int n_unsent;        /* requests still to be sent */
+  int n_failed;        /* requests with another status or without an answer */
 };
 
 static size_t
@@ -41,16 +42,16 @@
 }
 
 static void
-send_one (struct run *r, CURL *e)
+send_next_request (struct load_run *r, CURL *e)
 {
   char body[BODY_MAX];
   const char *placeholder = strstr (r->body, "%d");
 
-  r->n_left--;
+  r->n_unsent--;
   snprintf (body, sizeof body, "%s", r->body);
   if (placeholder)
     snprintf (body, sizeof body, "%.*s%d%s", (int)(placeholder - r->body),
-              r->body, r->n_left, placeholder + 2);
+              r->body, r->n_unsent, placeholder + 2);
   curl_easy_setopt (e, CURLOPT_URL, r->url);
   curl_easy_setopt (e, CURLOPT_COPYPOSTFIELDS, body);
   curl_easy_setopt (e, CURLOPT_HTTPHEADER, r->headers);
@@ -60,9 +61,10 @@
   curl_multi_add_handle (r->multi, e);
 }
 
-/* Records the requests that have finished and sends others in their place. */
+/* Records the requests that have finished, and sends a new request for each of
+   them as long as there are requests to be sent. */
 static void
-collect_finished (struct run *r)
+collect_finished (struct load_run *r)
 {
   CURLMsg *msg;
   int queued;
@@ -72,21 +74,22 @@
       CURL *e = msg->easy_handle;
       long status = 0;
       curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &status);
-      curl_easy_getinfo (e, CURLINFO_TOTAL_TIME, &r->times_s[r->n_good]);
+      curl_easy_getinfo (e, CURLINFO_TOTAL_TIME,
+                         &r->latencies_s[r->n_succeeded]);
       if (status == 200 || status == 202)
-        r->n_good++;
+        r->n_succeeded++;
       else
-        r->n_bad++;
+        r->n_failed++;
       curl_multi_remove_handle (r->multi, e);
-      if (r->n_left > 0)
-        send_one (r, e);
+      if (r->n_unsent > 0)
+        send_next_request (r, e);
       else
         curl_easy_cleanup (e);
     }
 }
 
 static int
-compare_times (const void *a, const void *b)
+compare_latencies (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -97,11 +100,11 @@
 int
 main (int argc, char **argv)
 {
-  struct run r = { 0 };
+  struct load_run r = { 0 };
   char header[256];
-  int total;
+  int n_requests;
   int in_flight;
-  int running = 1;
+  int n_running = 1;
   double sum_s = 0;
 
   if (argc != 6 && argc != 7)
@@ -110,36 +113,38 @@
                "usage: load url key requests in-flight label [body]\n");
       return 64;
     }
-  total = r.n_left = atoi (argv[3]);
+  n_requests = r.n_unsent = atoi (argv[3]);
   in_flight = atoi (argv[4]);
   r.url = argv[1];
   r.body = argc == 7 ? argv[6] : "x";
-  r.times_s = calloc ((size_t)total, sizeof *r.times_s);
-  if (!r.times_s || in_flight > IN_FLIGHT_MAX)
+  r.latencies_s = calloc ((size_t)n_requests, sizeof *r.latencies_s);
+  if (!r.latencies_s || in_flight > IN_FLIGHT_MAX)
     return 64;
   snprintf (header, sizeof header, "Authorization: Bearer %s", argv[2]);
   r.headers = curl_slist_append (NULL, header);
   r.headers = curl_slist_append (r.headers, "Expect:");
   r.multi = curl_multi_init ();
   for (int i = 0; i < in_flight; i++)
-    send_one (&r, curl_easy_init ());
-  while (running || r.n_left > 0)
+    send_next_request (&r, curl_easy_init ());
+  while (n_running || r.n_unsent > 0)
     {
-      curl_multi_perform (r.multi, &running);
+      curl_multi_perform (r.multi, &n_running);
       collect_finished (&r);
-      if (running)
+      if (n_running)
         curl_multi_poll (r.multi, NULL, 0, 100, NULL);
     }
   collect_finished (&r);
-  qsort (r.times_s, (size_t)r.n_good, sizeof *r.times_s, compare_times);
-  for (int i = 0; i < r.n_good; i++)
-    sum_s += r.times_s[i];
+  qsort (r.latencies_s, (size_t)r.n_succeeded, sizeof *r.latencies_s,
+         compare_latencies);
+  for (int i = 0; i < r.n_succeeded; i++)
+    sum_s += r.latencies_s[i];
   printf ("{\"figure\":\"service\",\"label\":\"%s\",\"in_flight\":%d,"
           "\"good\":%d,\"bad\":%d,\"p50_us\":%.0f,\"p99_us\":%.0f,"
           "\"requests_per_s\":%.0f}\n",
-          argv[5], in_flight, r.n_good, r.n_bad,
-          r.n_good ? r.times_s[r.n_good / 2] * US_PER_S : 0,
-          r.n_good ? r.times_s[r.n_good * 99 / 100] * US_PER_S : 0,
-          sum_s > 0 ? r.n_good * in_flight / sum_s : 0);
+          argv[5], in_flight, r.n_succeeded, r.n_failed,
+          r.n_succeeded ? r.latencies_s[r.n_succeeded / 2] * US_PER_S : 0,
+          r.n_succeeded ? r.latencies_s[r.n_succeeded * 99 / 100] * US_PER_S
+                        : 0,
+          sum_s > 0 ? r.n_succeeded * in_flight / sum_s : 0);
   return 0;
 }
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -13,15 +13,15 @@
 
 enum
 {
-  DECISIONS = 200000,
-  /* Capacity of one worker. */
-  CORES = 32,
-  MEM_MB = 65536,
+  DECISIONS = 200000, /* placement decisions in one measurement of times */
+  /* Cores and memory of one worker. */
+  WORKER_CORES = 32,
+  WORKER_MEM_MB = 65536,
   RACK_SIZE = 8,            /* workers in one rack */
-  PACKING_MISSES_MAX = 200, /* failures in a row that end a packing run */
+  PACKING_MISSES_MAX = 200, /* tasks in a row that fit on no worker */
 };
 
-/* enum policy - how a worker is chosen */
+/* enum policy - placement policy, which chooses a worker for a task */
 enum policy
 {
   POLICY_CITRONLB,
@@ -33,16 +33,16 @@
 static const char *const policy_names[POLICY_N]
     = { "citronlb", "first-come first-fit", "least-loaded", "random of two" };
 
-static uint64_t rng;
+static uint64_t rng_state;
 
-/* A number from 0 to @below - 1, or 0 if @below is 0. */
+/* Returns a pseudo-random number from 0 to @below - 1, or 0 if @below is 0. */
 static uint64_t
 next_random (uint64_t below)
 {
-  rng ^= rng << 13;
-  rng ^= rng >> 7;
-  rng ^= rng << 17;
-  return below ? rng % below : 0;
+  rng_state ^= rng_state << 13;
+  rng_state ^= rng_state >> 7;
+  rng_state ^= rng_state << 17;
+  return below ? rng_state % below : 0;
 }
 
 static int64_t
@@ -59,11 +59,12 @@
 {
   for (int i = 0; i < n; i++)
     {
-      struct inst in = { .kind = INST_WORKER,
-                         .capacity = { .cores = CORES, .mem_mb = MEM_MB } };
+      struct inst in
+          = { .kind = INST_WORKER,
+              .capacity = { .cores = WORKER_CORES, .mem_mb = WORKER_MEM_MB } };
       snprintf (in.id, sizeof in.id, "w%04d", i);
       snprintf (in.rack, sizeof in.rack, "r%03d", i / RACK_SIZE);
-      /* Accelerators are spread evenly over the workers. */
+      /* The @accels accelerators are spread evenly over the @n workers. */
       in.capacity.accels
           = (int64_t)(i + 1) * accels / n - (int64_t)i * accels / n;
       struct worker *w = pool_add (pool, &in);
@@ -72,7 +73,8 @@
     }
 }
 
-/* A large task in 10 %, a medium one in 30 % and a small one in 60 %. */
+/* Returns the spec of a random task: large with a probability of 10 %, medium
+   with 30 % and small with 60 %. */
 static struct spec
 random_spec (void)
 {
@@ -97,17 +99,18 @@
   return clb_res_fits (need, &free_capacity);
 }
 
-/* Picks a worker by a baseline policy; NULL if none fits. */
+/* Returns the worker that the baseline policy @policy chooses for @need, or
+   NULL if it finds none with enough free capacity. */
 static struct worker *
-baseline_pick (struct pool *pool, struct worker **all, int n, int policy,
-               const struct clb_res *need)
+pick_by_baseline (struct pool *pool, struct worker **all_workers, int n,
+                  int policy, const struct clb_res *need)
 {
   struct worker *best = NULL;
 
   if (policy == POLICY_RANDOM_OF_TWO)
     {
-      struct worker *a = all[next_random ((uint64_t)n)];
-      struct worker *b = all[next_random ((uint64_t)n)];
+      struct worker *a = all_workers[next_random ((uint64_t)n)];
+      struct worker *b = all_workers[next_random ((uint64_t)n)];
       if (!a || !b)
         return NULL;
       if (fits (a, need)
@@ -118,28 +121,29 @@
   (void)pool;
   for (int i = 0; i < n; i++)
     {
-      if (!all[i] || !fits (all[i], need))
+      if (!all_workers[i] || !fits (all_workers[i], need))
         continue;
       if (policy == POLICY_FIRST_FIT)
-        return all[i];
-      if (!best || all[i]->used.cores < best->used.cores)
-        best = all[i];
+        return all_workers[i];
+      if (!best || all_workers[i]->used.cores < best->used.cores)
+        best = all_workers[i];
     }
   return best;
 }
 
-/* Picks a worker and reserves the task's resources on it, or returns NULL. */
+/* Chooses a worker for a task by @policy and reserves the resources of the
+   task on it.  Returns the worker, or NULL if the policy finds none. */
 static struct worker *
-place_task (struct pool *pool, struct worker **all, int n, int policy,
+place_task (struct pool *pool, struct worker **all_workers, int n, int policy,
             const struct spec *spec)
 {
   struct worker *w = NULL;
   int64_t n_examined;
-  int reason;
+  int reason; /* enum clb_reason, the result of pool_pick() */
 
   if (policy != POLICY_CITRONLB)
     {
-      w = baseline_pick (pool, all, n, policy, &spec->need);
+      w = pick_by_baseline (pool, all_workers, n, policy, &spec->need);
       if (w)
         clb_res_add (&w->used, &spec->need, 1);
       return w;
@@ -157,47 +161,51 @@
   return x < y ? -1 : x > y;
 }
 
-/* struct placement - a task that was placed, or w is NULL; kept to end it */
+/* struct placement - worker of a running task and the resources reserved for
+   the task, which are released when it ends; w is NULL if no task runs */
 struct placement
 {
   struct worker *w;
   struct clb_res need;
 };
 
-/* Measures decisions while tasks of random kinds end and new ones start. */
+/* Measures the time of each placement decision and the placements per second,
+   while at most @max_running tasks run at once.  Before each decision a random
+   one of them may end. */
 static void
-measure_speed (int workers, int accels, int running, int policy)
+measure_decision_times (int workers, int accels, int max_running, int policy)
 {
   static int64_t times_ns[DECISIONS];
   struct pool pool;
-  struct worker **all = calloc ((size_t)workers, sizeof *all);
-  struct placement *placements = calloc ((size_t)running, sizeof *placements);
+  struct worker **all_workers = calloc ((size_t)workers, sizeof *all_workers);
+  struct placement *placements
+      = calloc ((size_t)max_running, sizeof *placements);
   struct worker *w;
   int n = 0;
   int64_t total_ns = 0;
-  int placed = 0;
+  int n_placed = 0;
 
-  if (!all || !placements)
+  if (!all_workers || !placements)
     abort ();
-  rng = 88172645463325252u;
+  rng_state = 88172645463325252u;
   pool_init (&pool);
   add_workers (&pool, workers, accels);
   RB_FOREACH (w, worker_tree, &pool.workers)
-    all[n++] = w;
+    all_workers[n++] = w;
   for (int i = 0; i < DECISIONS; i++)
     {
-      struct placement *p = &placements[next_random ((uint64_t)running)];
+      struct placement *p = &placements[next_random ((uint64_t)max_running)];
       if (p->w)
         clb_res_add (&p->w->used, &p->need, -1);
       p->w = NULL;
       struct spec spec = random_spec ();
       int64_t start_ns = now_ns ();
-      w = place_task (&pool, all, n, policy, &spec);
+      w = place_task (&pool, all_workers, n, policy, &spec);
       times_ns[i] = now_ns () - start_ns;
       total_ns += times_ns[i];
       if (!w)
         continue;
-      placed++;
+      n_placed++;
       p->w = w;
       p->need = spec.need;
     }
@@ -207,51 +215,55 @@
   printf ("{\"figure\":\"placement\",\"way\":\"%s\",\"workers\":%d,"
           "\"running\":%d,\"placements_per_s\":%.0f,\"p50_us\":%.1f,"
           "\"p99_us\":%.1f,\"placed\":%d,\"of\":%d}\n",
-          policy_names[policy], workers, running,
+          policy_names[policy], workers, max_running,
           (double)DECISIONS * 1e9 / (double)total_ns,
-          (double)times_ns[median] / 1e3, (double)times_ns[p99] / 1e3, placed,
-          DECISIONS);
+          (double)times_ns[median] / 1e3, (double)times_ns[p99] / 1e3,
+          n_placed, DECISIONS);
   pool_clear (&pool);
-  free (all);
+  free (all_workers);
   free (placements);
 }
 
-/* Measures which share of the capacity is in use when tasks no longer fit. */
+/* Measures the share of the workers' cores and memory that is in use after
+   random tasks were placed until PACKING_MISSES_MAX consecutive tasks did not
+   fit. */
 static void
 measure_packing (int workers, int accels, int policy)
 {
   struct pool pool;
-  struct worker **all = calloc ((size_t)workers, sizeof *all);
+  struct worker **all_workers = calloc ((size_t)workers, sizeof *all_workers);
   struct worker *w;
   int n = 0;
-  int misses = 0;
+  int n_misses = 0;
   int64_t cores = 0;
-  int64_t mem = 0;
+  int64_t mem_mb = 0;
 
-  if (!all)
+  if (!all_workers)
     abort ();
-  rng = 88172645463325252u;
+  rng_state = 88172645463325252u;
   pool_init (&pool);
   add_workers (&pool, workers, accels);
   RB_FOREACH (w, worker_tree, &pool.workers)
-    all[n++] = w;
-  while (misses < PACKING_MISSES_MAX)
+    all_workers[n++] = w;
+  while (n_misses < PACKING_MISSES_MAX)
     {
       struct spec spec = random_spec ();
-      misses = place_task (&pool, all, n, policy, &spec) ? 0 : misses + 1;
+      n_misses = place_task (&pool, all_workers, n, policy, &spec)
+                     ? 0
+                     : n_misses + 1;
     }
   for (int i = 0; i < n; i++)
     {
-      cores += all[i]->used.cores;
-      mem += all[i]->used.mem_mb;
+      cores += all_workers[i]->used.cores;
+      mem_mb += all_workers[i]->used.mem_mb;
     }
   printf ("{\"figure\":\"packing\",\"way\":\"%s\",\"workers\":%d,"
           "\"cores_used\":%.4f,\"mem_used\":%.4f}\n",
           policy_names[policy], workers,
-          (double)cores / (CORES * (double)workers),
-          (double)mem / (MEM_MB * (double)workers));
+          (double)cores / (WORKER_CORES * (double)workers),
+          (double)mem_mb / (WORKER_MEM_MB * (double)workers));
   pool_clear (&pool);
-  free (all);
+  free (all_workers);
 }
 
 int
@@ -259,9 +271,9 @@
 {
   for (int policy = 0; policy < POLICY_N; policy++)
     {
-      measure_speed (50, 12, 300, policy);
-      measure_speed (186, 220, 1140, policy);
-      measure_speed (930, 1100, 5700, policy);
+      measure_decision_times (50, 12, 300, policy);
+      measure_decision_times (186, 220, 1140, policy);
+      measure_decision_times (930, 1100, 5700, policy);
     }
   for (int policy = 0; policy < POLICY_N; policy++)
     {
--- a/bench/times.lua
+++ b/bench/times.lua
@@ -11,8 +11,8 @@
   return list[math.max(1, math.ceil(#list * p / 100))]
 end
 
--- Measures the failover time of 20 rounds: from the fault of the holder to the
--- first start of a task that was submitted after it.
+-- Measures the failover time in 20 rounds: the time from the fault of the holder
+-- to the first start of a task that was submitted after the fault.
 local function failover_times(fault)
   local times = {}
   for round = 1, 20 do
@@ -46,7 +46,8 @@
              p99_ms = percentile(times, 99), runs = #times}
 end
 
--- Times until a configuration is in force at all instances.
+-- Times from the answer to the apply call until the configuration is in force at
+-- all instances.
 local apply_times = {}
 scenario("configuration", function()
   begin{domains = {"a", "b", "c"}, entries = 3}
--- a/regress/process/fleet.sh
+++ b/regress/process/fleet.sh
@@ -5,7 +5,8 @@
 cd "$(dirname "$0")/../.." || exit 1
 . regress/process/fleetlib.sh
 
-# load JOBS RATE FIRST_ID: prints the result line of fleet-load.
+# load JOBS RATE FIRST_ID: submits jobs to all instances and prints the result
+# line of fleet-load.
 load() {
 	"$BUILD/regress/fleet-load" "$1" "$2" "$3" $NET.1:8183 $NET.2:8183 \
 		$NET.3:8183 | tail -1
--- a/regress/process/fleetkill.sh
+++ b/regress/process/fleetkill.sh
@@ -10,17 +10,19 @@
 
 pid_of() { eval "echo \$pid$1"; }
 
-# submit ID INSTANCE TIMEOUT_S: prints the body and the status of the answer.
+# submit ID INSTANCE TIMEOUT_S: submits a job and prints the body and the HTTP
+# status of the answer.
 submit() {
 	curl -s -m "$3" -w ' %{http_code}' -X POST -H 'Key: k' -d "$job" \
 		"http://$NET.$2:8183/q/$1"
 }
 
-# state ID INSTANCE: prints the body of the answer.
+# state ID INSTANCE: asks the instance for the state of a job and prints the body
+# of the answer.
 state() { curl -s -m 3 -H 'Key: k' "http://$NET.$2:8183/q/$1"; }
 
 # load_others FIRST_ID: submits jobs in the background to all instances but the
-# leader $leading.  Sets load to the process id.
+# leader $leading.  Sets load to the process id of fleet-load.
 load_others() {
 	others=$(for n in 1 2 3; do
 		[ $n = "$leading" ] || echo "$NET.$n:8183"
--- a/regress/process/fleetlib.sh
+++ b/regress/process/fleetlib.sh
@@ -52,7 +52,8 @@
 JSON
 }
 
-# start_instance N: sets pidN.
+# start_instance N: starts the daemon of instance N and sets pidN to its process
+# id.
 start_instance() {
 	"$BUILD/citronlbd/citronlbd" --fleet "$dir/$1.json" \
 		>>"$dir/$1.log" 2>&1 &
@@ -60,8 +61,9 @@
 	pids="$pids $!"
 }
 
-# fleet_up EXECUTORS INSTANCES: sets execs, instances and standin, the process id
-# of the stand-in.
+# fleet_up EXECUTORS INSTANCES: starts the stand-in of the platform and the
+# daemons of all instances.  Sets execs and instances to the arguments, and
+# standin to the process id of the stand-in.
 fleet_up() {
 	execs=$1
 	instances=$2
@@ -99,7 +101,8 @@
 	sleep 1.5
 }
 
-# Prints the number of the instance that leads by its metrics, or nothing.
+# leader: prints the number of the instance whose metrics show that it leads, or
+# nothing if none does.
 leader() {
 	for n in $(seq 1 "$instances"); do
 		curl -s -m 1 "http://$NET.$n:9464/metrics" |
--- a/regress/process/fleetlog.sh
+++ b/regress/process/fleetlog.sh
@@ -13,7 +13,8 @@
 		awk -v k="citronlb_$2" '$1 == k { print $2 }'
 }
 
-# status CURL-ARGUMENT...: prints the HTTP status of the answer.
+# status CURL-ARGUMENT...: sends a request and prints the HTTP status of the
+# answer.
 status() {
 	curl -s -m 3 -o /dev/null -w '%{http_code}' "$@"
 }
--- a/regress/process/real.sh
+++ b/regress/process/real.sh
@@ -31,7 +31,8 @@
 wait_for 30 ctl -k "$ops_key" apply --base 0 --change p1 "$work/manifest.json"
 export CITRONCTL_KEY=$team_key
 
-# Prints the entry instance that holds the lease and may start tasks.
+# holder: prints the id of the entry instance that holds the lease and may start
+# tasks; fails if there is none.
 holder() {
 	for e in a1 a2 a3; do
 		eval "url=\$url_$e"
@@ -50,7 +51,8 @@
 task_id() { jq -r .id; }
 # started TASK: prints the number of starts that the backend logged.
 started() { grep -c " start $1/" "$work/runs-a" || :; }
-# preview URL RUN_MS BYTES: prints the body and, on a line of its own, the status.
+# preview URL RUN_MS BYTES: sends a service request and prints the body of the
+# answer and, on the last line, the HTTP status.
 preview() {
 	curl -s -m 60 -w '\n%{http_code}' -H "Authorization: Bearer $team_key" \
 		-d 'body' "$1/v1/service/previews?run_ms=$2&bytes=$3"
@@ -172,7 +174,7 @@
 
 # Bad input and bad settings.
 
-# Prints the exit code of the command.
+# exit_code COMMAND...: prints the exit code of the command.
 exit_code() { "$@" >/dev/null 2>&1; echo $?; }
 check "an unknown flag exits with 64" \
 	[ "$(exit_code "$bin/citronlbd/citronlbd" --nonsense)" = 64 ]
@@ -219,13 +221,13 @@
 	stalled_client_disconnected
 
 # TLS, and a certificate that is renewed while the daemon runs.
-# make_certificate COMMON-NAME
+# make_certificate COMMON-NAME: creates a self-signed certificate and its key.
 make_certificate() {
 	openssl req -x509 -newkey rsa:2048 -nodes -days 2 -subj "/CN=$1" \
 		-addext "subjectAltName=IP:127.0.0.1" -keyout "$work/tls.key" \
 		-out "$work/tls.crt" 2>/dev/null
 }
-# Prints the subject of the certificate that the server presents.
+# served_subject: prints the subject of the certificate that the server presents.
 served_subject() {
 	openssl s_client -connect "$tls_addr" </dev/null 2>/dev/null |
 		openssl x509 -noout -subject 2>/dev/null
--- a/regress/soak/proxy.c
+++ b/regress/soak/proxy.c
@@ -27,7 +27,7 @@
 enum
 {
   LINKS_MAX = 256,
-  READ_SIZE = 65536, /* most bytes of one read */
+  READ_SIZE = 65536, /* largest number of bytes in one read */
 };
 
 enum mode
@@ -48,42 +48,45 @@
 struct link
 {
   uv_tcp_t listener;
-  int target_port;
+  int target_port; /* port on 127.0.0.1 */
   enum mode mode;
-  uint64_t delay_ms; /* of MODE_DELAY */
+  uint64_t delay_ms; /* delay in each direction, used in MODE_DELAY */
 };
 
-/* struct pair - a client's connection and the one to the target */
-struct pair
+/* struct conn_pair - a client's connection to the proxy and the connection of
+   the proxy to the target */
+struct conn_pair
 {
-  LIST_ENTRY (pair) entry;
-  uint64_t id; /* never reused */
+  LIST_ENTRY (conn_pair) entry;
+  uint64_t id; /* unique; ids of freed pairs are not reused */
   struct link *link;
-  uv_tcp_t end[2]; /* to the client, to the target */
+  uv_tcp_t end[2]; /* 0: connection to the client, 1: to the target */
   uv_connect_t connect;
-  int n_open; /* ends whose handles are not closed yet */
-  bool closing;
-  bool connected;
-  /* When the last bytes to each end are due.  Later bytes are never due
-     earlier, so that a shorter delay does not reorder the stream. */
-  uint64_t due_ms[2];
+  int n_open_ends; /* number of ends whose handles are not closed yet */
+  bool closing;    /* both ends are being closed */
+  bool connected;  /* the connection to the target is established */
+  /* Time at which the last bytes to each end are to be written.  Bytes that
+     are read later are not written earlier, so that a shorter delay does not
+     reorder the stream. */
+  uint64_t due_ms[2]; /* on the clock of uv_now() */
 };
 
-/* struct chunk - bytes that were read and are not written yet */
+/* struct chunk - bytes that were read from one end of a pair and are not
+   written to the other end yet */
 struct chunk
 {
   uv_timer_t timer;
   uv_write_t write;
-  struct pair *pair;
-  /* Checked before @pair is used: the pair may have been freed, and a later
-     one may have the same address. */
+  struct conn_pair *pair;
+  /* Id of @pair, compared before @pair is used, because the pair may have been
+     freed and a later pair may have the same address. */
   uint64_t pair_id;
-  int to; /* index of the end that the bytes go to */
+  int to_end; /* index in @pair->end: where the bytes are written */
   size_t len;
   char bytes[];
 };
 
-static LIST_HEAD (, pair) pairs = LIST_HEAD_INITIALIZER (pairs);
+static LIST_HEAD (, conn_pair) pairs = LIST_HEAD_INITIALIZER (pairs);
 static struct link links[LINKS_MAX];
 static int n_links;
 static uint64_t last_pair_id;
@@ -92,16 +95,16 @@
 static void
 on_end_closed (uv_handle_t *h)
 {
-  struct pair *p = h->data;
+  struct conn_pair *p = h->data;
 
-  if (--p->n_open > 0)
+  if (--p->n_open_ends > 0)
     return;
   LIST_REMOVE (p, entry);
   free (p);
 }
 
 static void
-close_pair (struct pair *p, bool reset)
+close_pair (struct conn_pair *p, bool reset)
 {
   if (p->closing)
     return;
@@ -118,16 +121,16 @@
 }
 
 static void
-chunk_close (struct chunk *c)
+close_chunk (struct chunk *c)
 {
   uv_close ((uv_handle_t *)&c->timer, on_chunk_closed);
 }
 
-/* Whether the pair of @c still exists and is not being closed. */
+/* Returns whether the connection pair of @c exists and is not being closed. */
 static bool
 pair_is_open (const struct chunk *c)
 {
-  const struct pair *p;
+  const struct conn_pair *p;
 
   LIST_FOREACH (p, &pairs, entry)
   if (p->id == c->pair_id)
@@ -136,37 +139,38 @@
 }
 
 static void
-on_written (uv_write_t *w, int status)
+on_chunk_written (uv_write_t *w, int status)
 {
   struct chunk *c = w->data;
 
   if (status && pair_is_open (c))
     close_pair (c->pair, false);
-  chunk_close (c);
+  close_chunk (c);
 }
 
 static void
-on_due (uv_timer_t *t)
+on_chunk_due (uv_timer_t *t)
 {
   struct chunk *c = t->data;
   uv_buf_t buf = uv_buf_init (c->bytes, (unsigned)c->len);
 
   if (!pair_is_open (c)
-      || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->to], &buf, 1,
-                   on_written))
-    chunk_close (c);
+      || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->to_end], &buf, 1,
+                   on_chunk_written))
+    close_chunk (c);
 }
 
-/* Whether @l forwards nothing to end @to. */
+/* Returns whether the mode of @l stops forwarding to end @to_end, 0 for the
+   client and 1 for the target. */
 static bool
-is_stalled (const struct link *l, int to)
+is_stalled (const struct link *l, int to_end)
 {
-  return l->mode == MODE_STALL || (l->mode == MODE_STALL_REPLY && to == 0)
-         || (l->mode == MODE_STALL_REQUEST && to == 1);
+  return l->mode == MODE_STALL || (l->mode == MODE_STALL_REPLY && to_end == 0)
+         || (l->mode == MODE_STALL_REQUEST && to_end == 1);
 }
 
 static void
-forward (struct pair *p, int to, const char *bytes, size_t len)
+forward_bytes (struct conn_pair *p, int to_end, const char *bytes, size_t len)
 {
   uint64_t now_ms = uv_now (loop);
   uint64_t due_ms
@@ -175,18 +179,18 @@
 
   if (!c)
     abort ();
-  if (due_ms < p->due_ms[to])
-    due_ms = p->due_ms[to];
-  p->due_ms[to] = due_ms;
+  if (due_ms < p->due_ms[to_end])
+    due_ms = p->due_ms[to_end];
+  p->due_ms[to_end] = due_ms;
   c->pair = p;
   c->pair_id = p->id;
-  c->to = to;
+  c->to_end = to_end;
   c->len = len;
   memcpy (c->bytes, bytes, len);
   uv_timer_init (loop, &c->timer);
   c->timer.data = c;
   c->write.data = c;
-  uv_timer_start (&c->timer, on_due, due_ms - now_ms, 0);
+  uv_timer_start (&c->timer, on_chunk_due, due_ms - now_ms, 0);
 }
 
 static void
@@ -202,19 +206,19 @@
 static void
 on_read (uv_stream_t *s, ssize_t n, const uv_buf_t *buf)
 {
-  struct pair *p = s->data;
+  struct conn_pair *p = s->data;
 
   if (n < 0)
     close_pair (p, n == UV_ECONNRESET);
   else if (n > 0)
-    forward (p, s == (uv_stream_t *)&p->end[0], buf->base, (size_t)n);
+    forward_bytes (p, s == (uv_stream_t *)&p->end[0], buf->base, (size_t)n);
 }
 
-/* Starts or stops reading each end by the mode of the link.  Bytes that are
-   not read stay in the sockets' buffers, and TCP flow control stops the
-   sender. */
+/* Starts or stops reading from each end, as the mode of the link requires.
+   Bytes that are not read stay in the sockets' buffers, and TCP flow control
+   stops the sender. */
 static void
-update_reading (struct pair *p)
+update_reading (struct conn_pair *p)
 {
   for (int i = 0; i < 2 && p->connected && !p->closing; i++)
     if (is_stalled (p->link, 1 - i))
@@ -226,7 +230,7 @@
 static void
 on_connected (uv_connect_t *c, int status)
 {
-  struct pair *p = c->data;
+  struct conn_pair *p = c->data;
 
   if (status)
     {
@@ -241,14 +245,14 @@
 on_connection (uv_stream_t *listener, int status)
 {
   struct link *l = listener->data;
-  struct pair *p = calloc (1, sizeof *p);
-  struct sockaddr_in to;
+  struct conn_pair *p = calloc (1, sizeof *p);
+  struct sockaddr_in target_addr;
 
   if (!p || status)
     abort ();
   p->id = ++last_pair_id;
   p->link = l;
-  p->n_open = 2;
+  p->n_open_ends = 2;
   for (int i = 0; i < 2; i++)
     {
       uv_tcp_init (loop, &p->end[i]);
@@ -261,17 +265,17 @@
       close_pair (p, true);
       return;
     }
-  uv_ip4_addr ("127.0.0.1", l->target_port, &to);
+  uv_ip4_addr ("127.0.0.1", l->target_port, &target_addr);
   p->connect.data = p;
-  if (uv_tcp_connect (&p->connect, &p->end[1], (struct sockaddr *)&to,
+  if (uv_tcp_connect (&p->connect, &p->end[1], (struct sockaddr *)&target_addr,
                       on_connected))
     close_pair (p, true);
 }
 
 static void
-set_mode (int index, const char *name, int ms)
+set_link_mode (int index, const char *name, int ms)
 {
-  struct pair *p, *next;
+  struct conn_pair *p, *next;
 
   if (index < 0 || index >= n_links)
     return;
@@ -294,7 +298,7 @@
 {
   static char text[4096];
   static size_t len;
-  char *end;
+  char *newline;
 
   (void)s;
   if (n < 0)
@@ -302,16 +306,16 @@
   for (ssize_t i = 0; i < n && len + 1 < sizeof text; i++)
     text[len++] = buf->base[i];
   text[len] = '\0';
-  while ((end = strchr (text, '\n')))
+  while ((newline = strchr (text, '\n')))
     {
       char name[16] = "";
       int index = -1;
       int ms = 0;
-      *end = '\0';
+      *newline = '\0';
       if (sscanf (text, "%d %15s %d", &index, name, &ms) >= 2)
-        set_mode (index, name, ms);
-      len -= (size_t)(end + 1 - text);
-      memmove (text, end + 1, len + 1);
+        set_link_mode (index, name, ms);
+      len -= (size_t)(newline + 1 - text);
+      memmove (text, newline + 1, len + 1);
     }
 }
 
@@ -319,7 +323,7 @@
 add_link (const char *text)
 {
   struct link *l = &links[n_links++];
-  struct sockaddr_in at;
+  struct sockaddr_in listen_addr;
   int port;
 
   if (n_links > LINKS_MAX
@@ -328,10 +332,10 @@
       fprintf (stderr, "soak-proxy: %s: expected LISTEN=TARGET\n", text);
       exit (64);
     }
-  uv_ip4_addr ("127.0.0.1", port, &at);
+  uv_ip4_addr ("127.0.0.1", port, &listen_addr);
   uv_tcp_init (loop, &l->listener);
   l->listener.data = l;
-  if (uv_tcp_bind (&l->listener, (struct sockaddr *)&at, 0)
+  if (uv_tcp_bind (&l->listener, (struct sockaddr *)&listen_addr, 0)
       || uv_listen ((uv_stream_t *)&l->listener, 512, on_connection))
     {
       fprintf (stderr, "soak-proxy: port %d: cannot listen\n", port);
--- a/regress/standin/backendd.c
+++ b/regress/standin/backendd.c
@@ -1,8 +1,9 @@
 /*
  * backendd - stand-in for the workers and executors of one failure domain.
- * Each of them listens on a port of its own in this process.  At its start
- * backendd prints their entries of the platform's instance list.  Each start
- * and end of a worker's run is a line on standard error.
+ * Each worker and executor listens on its own port in this process.  When
+ * backendd starts, it prints the entries of all workers and executors for the
+ * platform's instance list.  Each start and each end of a run on a worker is
+ * logged as a line on standard error.
  *
  * An executor answers POST /v1/service/QUEUE with its id, the X-Request-Id
  * header or "-", and the request's body.  Parameters of the query:
@@ -19,28 +20,29 @@
 
 enum
 {
-  BODY_MAX = 16 << 20,
-  RACK_SIZE = 8, /* workers in one rack */
-  TICK_MS = 20,
-  SLOTS = 8, /* of each executor */
+  BODY_MAX = 16 << 20, /* largest accepted request body in bytes */
+  RACK_SIZE = 8,       /* workers in one rack */
+  TICK_MS = 20,        /* interval between calls of fworker_tick() */
+  EXECUTOR_SLOTS = 8,  /* service requests that one executor can run at once */
 };
 
+/* struct server - one worker or executor */
 struct server
 {
   struct httpd *http;
-  struct fworker w;
-  struct inst inst;
+  struct fworker w; /* runs, faults and slots in use of this server */
+  struct inst inst; /* entry of the instance list */
 };
 
-/* struct service_request - a service request in progress */
+/* struct service_request - a service request that is not answered yet */
 struct service_request
 {
   uv_timer_t timer;
   struct server *s;
-  uint64_t id; /* of the HTTP server */
-  int status;
-  char *text;
-  size_t len;
+  uint64_t id; /* id that the HTTP server gave to the request */
+  int status;  /* HTTP status of the answer */
+  char *text;  /* body of the answer, not null-terminated */
+  size_t len;  /* length of the body in bytes */
 };
 
 static int64_t
@@ -59,7 +61,7 @@
 }
 
 static void
-on_served (uv_timer_t *t)
+send_service_answer (uv_timer_t *t)
 {
   struct service_request *sr = t->data;
 
@@ -69,21 +71,22 @@
   uv_close ((uv_handle_t *)t, free_service_request);
 }
 
-/* Value of the query parameter @name, written "NAME=", or @fallback. */
+/* Returns the number in the query parameter @name, or @fallback if @path does
+   not have that parameter.  @name includes the "=", as in "run_ms=". */
 static int64_t
 query_param (const char *path, const char *name, int64_t fallback)
 {
-  const char *at = strstr (path, name);
+  const char *found = strstr (path, name);
 
-  return at ? strtoll (at + strlen (name), NULL, 10) : fallback;
+  return found ? strtoll (found + strlen (name), NULL, 10) : fallback;
 }
 
 static void
-on_service (struct server *s, const struct httpd_req *rq)
+on_service_request (struct server *s, const struct httpd_req *rq)
 {
   struct service_request *sr = calloc (1, sizeof *sr);
-  size_t pad = (size_t)query_param (rq->path, "bytes=", 0);
-  size_t head;
+  size_t pad_len = (size_t)query_param (rq->path, "bytes=", 0);
+  size_t prefix_len;
 
   if (!sr)
     abort ();
@@ -91,23 +94,23 @@
   sr->id = rq->id;
   sr->status
       = (int)query_param (rq->path, "status=", s->w.fail_all ? 500 : 200);
-  sr->text = malloc (rq->body_len + pad + 256);
+  sr->text = malloc (rq->body_len + pad_len + 256);
   if (!sr->text)
     abort ();
-  head = (size_t)snprintf (sr->text, 256, "%s %s ", s->inst.id,
-                           rq->request_id ? rq->request_id : "-");
-  memcpy (sr->text + head, rq->body_len ? rq->body : "", rq->body_len);
-  memset (sr->text + head + rq->body_len, 'x', pad);
-  sr->len = head + rq->body_len + pad;
+  prefix_len = (size_t)snprintf (sr->text, 256, "%s %s ", s->inst.id,
+                                 rq->request_id ? rq->request_id : "-");
+  memcpy (sr->text + prefix_len, rq->body_len ? rq->body : "", rq->body_len);
+  memset (sr->text + prefix_len + rq->body_len, 'x', pad_len);
+  sr->len = prefix_len + rq->body_len + pad_len;
   s->w.busy++;
   uv_timer_init (uv_default_loop (), &sr->timer);
   sr->timer.data = sr;
-  uv_timer_start (&sr->timer, on_served,
+  uv_timer_start (&sr->timer, send_service_answer,
                   (uint64_t)query_param (rq->path, "run_ms=", 1), 0);
 }
 
 static void
-on_sync (struct server *s, const struct httpd_req *rq)
+on_sync_request (struct server *s, const struct httpd_req *rq)
 {
   struct sync_req req;
   struct sync_rep rep;
@@ -133,10 +136,11 @@
   codec_free (&sync_req_desc, &req);
 }
 
-/* Body: {"fail_all": true, "leaving": true, "fence": true, "reboot": 7};
-   each member is optional, "reboot" begins a boot of that number. */
+/* Changes the behaviour of the worker by the JSON body
+   {"fail_all": true, "leaving": true, "fence": true, "reboot": 7}.  Each
+   member is optional; "reboot" restarts the worker with that boot number. */
 static void
-on_control (struct server *s, const struct httpd_req *rq)
+on_control_request (struct server *s, const struct httpd_req *rq)
 {
   json_t *json = json_loadb (rq->body, rq->body_len, 0, NULL);
   json_t *v;
@@ -159,11 +163,11 @@
   struct server *s = arg;
 
   if (strcmp (rq->path, "/v1/sync") == 0)
-    on_sync (s, rq);
+    on_sync_request (s, rq);
   else if (strcmp (rq->path, "/v1/control") == 0)
-    on_control (s, rq);
+    on_control_request (s, rq);
   else
-    on_service (s, rq);
+    on_service_request (s, rq);
 }
 
 static void
@@ -173,11 +177,11 @@
   (void)request_id;
 }
 
-/* struct domain - all workers and executors of this process */
+/* struct domain - all workers and executors, which form one failure domain */
 struct domain
 {
   struct server *servers;
-  int n;
+  int n_servers;
 };
 
 static void
@@ -185,7 +189,7 @@
 {
   struct domain *d = t->data;
 
-  for (int i = 0; i < d->n; i++)
+  for (int i = 0; i < d->n_servers; i++)
     fworker_tick (&d->servers[i].w, now_ms ());
 }
 
@@ -222,7 +226,7 @@
   clb_copy (s->inst.addr, httpd_addr (s->http), sizeof s->inst.addr);
   s->inst.kind = executor ? INST_EXECUTOR : INST_WORKER;
   if (executor)
-    s->inst.capacity.slots = SLOTS;
+    s->inst.capacity.slots = EXECUTOR_SLOTS;
   else
     {
       s->inst.capacity.cores = 16;
@@ -235,13 +239,13 @@
 static void
 print_instances (const struct domain *d)
 {
-  struct inst_list list = { .n_items = (size_t)d->n };
+  struct inst_list list = { .n_items = (size_t)d->n_servers };
   char *text;
 
   list.items = calloc (list.n_items, sizeof *list.items);
   if (!list.items)
     abort ();
-  for (int i = 0; i < d->n; i++)
+  for (int i = 0; i < d->n_servers; i++)
     list.items[i] = d->servers[i].inst;
   text = codec_text (&inst_list_desc, &list);
   printf ("%s\n", text);
@@ -264,11 +268,11 @@
       return 64;
     }
   workers = atoi (argv[2]);
-  d.n = workers + atoi (argv[3]);
-  d.servers = calloc ((size_t)d.n, sizeof *d.servers);
+  d.n_servers = workers + atoi (argv[3]);
+  d.servers = calloc ((size_t)d.n_servers, sizeof *d.servers);
   if (!d.servers)
     abort ();
-  for (int i = 0; i < d.n && !err; i++)
+  for (int i = 0; i < d.n_servers && !err; i++)
     err = start_server (&d.servers[i], argv[1], i < workers ? i : i - workers,
                         i >= workers);
   if (err)
--- a/regress/standin/fstore.c
+++ b/regress/standin/fstore.c
@@ -6,37 +6,37 @@
 
 enum
 {
-  LIST_PAGE_ROWS = 500, /* most rows in one reply to STORE_LIST */
+  LIST_PAGE_ROWS = 500, /* largest number of rows in one reply to STORE_LIST */
 };
 
 /* struct frow - one row of the table, or one object */
-struct frow
+struct stored_row
 {
-  RB_ENTRY (frow) by_key;
+  RB_ENTRY (stored_row) by_key;
   char *key;
   char *value;
-  int64_t ver; /* unique over all rows, increases with each write */
+  int64_t ver; /* unique among all rows; each write assigns a higher one */
 };
-RB_HEAD (frow_tree, frow);
+RB_HEAD (stored_row_tree, stored_row);
 
 struct fstore
 {
-  struct frow_tree rows;
-  int64_t last_ver;      /* the last version that was given out */
-  char *instances;       /* JSON, or NULL if it was never set */
-  int64_t instances_ver; /* 0 if it was never set */
-  uint64_t writes;
-  uint64_t reads;
+  struct stored_row_tree rows;
+  int64_t last_ver;      /* highest version assigned so far */
+  char *instances;       /* instance list as JSON; NULL: never set */
+  int64_t instances_ver; /* version of @instances; 0: never set */
+  uint64_t n_writes;
+  uint64_t n_reads;
 };
 
 static int
-frow_cmp (const struct frow *a, const struct frow *b)
+stored_row_cmp (const struct stored_row *a, const struct stored_row *b)
 {
   return strcmp (a->key, b->key);
 }
 
-RB_PROTOTYPE (frow_tree, frow, by_key, frow_cmp)
-RB_GENERATE (frow_tree, frow, by_key, frow_cmp)
+RB_PROTOTYPE (stored_row_tree, stored_row, by_key, stored_row_cmp)
+RB_GENERATE (stored_row_tree, stored_row, by_key, stored_row_cmp)
 
 struct fstore *
 fstore_new (void)
@@ -50,9 +50,9 @@
 }
 
 static void
-frow_free (struct fstore *fs, struct frow *r)
+stored_row_free (struct fstore *fs, struct stored_row *r)
 {
-  RB_REMOVE (frow_tree, &fs->rows, r);
+  RB_REMOVE (stored_row_tree, &fs->rows, r);
   free (r->key);
   free (r->value);
   free (r);
@@ -61,25 +61,26 @@
 void
 fstore_free (struct fstore *fs)
 {
-  struct frow *r;
+  struct stored_row *r;
 
-  while ((r = RB_MIN (frow_tree, &fs->rows)))
-    frow_free (fs, r);
+  while ((r = RB_MIN (stored_row_tree, &fs->rows)))
+    stored_row_free (fs, r);
   free (fs->instances);
   free (fs);
 }
 
-static struct frow *
-frow_find (const struct fstore *fs, const char *key)
+static struct stored_row *
+stored_row_find (const struct fstore *fs, const char *key)
 {
-  struct frow k = { .key = (char *)key };
+  struct stored_row search = { .key = (char *)key };
 
-  return RB_FIND (frow_tree, (struct frow_tree *)&fs->rows, &k);
+  return RB_FIND (stored_row_tree, (struct stored_row_tree *)&fs->rows,
+                  &search);
 }
 
 static void
-add_row (struct store_rep *rep, const char *key, int64_t ver,
-         const char *value)
+add_reply_row (struct store_rep *rep, const char *key, int64_t ver,
+               const char *value)
 {
   struct row *r;
 
@@ -95,7 +96,7 @@
 static int64_t
 set_row (struct fstore *fs, const char *key, const char *value)
 {
-  struct frow *r = frow_find (fs, key);
+  struct stored_row *r = stored_row_find (fs, key);
 
   if (!r)
     {
@@ -103,7 +104,7 @@
       if (!r)
         abort ();
       r->key = strdup (key);
-      RB_INSERT (frow_tree, &fs->rows, r);
+      RB_INSERT (stored_row_tree, &fs->rows, r);
     }
   free (r->value);
   r->value = strdup (value);
@@ -116,32 +117,33 @@
 {
   for (size_t i = 0; i < op->n_conds; i++)
     {
-      const struct frow *r = frow_find (fs, op->conds[i].key);
+      const struct stored_row *r = stored_row_find (fs, op->conds[i].key);
       if ((r ? r->ver : 0) == op->conds[i].ver)
         continue;
       rep->err = CLB_ECONFLICT;
-      add_row (rep, op->conds[i].key, r ? r->ver : 0, r ? r->value : NULL);
+      add_reply_row (rep, op->conds[i].key, r ? r->ver : 0,
+                     r ? r->value : NULL);
     }
   if (rep->err)
     return;
   for (size_t i = 0; i < op->n_puts; i++)
     {
       const struct put *p = &op->puts[i];
-      struct frow *r = frow_find (fs, p->key);
+      struct stored_row *r = stored_row_find (fs, p->key);
       if (p->value)
-        add_row (rep, p->key, set_row (fs, p->key, p->value), NULL);
+        add_reply_row (rep, p->key, set_row (fs, p->key, p->value), NULL);
       else if (r)
-        frow_free (fs, r);
+        stored_row_free (fs, r);
     }
 }
 
 static void
 apply_get (struct fstore *fs, const char *key, struct store_rep *rep)
 {
-  const struct frow *r = frow_find (fs, key);
+  const struct stored_row *r = stored_row_find (fs, key);
 
   if (r)
-    add_row (rep, r->key, r->ver, r->value);
+    add_reply_row (rep, r->key, r->ver, r->value);
   else
     rep->err = CLB_ENOTFOUND;
 }
@@ -151,11 +153,11 @@
             struct store_rep *rep)
 {
   size_t len = strlen (op->key);
-  struct frow k = { .key = op->after ? op->after : op->key };
-  struct frow *r = RB_NFIND (frow_tree, &fs->rows, &k);
+  struct stored_row search = { .key = op->after ? op->after : op->key };
+  struct stored_row *r = RB_NFIND (stored_row_tree, &fs->rows, &search);
 
   for (; r && strncmp (r->key, op->key, len) == 0;
-       r = RB_NEXT (frow_tree, &fs->rows, r))
+       r = RB_NEXT (stored_row_tree, &fs->rows, r))
     {
       if (op->after && strcmp (r->key, op->after) == 0)
         continue;
@@ -164,17 +166,20 @@
           rep->more = true;
           return;
         }
-      add_row (rep, r->key, r->ver, r->value);
+      add_reply_row (rep, r->key, r->ver, r->value);
     }
 }
 
-/* The reply has no row if @known is the version of the current list. */
+/* Adds the instance list to the reply, unless the caller already has the
+   current version of the list.  @known_ver is the caller's version as text, or
+   NULL if it has none. */
 static void
-apply_instances (struct fstore *fs, const char *known, struct store_rep *rep)
+apply_instances (struct fstore *fs, const char *known_ver,
+                 struct store_rep *rep)
 {
-  if (!known || strtoll (known, NULL, 10) != fs->instances_ver)
-    add_row (rep, "instances", fs->instances_ver,
-             fs->instances ? fs->instances : "{}");
+  if (!known_ver || strtoll (known_ver, NULL, 10) != fs->instances_ver)
+    add_reply_row (rep, "instances", fs->instances_ver,
+                   fs->instances ? fs->instances : "{}");
 }
 
 void
@@ -184,8 +189,8 @@
   bool write = op->kind == STORE_TXN || op->kind == STORE_OBJ_PUT;
 
   memset (rep, 0, sizeof *rep);
-  fs->writes += write;
-  fs->reads += !write;
+  fs->n_writes += write;
+  fs->n_reads += !write;
   switch (op->kind)
     {
     case STORE_TXN:
@@ -218,7 +223,7 @@
 const char *
 fstore_value (const struct fstore *fs, const char *key)
 {
-  const struct frow *r = frow_find (fs, key);
+  const struct stored_row *r = stored_row_find (fs, key);
 
   return r ? r->value : NULL;
 }
@@ -226,11 +231,11 @@
 uint64_t
 fstore_writes (const struct fstore *fs)
 {
-  return fs->writes;
+  return fs->n_writes;
 }
 
 uint64_t
 fstore_reads (const struct fstore *fs)
 {
-  return fs->reads;
+  return fs->n_reads;
 }
--- a/regress/standin/fstore.h
+++ b/regress/standin/fstore.h
@@ -14,8 +14,8 @@
 struct fstore *fstore_new (void);
 void fstore_free (struct fstore *fs);
 /**
- * fstore_apply() - Execute one operation.
- * @op: the operation; not changed and not kept
+ * fstore_apply() - Execute one operation on the table or the object store.
+ * @op: the operation; the store neither changes it nor keeps a reference to it
  * @rep: filled with the result; the caller frees it as a store_rep_desc
  */
 void fstore_apply (struct fstore *fs, const struct store_op *op,
@@ -26,14 +26,20 @@
  */
 void fstore_instances (struct fstore *fs, const char *json);
 /**
- * fstore_value() - Look up the value of a row.
+ * fstore_value() - Look up the value of the row or object @key.
  *
- * Return: the value, owned by the store, or NULL if the row does not exist.
+ * Return: the value, owned by the store, or NULL if @key does not exist.
  */
 const char *fstore_value (const struct fstore *fs, const char *key);
-/** fstore_writes() - Number of transactions and object writes so far. */
+/**
+ * fstore_writes() - Number of transactions and object writes so far, also
+ * transactions that failed with a conflict.
+ */
 uint64_t fstore_writes (const struct fstore *fs);
-/** fstore_reads() - Number of all other operations so far. */
+/**
+ * fstore_reads() - Number of operations so far that are neither transactions
+ * nor object writes.
+ */
 uint64_t fstore_reads (const struct fstore *fs);
 
 #endif
--- a/regress/standin/fworker.c
+++ b/regress/standin/fworker.c
@@ -24,7 +24,7 @@
 }
 
 static void
-run_end (struct fworker *w, int64_t now_ms, struct frun *r, int state)
+end_run (struct fworker *w, int64_t now_ms, struct frun *r, int state)
 {
   r->state = state;
   if (w->watch)
@@ -38,13 +38,14 @@
 
   TAILQ_FOREACH (r, &w->runs, link)
     if (r->state == RUN_RUNNING)
-      run_end (w, now_ms, r, RUN_STOPPED);
+      end_run (w, now_ms, r, RUN_STOPPED);
   fworker_clear (w);
   w->boot = boot;
   w->epoch = 0;
 }
 
-/* A run whose name contains "fail" fails at the end of its duration. */
+/* When the duration of a run is over, the run ends as RUN_FAILED if its name
+   contains "fail", and as RUN_OK otherwise. */
 void
 fworker_tick (struct fworker *w, int64_t now_ms)
 {
@@ -55,14 +56,14 @@
       if (r->state != RUN_RUNNING)
         continue;
       if (now_ms >= w->lease_until_ms)
-        run_end (w, now_ms, r, RUN_STOPPED);
+        end_run (w, now_ms, r, RUN_STOPPED);
       else if (r->end_ms && now_ms >= r->end_ms)
-        run_end (w, now_ms, r, strstr (r->name, "fail") ? RUN_FAILED : RUN_OK);
+        end_run (w, now_ms, r, strstr (r->name, "fail") ? RUN_FAILED : RUN_OK);
     }
 }
 
 static struct frun *
-run_find (struct fworker *w, const char *id)
+find_run (struct fworker *w, const char *id)
 {
   struct frun *r;
 
@@ -73,7 +74,7 @@
 }
 
 static struct frun *
-run_new (struct fworker *w, const char *id)
+add_run (struct fworker *w, const char *id)
 {
   struct frun *r = calloc (1, sizeof *r);
 
@@ -84,54 +85,54 @@
   return r;
 }
 
-/* A stop of an unknown run is recorded, so that a later start of the same id
-   is ignored. */
+/* Stops the run @id.  If no run has this id, a run that never starts is added,
+   so that a later start with the same id is ignored. */
 static void
-do_stop (struct fworker *w, int64_t now_ms, const char *id)
+stop_run (struct fworker *w, int64_t now_ms, const char *id)
 {
-  struct frun *r = run_find (w, id);
+  struct frun *r = find_run (w, id);
 
   if (!r)
     {
-      r = run_new (w, id);
+      r = add_run (w, id);
       r->state = RUN_NEVER;
     }
   else if (r->state == RUN_RUNNING)
-    run_end (w, now_ms, r, RUN_STOPPED);
+    end_run (w, now_ms, r, RUN_STOPPED);
   r->acked = false;
 }
 
 static void
-do_start (struct fworker *w, int64_t now_ms, const struct start_cmd *c)
+start_run (struct fworker *w, int64_t now_ms, const struct start_cmd *c)
 {
-  struct frun *r = run_find (w, c->id);
-  int64_t factor = w->slowness ? w->slowness : 1;
+  struct frun *r = find_run (w, c->id);
+  int64_t duration_factor = w->slowness ? w->slowness : 1;
 
   if (r)
     return;
-  r = run_new (w, c->id);
+  r = add_run (w, c->id);
   clb_copy (r->name, c->name, sizeof r->name);
   r->need = c->need;
   r->state = RUN_RUNNING;
   if (c->duration_ms)
-    r->end_ms = now_ms + c->duration_ms * factor;
+    r->end_ms = now_ms + c->duration_ms * duration_factor;
   if (w->watch)
     w->watch (w->arg, now_ms, r, true);
   if (w->fail_all)
-    run_end (w, now_ms, r, RUN_FAILED);
+    end_run (w, now_ms, r, RUN_FAILED);
 }
 
 static void
-do_ack (struct fworker *w, const char *id)
+acknowledge_run (struct fworker *w, const char *id)
 {
-  struct frun *r = run_find (w, id);
+  struct frun *r = find_run (w, id);
 
   if (r && r->state != RUN_RUNNING)
     r->acked = true;
 }
 
 static void
-report (struct fworker *w, struct sync_rep *rep)
+fill_report (struct fworker *w, struct sync_rep *rep)
 {
   struct frun *r;
   size_t n = 0;
@@ -166,11 +167,11 @@
   if (req->lease_ms && now_ms + req->lease_ms > w->lease_until_ms)
     w->lease_until_ms = now_ms + req->lease_ms;
   for (size_t i = 0; i < req->n_acks; i++)
-    do_ack (w, req->acks[i].id);
+    acknowledge_run (w, req->acks[i].id);
   for (size_t i = 0; i < req->n_stops; i++)
-    do_stop (w, now_ms, req->stops[i].id);
+    stop_run (w, now_ms, req->stops[i].id);
   for (size_t i = 0; i < req->n_starts; i++)
-    do_start (w, now_ms, &req->starts[i]);
-  report (w, rep);
+    start_run (w, now_ms, &req->starts[i]);
+  fill_report (w, rep);
   return 0;
 }
--- a/regress/standin/platformd.c
+++ b/regress/standin/platformd.c
@@ -5,7 +5,7 @@
  * POST /v1/store   executes one store operation
  * POST /v1/control changes faults and the instance list at run time:
  *   {"outage": true, "slow_ms": 200, "lose_every": 3, "instances": {...}}
- * any other path   returns the numbers of writes and reads
+ * any other path   returns how many writes and reads the store executed
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,8 +16,8 @@
 
 enum
 {
-  BODY_MAX = 64 << 20,
-  STATUS_NO_EFFECT = 503, /* the operation was not executed */
+  BODY_MAX = 64 << 20,    /* largest accepted request body in bytes */
+  STATUS_NO_EFFECT = 503, /* HTTP status: the operation was not executed */
 };
 
 struct platform
@@ -25,19 +25,20 @@
   uv_loop_t *loop;
   struct httpd *http;
   struct fstore *store;
-  bool outage;        /* refuse every store operation */
-  int64_t slow_ms;    /* delay of each reply to a store operation; 0: none */
-  int64_t lose_every; /* drop every Nth reply to a transaction; 0: none */
-  int64_t writes;     /* transactions counted for lose_every */
+  bool outage;     /* every store operation is refused */
+  int64_t slow_ms; /* delay of each reply to a store operation; 0: no delay */
+  int64_t lose_every; /* each Nth reply to a transaction is lost; 0: none is */
+  int64_t n_transactions; /* number of transactions while lose_every was set */
 };
 
-/* struct delayed_reply - a reply that is sent when its timer expires */
+/* struct delayed_reply - reply to a store operation, sent when the timer
+   expires */
 struct delayed_reply
 {
   uv_timer_t timer;
   struct platform *p;
-  uint64_t request_id;
-  char *text;
+  uint64_t request_id; /* id that the HTTP server gave to the request */
+  char *text;          /* JSON body of the reply */
 };
 
 static void
@@ -50,7 +51,7 @@
 }
 
 static void
-on_delay_over (uv_timer_t *t)
+on_reply_due (uv_timer_t *t)
 {
   struct delayed_reply *dr = t->data;
 
@@ -60,7 +61,7 @@
 }
 
 static void
-answer (struct platform *p, uint64_t request_id, char *text)
+send_reply (struct platform *p, uint64_t request_id, char *text)
 {
   struct delayed_reply *dr;
 
@@ -79,17 +80,17 @@
   dr->text = text;
   uv_timer_init (p->loop, &dr->timer);
   dr->timer.data = dr;
-  uv_timer_start (&dr->timer, on_delay_over, (uint64_t)p->slow_ms, 0);
+  uv_timer_start (&dr->timer, on_reply_due, (uint64_t)p->slow_ms, 0);
 }
 
 static void
-answer_empty (struct platform *p, uint64_t request_id, int status)
+send_empty_reply (struct platform *p, uint64_t request_id, int status)
 {
   httpd_answer (p->http, request_id, status, NULL, "", 0, 0);
 }
 
 static void
-on_store (struct platform *p, const struct httpd_req *rq)
+on_store_request (struct platform *p, const struct httpd_req *rq)
 {
   struct store_op op;
   struct store_rep rep;
@@ -98,29 +99,29 @@
 
   if (p->outage)
     {
-      answer_empty (p, rq->id, STATUS_NO_EFFECT);
+      send_empty_reply (p, rq->id, STATUS_NO_EFFECT);
       return;
     }
   if (codec_parse (&store_op_desc, rq->body, rq->body_len, CODEC_STRICT, &op,
                    &ce))
     {
-      answer_empty (p, rq->id, 400);
+      send_empty_reply (p, rq->id, 400);
       return;
     }
   fstore_apply (p->store, &op, &rep);
   drop_reply = op.kind == STORE_TXN && p->lose_every > 0
-               && ++p->writes % p->lose_every == 0;
+               && ++p->n_transactions % p->lose_every == 0;
   if (!drop_reply)
-    answer (p, rq->id, codec_text (&store_rep_desc, &rep));
+    send_reply (p, rq->id, codec_text (&store_rep_desc, &rep));
   codec_free (&store_rep_desc, &rep);
   codec_free (&store_op_desc, &op);
 }
 
 static void
-on_control (struct platform *p, const struct httpd_req *rq)
+on_control_request (struct platform *p, const struct httpd_req *rq)
 {
   json_t *json = json_loadb (rq->body, rq->body_len, 0, NULL);
-  json_t *list = json_object_get (json, "instances");
+  json_t *instances = json_object_get (json, "instances");
   json_t *v;
 
   if ((v = json_object_get (json, "outage")))
@@ -129,18 +130,18 @@
     p->slow_ms = json_integer_value (v);
   if ((v = json_object_get (json, "lose_every")))
     p->lose_every = json_integer_value (v);
-  if (list)
+  if (instances)
     {
-      char *text = json_dumps (list, JSON_COMPACT);
+      char *text = json_dumps (instances, JSON_COMPACT);
       fstore_instances (p->store, text);
       free (text);
     }
   json_decref (json);
-  answer_empty (p, rq->id, json ? 200 : 400);
+  send_empty_reply (p, rq->id, json ? 200 : 400);
 }
 
 static void
-on_stats (struct platform *p, const struct httpd_req *rq)
+on_stats_request (struct platform *p, const struct httpd_req *rq)
 {
   char text[96];
   int len = snprintf (text, sizeof text, "{\"writes\":%llu,\"reads\":%llu}",
@@ -157,11 +158,11 @@
   struct platform *p = arg;
 
   if (strcmp (rq->path, "/v1/store") == 0)
-    on_store (p, rq);
+    on_store_request (p, rq);
   else if (strcmp (rq->path, "/v1/control") == 0)
-    on_control (p, rq);
+    on_control_request (p, rq);
   else
-    on_stats (p, rq);
+    on_stats_request (p, rq);
 }
 
 static void
