--- a/bench/load.c
+++ b/bench/load.c
@@ -14,9 +14,9 @@
 
 enum
 {
-  IN_FLIGHT_MAX = 256, /* most requests outstanding at once */
+  IN_FLIGHT_MAX = 256, /* largest accepted value of IN-FLIGHT */
   TIMEOUT_MS = 30000,  /* a request without an answer fails after this time */
-  BODY_MAX = 1024,     /* size of the body buffer; longer bodies are cut */
+  BODY_MAX = 1024, /* size of the body buffer; a longer BODY is truncated */
   US_PER_S = 1000000,
 };
 
@@ -67,9 +67,9 @@
 collect_finished (struct load_run *r)
 {
   CURLMsg *msg;
-  int queued;
+  int n_queued;
 
-  while ((msg = curl_multi_info_read (r->multi, &queued)))
+  while ((msg = curl_multi_info_read (r->multi, &n_queued)))
     {
       CURL *e = msg->easy_handle;
       long status = 0;
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,8 +1,8 @@
 /*
  * policy - measures the placement policy on one core: placements per second,
- * the time of one decision and the packing density.  Three baseline policies
- * place the same tasks on the same workers.  Prints each figure as a JSON
- * line.
+ * the time of one decision and the packing density.  For comparison, three
+ * baseline policies place the same tasks on the same workers.  Prints each
+ * figure as a JSON line.
  */
 #include "place.h"
 
@@ -27,7 +27,7 @@
   POLICY_CITRONLB,
   POLICY_FIRST_FIT,
   POLICY_LEAST_LOADED,
-  POLICY_RANDOM_OF_TWO,
+  POLICY_RANDOM_OF_TWO, /* the less loaded of two random workers */
   POLICY_N
 };
 static const char *const policy_names[POLICY_N]
@@ -76,7 +76,7 @@
 /* Returns the spec of a random task: large with a probability of 10 %, medium
    with 30 % and small with 60 %. */
 static struct spec
-random_spec (void)
+random_task_spec (void)
 {
   struct spec s = { .members = 1 };
   uint64_t kind = next_random (10);
@@ -91,7 +91,7 @@
 }
 
 static bool
-fits (const struct worker *w, const struct clb_res *need)
+has_capacity_for (const struct worker *w, const struct clb_res *need)
 {
   struct clb_res free_capacity = w->inst.capacity;
 
@@ -113,15 +113,15 @@
       struct worker *b = all_workers[next_random ((uint64_t)n)];
       if (!a || !b)
         return NULL;
-      if (fits (a, need)
-          && (!fits (b, need) || a->used.cores <= b->used.cores))
+      if (has_capacity_for (a, need)
+          && (!has_capacity_for (b, need) || a->used.cores <= b->used.cores))
         return a;
-      return fits (b, need) ? b : NULL;
+      return has_capacity_for (b, need) ? b : NULL;
     }
   (void)pool;
   for (int i = 0; i < n; i++)
     {
-      if (!all_workers[i] || !fits (all_workers[i], need))
+      if (!all_workers[i] || !has_capacity_for (all_workers[i], need))
         continue;
       if (policy == POLICY_FIRST_FIT)
         return all_workers[i];
@@ -170,8 +170,9 @@
 };
 
 /* Measures the time of each placement decision and the placements per second,
-   while at most @max_running tasks run at once.  Before each decision a random
-   one of them may end. */
+   while at most @max_running tasks run at once.  Before each decision
+   one of the @max_running placements is chosen at random: its task ends, if it
+   has one, and the new task takes its place. */
 static void
 measure_decision_times (int workers, int accels, int max_running, int policy)
 {
@@ -198,7 +199,7 @@
       if (p->w)
         clb_res_add (&p->w->used, &p->need, -1);
       p->w = NULL;
-      struct spec spec = random_spec ();
+      struct spec spec = random_task_spec ();
       int64_t start_ns = now_ns ();
       w = place_task (&pool, all_workers, n, policy, &spec);
       times_ns[i] = now_ns () - start_ns;
@@ -247,7 +248,7 @@
     all_workers[n++] = w;
   while (n_misses < PACKING_MISSES_MAX)
     {
-      struct spec spec = random_spec ();
+      struct spec spec = random_task_spec ();
       n_misses = place_task (&pool, all_workers, n, policy, &spec)
                      ? 0
                      : n_misses + 1;
--- a/regress/soak/proxy.c
+++ b/regress/soak/proxy.c
@@ -10,10 +10,10 @@
  *   N stall          forward nothing
  *   N stall-reply    forward nothing from the target to the client
  *   N stall-request  forward nothing from the client to the target
- *   N reset          reset all connections, also new ones
- * Bytes of a stalled direction are not lost: once the link passes them again
- * they arrive in order, as TCP retransmits them, unless one end has closed the
- * connection.
+ *   N reset          reset all connections of the link, also new ones
+ * A stall loses no bytes: once the mode of the link lets them pass again, they
+ * arrive in order, as after a retransmission by TCP, unless one end has closed
+ * the connection.
  */
 #include <signal.h>
 #include <stdbool.h>
@@ -68,7 +68,7 @@
   /* Time at which the last bytes to each end are to be written.  Bytes that
      are read later are not written earlier, so that a shorter delay does not
      reorder the stream. */
-  uint64_t due_ms[2]; /* on the clock of uv_now() */
+  uint64_t due_ms[2]; /* for each end, on the clock of uv_now() */
 };
 
 /* struct chunk - bytes that were read from one end of a pair and are not
@@ -103,6 +103,7 @@
   free (p);
 }
 
+/* Closes both ends of @p, with a TCP reset if @reset is true. */
 static void
 close_pair (struct conn_pair *p, bool reset)
 {
@@ -128,7 +129,7 @@
 
 /* Returns whether the connection pair of @c exists and is not being closed. */
 static bool
-pair_is_open (const struct chunk *c)
+chunk_pair_is_open (const struct chunk *c)
 {
   const struct conn_pair *p;
 
@@ -143,7 +144,7 @@
 {
   struct chunk *c = w->data;
 
-  if (status && pair_is_open (c))
+  if (status && chunk_pair_is_open (c))
     close_pair (c->pair, false);
   close_chunk (c);
 }
@@ -154,7 +155,7 @@
   struct chunk *c = t->data;
   uv_buf_t buf = uv_buf_init (c->bytes, (unsigned)c->len);
 
-  if (!pair_is_open (c)
+  if (!chunk_pair_is_open (c)
       || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->to_end], &buf, 1,
                    on_chunk_written))
     close_chunk (c);
@@ -169,6 +170,8 @@
          || (l->mode == MODE_STALL_REQUEST && to_end == 1);
 }
 
+/* Schedules a copy of @bytes to be written to end @to_end, 0 for the client
+   and 1 for the target, after the delay of the link. */
 static void
 forward_bytes (struct conn_pair *p, int to_end, const char *bytes, size_t len)
 {
--- a/regress/standin/backendd.c
+++ b/regress/standin/backendd.c
@@ -202,6 +202,8 @@
            started ? "start" : "end", run->id, run->state);
 }
 
+/* Starts the worker or executor with number @i of the failure domain @domain.
+   Returns 0 or a libuv error. */
 static int
 start_server (struct server *s, const char *domain, int i, bool executor)
 {
--- a/regress/standin/fstore.c
+++ b/regress/standin/fstore.c
@@ -9,7 +9,7 @@
   LIST_PAGE_ROWS = 500, /* largest number of rows in one reply to STORE_LIST */
 };
 
-/* struct frow - one row of the table, or one object */
+/* struct stored_row - a row of the table or an object of the object store */
 struct stored_row
 {
   RB_ENTRY (stored_row) by_key;
@@ -93,6 +93,8 @@
   r->value = value ? strdup (value) : NULL;
 }
 
+/* Sets the value of the row or object @key, which is created if it does not
+   exist.  Returns its new version. */
 static int64_t
 set_row (struct fstore *fs, const char *key, const char *value)
 {
--- a/regress/standin/fworker.h
+++ b/regress/standin/fworker.h
@@ -8,7 +8,7 @@
 
 #include "msg.h"
 
-/** struct frun - one run of a task, running or ended, on the stand-in */
+/** struct frun - one run of a task on a simulated worker, running or ended */
 struct frun
 {
   TAILQ_ENTRY (frun) link;
@@ -45,8 +45,7 @@
 void fworker_init (struct fworker *w, int64_t boot);
 /** fworker_clear() - Free all runs without calling the watch function. */
 void fworker_clear (struct fworker *w);
-/** fworker_reboot() - Stop and free all runs and set the boot number to @boot.
- */
+/** fworker_reboot() - Stop and free all runs; set the boot number to @boot. */
 void fworker_reboot (struct fworker *w, int64_t now_ms, int64_t boot);
 /**
  * fworker_tick() - End the runs whose duration is over, and all runs if the
@@ -59,8 +58,8 @@
  * @rep: filled with the report on success; the caller frees it as a
  *       sync_rep_desc
  *
- * Return: 0, or %CLB_ECONFLICT if fencing is on and the epoch of @req is older
- * than that of the last accepted sync.
+ * Return: 0, or %CLB_ECONFLICT if @w->fence is set and the epoch of @req is
+ * older than that of the last accepted sync.
  */
 int fworker_sync (struct fworker *w, int64_t now_ms,
                   const struct sync_req *req, struct sync_rep *rep);
--- a/regress/standin/platformd.c
+++ b/regress/standin/platformd.c
@@ -27,8 +27,8 @@
   struct fstore *store;
   bool outage;     /* every store operation is refused */
   int64_t slow_ms; /* delay of each reply to a store operation; 0: no delay */
-  int64_t lose_every; /* each Nth reply to a transaction is lost; 0: none is */
-  int64_t n_transactions; /* number of transactions while lose_every was set */
+  int64_t lose_every; /* every Nth reply to a transaction is lost; 0: none */
+  int64_t n_transactions; /* transactions executed while lose_every was set */
 };
 
 /* struct delayed_reply - reply to a store operation, sent when the timer
