--- a/citronlbd/fleetd.c
+++ b/citronlbd/fleetd.c
@@ -34,8 +34,8 @@
      platform routes new connections to the instance until two readiness
      checks, one per second, have failed. */
   STOP_DELAY_MS = 3000,
-  /* Time between the exit of the process and the time at which the platform
-     would kill it.  The process then exits even if requests are pending. */
+  /* At the latest, the process exits this long before the platform would kill
+     it, even if requests are still pending. */
   KILL_MARGIN_MS = 500,
   /* Interval at which the load of the instance is logged. */
   LOAD_INTERVAL_MS = 1000,
--- a/citronlbd/main.c
+++ b/citronlbd/main.c
@@ -16,8 +16,8 @@
   /* Interval at which node_tick() is called while journal records are being
      written or wait to be written. */
   TICK_BUSY_MS = 2,
-  /* Interval at which node_tick() is called while there are no such journal
-     records. */
+  /* Interval at which node_tick() is called while no journal records are
+     being written or wait to be written. */
   TICK_IDLE_MS = 20,
   /* Time after the stop of the node for which the daemon still accepts
      connections, for callers that use an old list of instances. */
--- a/citronlbd/platform.c
+++ b/citronlbd/platform.c
@@ -18,7 +18,8 @@
 {
   STORE_TIMEOUT_MS = 2000,
   STORE_CONNECT_TIMEOUT_MS = 1000,
-  /* HTTP status of an operation that had no effect. */
+  /* HTTP status with which the platform answers an operation that had no
+     effect. */
   STATUS_NO_EFFECT = 503,
 };
 
--- a/citronlbd/serve.c
+++ b/citronlbd/serve.c
@@ -127,7 +127,8 @@
   RB_INSERT (service_request_tree, &s->service_requests, sr);
 }
 
-/* Returns the enum method of an HTTP method's name. */
+/* Returns the enum method of the HTTP method @name; METHOD_OTHER if @name is
+   none of the listed methods. */
 static int
 parse_method (const char *name)
 {
--- a/core/calls.c
+++ b/core/calls.c
@@ -89,7 +89,7 @@
     sched_reply (s, entry, &r);
   else
     {
-      struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
+      struct effect *e = journal_add_effect (s, EFFECT_REPLY, t->id);
       clb_copy (e->entry, entry, sizeof e->entry);
       e->reply = r;
     }
@@ -124,7 +124,7 @@
   t->reason = WHY_ACCEPTED;
   RB_INSERT (request_tree, &s->requests, t);
   task_journal (s, t, REC_ACCEPT);
-  journal_effect (s, EFFECT_ACCEPT, t->id);
+  journal_add_effect (s, EFFECT_ACCEPT, t->id);
   return t;
 }
 
@@ -205,7 +205,7 @@
       sched_reply (s, entry, &r);
       return;
     }
-  struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
+  struct effect *e = journal_add_effect (s, EFFECT_REPLY, t->id);
   clb_copy (e->entry, entry, sizeof e->entry);
   e->reply = r;
 }
@@ -288,7 +288,7 @@
     recon_service_end (s, t->members[0].worker, c->executor_failed);
   if (t && !task_state_final (t->state))
     service_release (s, t, c->state);
-  e = journal_effect (s, EFFECT_REPLY, c->id);
+  e = journal_add_effect (s, EFFECT_REPLY, c->id);
   clb_copy (e->entry, entry, sizeof e->entry);
   e->reply.call_seq = c->seq;
 }
@@ -376,9 +376,10 @@
 {
   bool new_work = c->verb == CALL_SUBMIT || c->verb == CALL_ACQUIRE;
 
-  /* If this instance's lease of the domain has lapsed, its state may be out of
-     date.  While the domain is handed over, new work is left to the
-     successor. */
+  /* Refuse the call if the scheduler is not ready, or if this instance's lease
+     of the domain has lapsed (may_start is false), since the state may then be
+     out of date.  While the domain is being handed over (stopping is true),
+     refuse only new work, which is left to the successor. */
   if (s->phase != SCHED_READY || !s->may_start || (s->stopping && new_work))
     {
       reply_err (s, entry, c->seq, CLB_ENOHOLDER, WHY_NONE);
--- a/core/codec.h
+++ b/core/codec.h
@@ -39,16 +39,16 @@
   const char *name; /* the field's name in JSON and msgpack */
   enum fld_kind kind;
   size_t off;     /* offset of the member in the struct, in bytes */
-  size_t size;    /* of FLD_STR: size of the array in bytes */
-  size_t len_off; /* of FLD_VEC: offset of the member with the length */
-  int64_t min;    /* of FLD_I64 and FLD_F64: smallest value */
-  /* Of FLD_I64 and FLD_F64 the largest value, of FLD_TEXT the largest number
-     of bytes, of FLD_VEC the largest length. */
+  size_t size;    /* for FLD_STR: size of the array in bytes */
+  size_t len_off; /* for FLD_VEC: offset of the member with the length */
+  int64_t min;    /* for FLD_I64 and FLD_F64: smallest value */
+  /* For FLD_I64 and FLD_F64 the largest value, for FLD_TEXT the largest number
+     of bytes, for FLD_VEC the largest length. */
   int64_t max;
   bool required; /* true if reading fails when the field is absent */
-  /* Of FLD_OBJ and FLD_VEC: description of the struct or array element. */
+  /* For FLD_OBJ and FLD_VEC: description of the struct or array element. */
   const struct desc *sub;
-  /* Of FLD_ENUM: names by enumerator value; the array ends with NULL. */
+  /* For FLD_ENUM: names by enumerator value; the array ends with NULL. */
   const char *const *names;
 };
 
--- a/core/entry.c
+++ b/core/entry.c
@@ -215,8 +215,8 @@
   entry_pending_free (n, p);
 }
 
-/* The lease holder must be notified how the request ended, so that it frees
-   the slot, even if the caller already has its answer. */
+/* Reports to the lease holder how the request ended, even if the caller
+   already has its answer, so that the holder frees the slot. */
 void
 entry_pending_release (struct node *n, struct pending *p, int state,
                        bool executor_failed)
--- a/core/escrow.c
+++ b/core/escrow.c
@@ -376,7 +376,7 @@
     }
   o = out_new (s->out, OUT_STORE);
   snprintf (key, sizeof key, "want/%s", s->domain);
-  o->u.store.token = s->want_write_token = ++*s->last_token;
+  o->u.store.token = s->want_row_write_token = ++*s->last_token;
   o->u.store.op.kind = STORE_TXN;
   store_cond (&o->u.store.op, s->journal.epoch_key, s->journal.epoch_row_ver);
   store_put (&o->u.store.op, key, text);
@@ -390,7 +390,7 @@
 {
   struct out *o = out_new (s->out, OUT_STORE);
 
-  o->u.store.token = s->want_read_token = ++*s->last_token;
+  o->u.store.token = s->want_rows_read_token = ++*s->last_token;
   o->u.store.op.kind = STORE_LIST;
   o->u.store.op.key = strdup ("want/");
   s->want_read_sent_ms = s->now_ms;
@@ -420,9 +420,9 @@
 handle_want_reply (struct sched *s, uint64_t token,
                    const struct store_rep *rep)
 {
-  if (token == s->want_write_token)
+  if (token == s->want_row_write_token)
     {
-      s->want_write_token = 0;
+      s->want_row_write_token = 0;
       if (rep->err)
         {
           free (s->want_row_text);
@@ -430,9 +430,9 @@
         }
       return true;
     }
-  if (token != s->want_read_token)
+  if (token != s->want_rows_read_token)
     return false;
-  s->want_read_token = 0;
+  s->want_rows_read_token = 0;
   for (size_t i = 0; rep->err == 0 && i < rep->n_rows; i++)
     apply_want_row (s, &rep->rows[i]);
   return true;
@@ -444,12 +444,12 @@
 want_rows_tick (struct sched *s)
 {
   if (s->now_ms - s->want_read_sent_ms > WANT_ROWS_READ_TIMEOUT_MS)
-    s->want_read_token = 0;
-  if (s->now_ms < s->next_want_read_ms || s->want_read_token)
+    s->want_rows_read_token = 0;
+  if (s->now_ms < s->next_want_read_ms || s->want_rows_read_token)
     return;
   s->next_want_read_ms = s->now_ms + WANT_ROWS_READ_PERIOD_MS;
   read_want_rows (s);
-  if (!s->want_write_token)
+  if (!s->want_row_write_token)
     write_want_row (s);
 }
 
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -460,7 +460,10 @@
  */
 bool proxy_route (struct fleet *f, struct out *o);
 /** proxy_serve() - Make the call to the table service that a peer requests in
- * @m.  The function takes ownership of the operation in @m, or refuses it. */
+ * @m.  The function moves the operation from @m to the output queue.  If the
+ * table service counts as unreachable or this instance already makes too many
+ * calls for peers, the function answers the peer with CLB_EUNAVAIL instead and
+ * leaves the operation in @m. */
 void proxy_serve (struct fleet *f, struct mesh_msg *m);
 /** proxy_store_reply() - Forward @rep to the peer for which call @token was
  * made.  Return false if the call was not made for a peer. */
--- a/core/journal.c
+++ b/core/journal.c
@@ -124,7 +124,7 @@
 }
 
 struct effect *
-journal_effect (struct sched *s, int kind, const char *id)
+journal_add_effect (struct sched *s, int kind, const char *id)
 {
   struct effect *e = calloc (1, sizeof *e);
 
--- a/core/leader.c
+++ b/core/leader.c
@@ -110,8 +110,9 @@
   op->key = strdup (LEADER_TABLE);
 }
 
-/* Writes to @out the value that the last write in term @epoch gives to the
-   journal row.  Each write has a value of its own, so that the row tells
+/* Formats into @out the value that this instance's latest write in term @epoch
+   stores in the journal row.  The value holds the term, this instance's boot
+   and the number of the write in the term, so that reading the row shows
    whether the write took effect. */
 static void
 journal_value (const struct leader *l, int64_t epoch, char out[CLB_NAME_MAX])
--- a/core/load.c
+++ b/core/load.c
@@ -142,10 +142,10 @@
   t->end_decided = true;
   t->end_durable = true;
   t->expires_ms = 0;
-  if (t->in_ended)
+  if (t->in_ended_list)
     return;
   TAILQ_INSERT_TAIL (&s->ended, t, ended);
-  t->in_ended = true;
+  t->in_ended_list = true;
 }
 
 void
--- a/core/msg.h
+++ b/core/msg.h
@@ -68,11 +68,11 @@
   int class; /* enum task_class */
   int lane;  /* enum queue_lane */
   bool idempotent;
-  struct place *places; /* of REC_INTENT: one for each member */
+  struct place *places; /* for REC_INTENT: one for each member */
   size_t n_places;
   int64_t attempt;  /* number of earlier attempts */
   int64_t failures; /* number of failed attempts */
-  int state;        /* of REC_END: enum task_state */
+  int state;        /* for REC_END: enum task_state */
   int64_t reason;   /* enum clb_reason */
 };
 extern const struct desc rec_desc;
@@ -204,7 +204,7 @@
   int64_t boot; /* changes when the worker restarts and loses its state */
   /* True if the worker is shutting down and takes no new runs. */
   bool leaving;
-  int64_t busy_slots; /* of an executor: number of its slots in use; else 0 */
+  int64_t busy_slots; /* for an executor: number of its slots in use; else 0 */
   struct run *runs;
   size_t n_runs;
 };
@@ -257,7 +257,7 @@
 {
   char *key;
   int64_t ver; /* version of the row */
-  char *value; /* of STORE_FEED: NULL if the row was deleted */
+  char *value; /* for STORE_FEED: NULL if the row was deleted */
 };
 /** enum store_kind - kind of a store operation */
 enum store_kind
@@ -277,19 +277,19 @@
   /* Key of a row, prefix of keys, or name of an object or table; enum
      store_kind tells which. */
   char *key;
-  /* Of STORE_LIST: only rows with keys after this one are read; NULL: the list
-     begins with the first row.  Of STORE_INSTANCES: decimal version of the
-     list that the caller has, which is not sent again if it is current; NULL:
-     the caller has no list.  Of other kinds: NULL. */
+  /* For STORE_LIST: only rows with keys after this one are read; NULL: the
+     list begins with the first row.  For STORE_INSTANCES: decimal version of
+     the list that the caller has, which is not sent again if it is current;
+     NULL: the caller has no list.  For other kinds: NULL. */
   char *after;
-  char *value;        /* of STORE_OBJ_PUT: the object's text */
-  struct cond *conds; /* of STORE_TXN: conditions for writing the rows */
+  char *value;        /* for STORE_OBJ_PUT: the object's text */
+  struct cond *conds; /* for STORE_TXN: conditions for writing the rows */
   size_t n_conds;
-  struct put *puts; /* of STORE_TXN: rows to be written */
+  struct put *puts; /* for STORE_TXN: rows to be written */
   size_t n_puts;
-  /* Of STORE_FEED: version up to which the caller knows the changes. */
+  /* For STORE_FEED: version up to which the caller knows the changes. */
   int64_t since;
-  int64_t wait_ms; /* of STORE_FEED: longest wait for a change */
+  int64_t wait_ms; /* for STORE_FEED: longest wait for a change */
 };
 extern const struct desc store_op_desc;
 
@@ -306,7 +306,7 @@
   int64_t err;
   struct row *rows;
   size_t n_rows;
-  bool more;   /* of STORE_LIST: true if more rows follow after the last key */
+  bool more; /* for STORE_LIST: true if more rows follow after the last key */
   int64_t ver; /* newest version covered by the reply; 0: not given */
 };
 extern const struct desc store_rep_desc;
@@ -325,7 +325,7 @@
   CALL_N
 };
 
-/** struct call - call of an entry instance to a domain's lease holder */
+/** struct call - request from an entry instance to a domain's lease holder */
 struct call
 {
   int64_t seq; /* number chosen by the entry instance, echoed in the reply */
@@ -344,8 +344,8 @@
   int64_t wait_ms; /* longest wait for a slot, or for the task's end */
   /* When this copy of the call was sent, on the entry instance's clock. */
   int64_t sent_ms;
-  bool executor_failed; /* of CALL_RELEASE: true if the executor failed */
-  /* Of CALL_RELEASE: enum task_state with which the service request ended. */
+  bool executor_failed; /* for CALL_RELEASE: true if the executor failed */
+  /* For CALL_RELEASE: enum task_state with which the service request ended. */
   int state;
 };
 
@@ -361,7 +361,7 @@
   int64_t call_sent_ms;      /* call::sent_ms of the answered call */
   char executor[CLB_ID_MAX]; /* executor of the granted slot; empty: no slot */
   char addr[CLB_ADDR_MAX];   /* address of that executor */
-  char *text; /* of CALL_WHY: the task's decisions as JSON; else NULL */
+  char *text; /* for CALL_WHY: the task's decisions as JSON; else NULL */
 };
 
 /** struct hello - state that each entry instance sends to all its peers */
@@ -375,7 +375,7 @@
   /* True if the sender is writing a new manifest. */
   bool apply_in_progress;
   bool is_holder; /* true if the sender schedules its domain */
-  int64_t epoch;  /* of a holder: epoch of its lease; else 0 */
+  int64_t epoch;  /* for a holder: epoch of its lease; else 0 */
   bool stopping;  /* true if the sender is shutting down */
   /* True if the sender counts the receiver as a domain member. */
   bool knows_receiver;
@@ -385,11 +385,11 @@
   int64_t echo_ms;
   /* Boot of the receiver's process, from the same hello as echo_ms. */
   int64_t echo_boot;
-  /* Of a holder: free capacity of the domain. */
+  /* For a holder: free capacity of the domain. */
   struct clb_res free_capacity;
-  /* Of a holder: whole capacity of the domain. */
+  /* For a holder: whole capacity of the domain. */
   struct clb_res total_capacity;
-  /* Of a holder: largest amount that any one worker has in each dimension. */
+  /* For a holder: largest amount that any one worker has in each dimension. */
   struct clb_res largest_worker;
 };
 
@@ -420,7 +420,7 @@
   int64_t epoch;       /* epoch of the holder's lease */
   int64_t seq;         /* number of the request, echoed in the answer */
   int64_t duration_ms; /* how long the promise is valid */
-  bool granted;        /* of an answer: true if the peer has promised */
+  bool granted;        /* in an answer: true if the peer has promised */
 };
 
 /** enum pmsg_kind - kind of a peer message */
--- a/core/node.c
+++ b/core/node.c
@@ -24,7 +24,7 @@
   /* Shortest time from the start of a scheduler until it counts slots as free.
      By then each slot that an earlier scheduler granted is in use, or was
      granted too long ago to be used. */
-  SLOTS_WAIT_MS = 3000,
+  FREE_SLOTS_DELAY_MS = 3000,
 };
 
 void
@@ -268,8 +268,8 @@
 
 /* Queries the peers for their slots in use, if this instance has started a
    scheduler that does not know the free slots yet.  The scheduler knows which
-   slots are free once all reachable peers have answered and SLOTS_WAIT_MS have
-   passed. */
+   slots are free once all reachable peers have answered and
+   FREE_SLOTS_DELAY_MS have passed. */
 static void
 held_slots_tick (struct node *n)
 {
@@ -292,7 +292,7 @@
     }
   /* A paused instance cannot answer.  When it continues, the slots that were
      granted to it are too old to be used. */
-  if (!all_reported || n->now_ms - s->started_ms < SLOTS_WAIT_MS)
+  if (!all_reported || n->now_ms - s->started_ms < FREE_SLOTS_DELAY_MS)
     return;
   struct held_list own_slots = { .n_items = 0 };
   entry_held_slots (n, &own_slots);
--- a/core/proxy.c
+++ b/core/proxy.c
@@ -42,8 +42,9 @@
 {
   TAILQ_ENTRY (proxy_call) link;
   uint64_t token; /* token of the call on this instance */
-  /* Time by which a peer has to answer the call; after it, the outcome of the
-     call is unknown.  0: the call is made for a peer. */
+  /* If a peer makes the call for this instance: time by which that peer has to
+     answer; after it, the outcome of the call is unknown.  0 if this instance
+     makes the call for a peer. */
   int64_t deadline_ms;
   /* Token that the call has on the peer that requested it; 0: a peer makes the
      call for this instance. */
--- a/core/queue.c
+++ b/core/queue.c
@@ -103,7 +103,7 @@
       reply_acquired (s, t);
       return;
     }
-  struct effect *e = journal_effect (s, EFFECT_INTENT, t->id);
+  struct effect *e = journal_add_effect (s, EFFECT_INTENT, t->id);
   e->attempt = t->attempt;
 }
 
--- a/core/recon.c
+++ b/core/recon.c
@@ -304,7 +304,7 @@
 static void
 ack_when_durable (struct sched *s, const struct worker *w, const char *run)
 {
-  struct effect *e = journal_effect (s, EFFECT_ACK, run);
+  struct effect *e = journal_add_effect (s, EFFECT_ACK, run);
 
   clb_copy (e->worker, w->inst.id, sizeof e->worker);
 }
@@ -343,10 +343,10 @@
   ack_when_durable (s, w, run->id);
 }
 
-/* Handles a report with another boot than before: it is either the worker's
-   first report or the worker has restarted.  A worker that restarts forgets
-   every run that was sent to it, so the members placed during another boot
-   end. */
+/* Handles a report whose boot differs from the last one reported: either this
+   is the worker's first report, or the worker has restarted.  A worker that
+   restarts forgets every run that was sent to it, so the function ends all
+   members that were placed on the worker under a boot other than @boot. */
 static void
 set_worker_boot (struct sched *s, struct worker *w, int64_t boot)
 {
--- a/core/role.c
+++ b/core/role.c
@@ -498,14 +498,15 @@
 int64_t
 role_valid_until (const struct role *r)
 {
-  int64_t promised;
+  int64_t promise_end_ms;
 
   if (r->state != ROLE_HOLDER || r->handing_over)
     return 0;
   if (r->store_up || r->lease_until_ms > r->now_ms)
     return r->lease_until_ms;
-  promised = promised_until (r);
-  return promised > r->lease_until_ms ? promised : r->lease_until_ms;
+  promise_end_ms = promised_until (r);
+  return promise_end_ms > r->lease_until_ms ? promise_end_ms
+                                            : r->lease_until_ms;
 }
 
 void
--- a/core/sched.c
+++ b/core/sched.c
@@ -271,9 +271,9 @@
   if (s->n_tasks <= TASKS_RETAINED || !t || journal_full (s))
     return;
   TAILQ_REMOVE (&s->ended, t, ended);
-  t->in_ended = false;
+  t->in_ended_list = false;
   task_journal (s, t, REC_FORGET);
-  journal_effect (s, EFFECT_DROP, t->id);
+  journal_add_effect (s, EFFECT_DROP, t->id);
 }
 
 void
--- a/core/sched.h
+++ b/core/sched.h
@@ -155,8 +155,8 @@
   /* True once the accept record is durable, and always for a task that is not
      recorded. */
   bool accept_durable;
-  bool in_queue; /* true while the task is in its team's queue */
-  bool in_ended; /* true while the task is in sched::ended */
+  bool in_queue;      /* true while the task is in its team's queue */
+  bool in_ended_list; /* true while the task is in sched::ended */
   bool cancelled;
   bool end_durable; /* true once the end record is durable */
   /* True once the task has ended; the end record may not be durable yet. */
@@ -412,9 +412,9 @@
   char *load_after;
   int64_t list_ms; /* when the latest list of instances was requested */
   /* Token of the outstanding read of want rows, or 0. */
-  uint64_t want_read_token;
+  uint64_t want_rows_read_token;
   /* Token of the outstanding write of this domain's want row, or 0. */
-  uint64_t want_write_token;
+  uint64_t want_row_write_token;
   /* Time of the next read of all domains' want rows. */
   int64_t next_want_read_ms;
   int64_t
@@ -727,7 +727,7 @@
  */
 void journal_add (struct sched *s, const struct rec *rec);
 /**
- * journal_effect() - Add an action to the open journal group.
+ * journal_add_effect() - Add an action to the open journal group.
  * @kind: enum effect_kind
  * @id: id of the task, or of the run for %EFFECT_ACK
  *
@@ -735,7 +735,7 @@
  *
  * Return: the effect, owned by the group, to be filled by the caller.
  */
-struct effect *journal_effect (struct sched *s, int kind, const char *id);
+struct effect *journal_add_effect (struct sched *s, int kind, const char *id);
 /** journal_full() - Return whether too many records wait to be written. */
 bool journal_full (const struct sched *s);
 /**
--- a/core/task.c
+++ b/core/task.c
@@ -47,7 +47,7 @@
 
   task_dequeue (t);
   task_unplace (s, t);
-  if (t->in_ended)
+  if (t->in_ended_list)
     TAILQ_REMOVE (&s->ended, t, ended);
   if (RB_FIND (request_tree, &s->requests, t) == t)
     RB_REMOVE (request_tree, &s->requests, t);
@@ -114,7 +114,7 @@
 task_reply_durable (struct sched *s, const struct task *t, const char *entry,
                     int64_t call_seq)
 {
-  struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
+  struct effect *e = journal_add_effect (s, EFFECT_REPLY, t->id);
 
   clb_copy (e->entry, entry, sizeof e->entry);
   e->reply = task_reply (t, call_seq);
@@ -255,7 +255,7 @@
         }
       if (t->recorded)
         {
-          struct effect *e = journal_effect (s, EFFECT_REPLY, t->id);
+          struct effect *e = journal_add_effect (s, EFFECT_REPLY, t->id);
           clb_copy (e->entry, waiter->entry, sizeof e->entry);
           e->reply = r;
         }
@@ -280,9 +280,9 @@
       task_free (s, t);
       return;
     }
-  journal_effect (s, EFFECT_END, t->id);
+  journal_add_effect (s, EFFECT_END, t->id);
   TAILQ_INSERT_TAIL (&s->ended, t, ended);
-  t->in_ended = true;
+  t->in_ended_list = true;
 }
 
 /* Returns the delay before the next attempt in ms; 0 if no run has failed. */
@@ -330,8 +330,8 @@
       task_retry (s, t, WHY_TEAM_LIMIT);
 }
 
-/* struct tally - counts of a placed task's members by how they ended */
-struct tally
+/* struct member_counts - counts of a task's members by how they ended */
+struct member_counts
 {
   /* Numbers of ended members, by enum member_end. */
   int64_t by_end[MEMBER_END_LOST + 1];
@@ -339,43 +339,44 @@
 };
 
 /* Counts the task's members by how they ended. */
-static struct tally
-tally_members (const struct task *t)
+static struct member_counts
+count_members (const struct task *t)
 {
-  struct tally tally = { 0 };
+  struct member_counts counts = { 0 };
 
   for (int64_t i = 0; i < t->n_members; i++)
     if (t->members[i].state == MEMBER_ENDED)
-      tally.by_end[t->members[i].end]++;
+      counts.by_end[t->members[i].end]++;
     else
-      tally.n_not_ended++;
-  return tally;
+      counts.n_not_ended++;
+  return counts;
 }
 
 /* Returns the enum clb_reason for an attempt in which at least one member's
    end was not MEMBER_END_OK. */
 static int
-failure_reason (const struct tally *tally)
+failure_reason (const struct member_counts *counts)
 {
-  if (tally->by_end[MEMBER_END_FAILED])
+  if (counts->by_end[MEMBER_END_FAILED])
     return WHY_ENDED_FAILED;
-  if (tally->by_end[MEMBER_END_LOST])
+  if (counts->by_end[MEMBER_END_LOST])
     return WHY_WORKER_LOST;
-  if (tally->by_end[MEMBER_END_REFUSED])
+  if (counts->by_end[MEMBER_END_REFUSED])
     return WHY_WORKER_REFUSED;
-  return tally->by_end[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED
-                                           : WHY_START_UNSEEN;
+  return counts->by_end[MEMBER_END_STOPPED] ? WHY_GANG_MEMBER_FAILED
+                                            : WHY_START_UNSEEN;
 }
 
 /* Ends a service request if the end of at least one member was not
    MEMBER_END_OK.  The scheduler never retries a service request: its entry
    instance makes a new request if another attempt is wanted. */
 static void
-end_service (struct sched *s, struct task *t, const struct tally *tally)
+end_service (struct sched *s, struct task *t,
+             const struct member_counts *counts)
 {
-  if (tally->by_end[MEMBER_END_FAILED])
+  if (counts->by_end[MEMBER_END_FAILED])
     task_finish (s, t, TASK_FAILED, WHY_ENDED_FAILED);
-  else if (tally->by_end[MEMBER_END_LOST])
+  else if (counts->by_end[MEMBER_END_LOST])
     task_finish (s, t, TASK_UNKNOWN, WHY_ENTRY_LOST);
   else
     task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
@@ -384,14 +385,16 @@
 /* Ends or retries a task whose members have all ended, at least one of them
    with another end than MEMBER_END_OK. */
 static void
-end_or_retry (struct sched *s, struct task *t, const struct tally *tally)
+end_or_retry (struct sched *s, struct task *t,
+              const struct member_counts *counts)
 {
-  bool may_have_run
-      = tally->by_end[MEMBER_END_OK] || tally->by_end[MEMBER_END_FAILED]
-        || tally->by_end[MEMBER_END_STOPPED] || tally->by_end[MEMBER_END_LOST];
-  int reason = failure_reason (tally);
+  bool may_have_run = counts->by_end[MEMBER_END_OK]
+                      || counts->by_end[MEMBER_END_FAILED]
+                      || counts->by_end[MEMBER_END_STOPPED]
+                      || counts->by_end[MEMBER_END_LOST];
+  int reason = failure_reason (counts);
 
-  if (tally->by_end[MEMBER_END_FAILED])
+  if (counts->by_end[MEMBER_END_FAILED])
     t->failures++;
   if (t->being_preempted)
     {
@@ -399,12 +402,12 @@
       reason = WHY_PREEMPTED;
     }
   if (t->lane == LANE_SERVICE)
-    end_service (s, t, tally);
-  else if (t->cancelled && (!tally->by_end[MEMBER_END_LOST] || t->idempotent))
+    end_service (s, t, counts);
+  else if (t->cancelled && (!counts->by_end[MEMBER_END_LOST] || t->idempotent))
     task_finish (s, t, TASK_CANCELLED, WHY_CANCELLED);
   else if (!may_have_run)
     task_retry (s, t, reason);
-  else if (!t->idempotent && tally->by_end[MEMBER_END_FAILED] == 0)
+  else if (!t->idempotent && counts->by_end[MEMBER_END_FAILED] == 0)
     task_finish (s, t, TASK_UNKNOWN, reason);
   else if (!t->idempotent)
     task_finish (s, t, TASK_FAILED, reason);
@@ -417,20 +420,20 @@
 void
 task_evaluate (struct sched *s, struct task *t)
 {
-  struct tally tally = tally_members (t);
+  struct member_counts counts = count_members (t);
 
   if (t->end_decided || t->n_members == 0)
     return;
-  if (tally.by_end[MEMBER_END_OK] == t->n_members)
+  if (counts.by_end[MEMBER_END_OK] == t->n_members)
     {
       task_finish (s, t, TASK_DONE, WHY_ENDED_OK);
       return;
     }
   /* A gang runs as a whole or not at all: if the end of one member is not
      MEMBER_END_OK, the other members are stopped. */
-  if (tally.by_end[MEMBER_END_OK] + tally.n_not_ended < t->n_members)
+  if (counts.by_end[MEMBER_END_OK] + counts.n_not_ended < t->n_members)
     task_stop_members (s, t);
-  tally = tally_members (t);
-  if (tally.n_not_ended == 0)
-    end_or_retry (s, t, &tally);
+  counts = count_members (t);
+  if (counts.n_not_ended == 0)
+    end_or_retry (s, t, &counts);
 }
