--- a/regress/fsim/execs.c
+++ b/regress/fsim/execs.c
@@ -99,9 +99,9 @@
 }
 
 /* Ends run @i of the executor.
-   @how: enum run_end */
+   @run_end: enum run_end, how the run ends */
 static void
-end_run (struct fsim *s, struct fexec *e, int i, int how)
+end_run (struct fsim *s, struct fexec *e, int i, int run_end)
 {
   struct frun *r = &e->runs[i];
   struct ftask_stats *stats = find_task_stats (s, &r->task);
@@ -113,7 +113,7 @@
   /* After a fault a member may wait for members that never start, because the
      leader's stop order for the waiting member was lost as well (walk.lua,
      seed 184). */
-  if (how == RUN_END_GANG_INCOMPLETE
+  if (run_end == RUN_END_GANG_INCOMPLETE
       && s->now_ms - e->last_fault_ms > RECENT_FAULT_MS)
     fsim_violation (s, "GANG %s.%lld.%lld run %lld on %s: gang incomplete",
                     r->task.job, (long long)r->task.step,
@@ -124,7 +124,7 @@
       *end = (struct end_row){ .seq = ++e->last_end_seq,
                                .task = r->task,
                                .run_id = r->run_id,
-                               .run_end = how };
+                               .run_end = run_end };
     }
   e->runs[i] = e->runs[--e->n_runs];
 }
--- a/regress/fsim/sim.c
+++ b/regress/fsim/sim.c
@@ -234,6 +234,8 @@
   return text;
 }
 
+/* Makes the body of an answer with the number of waiting jobs.  The caller
+   frees the body. */
 static char *
 count_body (int64_t n_waiting)
 {
--- a/regress/scn/check.c
+++ b/regress/scn/check.c
@@ -38,10 +38,10 @@
   /* Last state that an entry instance reported for the accepted task; empty:
      none was reported. */
   char state[CLB_NAME_MAX];
-  /* Runs of the task, counted for each gang member.  The runs of a task that
-     is no gang count for member 0. */
+  /* Numbers of the task's runs, indexed by gang member.  A task that is no
+     gang uses only index 0. */
   int n_starts[MEMBERS_MAX];    /* runs that have started */
-  int n_running[MEMBERS_MAX];   /* runs that have not ended */
+  int n_running[MEMBERS_MAX];   /* runs that have started and have not ended */
   int n_succeeded[MEMBERS_MAX]; /* runs that ended in success */
   /* Number of times that the service request was started at an executor. */
   int n_service_starts;
--- a/regress/scn/world.c
+++ b/regress/scn/world.c
@@ -11,7 +11,8 @@
 {
   SAME_DOMAIN_DELAY_MS = 1,  /* one-way delay within a domain */
   CROSS_DOMAIN_DELAY_MS = 2, /* one-way delay between domains */
-  STORE_DELAY_MS = 3,        /* one-way delay to or from the platform */
+  /* One-way delay between an entry instance and the platform's store. */
+  STORE_DELAY_MS = 3,
   /* Time after which the daemon reports a store operation or a sync as timed
      out. */
   CALL_TIMEOUT_MS = 2000,
@@ -356,7 +357,7 @@
 {
   struct sim_server *s = world_server (w, msg->server);
   struct sync_req req;
-  struct sync_rep rep;
+  struct sync_rep report;
   struct codec_err ce;
   struct sim_message *reply;
 
@@ -366,11 +367,11 @@
                    &ce))
     abort ();
   s->worker.busy = s->n_serving;
-  if (fworker_sync (&s->worker, w->now_ms, &req, &rep) == 0)
+  if (fworker_sync (&s->worker, w->now_ms, &req, &report) == 0)
     {
       if (s->drops_replies)
         {
-          codec_free (&sync_rep_desc, &rep);
+          codec_free (&sync_rep_desc, &report);
           codec_free (&sync_req_desc, &req);
           return;
         }
@@ -379,10 +380,10 @@
       reply->generation = msg->generation;
       clb_copy (reply->server, msg->server, sizeof reply->server);
       reply->seq_no = msg->seq_no;
-      reply->text = codec_text (&sync_rep_desc, &rep);
+      reply->text = codec_text (&sync_rep_desc, &report);
       reply->len = strlen (reply->text);
       world_push (w, reply);
-      codec_free (&sync_rep_desc, &rep);
+      codec_free (&sync_rep_desc, &report);
     }
   codec_free (&sync_req_desc, &req);
 }
@@ -391,17 +392,17 @@
 deliver_sync_reply (struct world *w, struct sim_node *n,
                     struct sim_message *msg)
 {
-  struct sync_rep rep;
+  struct sync_rep report;
   struct codec_err ce;
 
   if (msg->text
-      && codec_parse (&sync_rep_desc, msg->text, msg->len, CODEC_STRICT, &rep,
-                      &ce))
+      && codec_parse (&sync_rep_desc, msg->text, msg->len, CODEC_STRICT,
+                      &report, &ce))
     abort ();
   node_sync_done (&n->node, w->now_ms, msg->server, msg->seq_no,
-                  msg->text ? &rep : NULL);
+                  msg->text ? &report : NULL);
   if (msg->text)
-    codec_free (&sync_rep_desc, &rep);
+    codec_free (&sync_rep_desc, &report);
 }
 
 static void
@@ -450,8 +451,8 @@
 }
 
 /* Ends a service request on the executor, unless it has ended there already.
-   The end happens on time, also while the entry instance that forwarded the
-   request is frozen or dead. */
+   The executor ends the request when its run time is over, even if the entry
+   instance that forwarded the request is frozen or dead at that time. */
 static void
 end_service_run (struct world *w, struct sim_message *msg)
 {
--- a/regress/scn/world.h
+++ b/regress/scn/world.h
@@ -34,8 +34,10 @@
   bool up;
   bool frozen;   /* the instance's process is paused, as by SIGSTOP */
   bool stopping; /* a planned stop has begun and has not ended */
-  /* Number of the instance's process, raised by each start and kill.  Messages
-     to an earlier process are lost. */
+  /* Generation of the instance's process, raised by 1 at each start and each
+     kill of the process: odd while a process exists, even while none does.  A
+     message to the instance is lost if the generation has changed since the
+     message was sent. */
   int generation;
 };
 
--- a/regress/soak/proxy.c
+++ b/regress/soak/proxy.c
@@ -81,7 +81,7 @@
   /* Id of @pair, compared before @pair is used, because the pair may have been
      freed and a later pair may have the same address. */
   uint64_t pair_id;
-  int to_end; /* index in @pair->end: where the bytes are written */
+  int receiving_end; /* index in @pair->end of the connection to write to */
   size_t len;
   char bytes[];
 };
@@ -156,24 +156,26 @@
   uv_buf_t buf = uv_buf_init (c->bytes, (unsigned)c->len);
 
   if (!chunk_pair_is_open (c)
-      || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->to_end], &buf, 1,
-                   on_chunk_written))
+      || uv_write (&c->write, (uv_stream_t *)&c->pair->end[c->receiving_end],
+                   &buf, 1, on_chunk_written))
     close_chunk (c);
 }
 
-/* Returns whether the mode of @l stops forwarding to end @to_end, 0 for the
-   client and 1 for the target. */
+/* Returns whether the mode of @l stops forwarding to end @receiving_end, 0 for
+   the client and 1 for the target. */
 static bool
-is_stalled (const struct link *l, int to_end)
+is_stalled (const struct link *l, int receiving_end)
 {
-  return l->mode == MODE_STALL || (l->mode == MODE_STALL_REPLY && to_end == 0)
-         || (l->mode == MODE_STALL_REQUEST && to_end == 1);
+  return l->mode == MODE_STALL
+         || (l->mode == MODE_STALL_REPLY && receiving_end == 0)
+         || (l->mode == MODE_STALL_REQUEST && receiving_end == 1);
 }
 
-/* Schedules a copy of @bytes to be written to end @to_end, 0 for the client
-   and 1 for the target, after the delay of the link. */
+/* Schedules a copy of @bytes to be written to end @receiving_end, 0 for the
+   client and 1 for the target, after the delay of the link. */
 static void
-forward_bytes (struct conn_pair *p, int to_end, const char *bytes, size_t len)
+forward_bytes (struct conn_pair *p, int receiving_end, const char *bytes,
+               size_t len)
 {
   uint64_t now_ms = uv_now (loop);
   uint64_t due_ms
@@ -182,12 +184,12 @@
 
   if (!c)
     abort ();
-  if (due_ms < p->due_ms[to_end])
-    due_ms = p->due_ms[to_end];
-  p->due_ms[to_end] = due_ms;
+  if (due_ms < p->due_ms[receiving_end])
+    due_ms = p->due_ms[receiving_end];
+  p->due_ms[receiving_end] = due_ms;
   c->pair = p;
   c->pair_id = p->id;
-  c->to_end = to_end;
+  c->receiving_end = receiving_end;
   c->len = len;
   memcpy (c->bytes, bytes, len);
   uv_timer_init (loop, &c->timer);
--- a/regress/standin/fleetd.c
+++ b/regress/standin/fleetd.c
@@ -4,6 +4,11 @@
  *
  * usage: fleet-standin PORT EXECUTORS CONFIG [ADVERTISED-OFFSET]
  *
+ * EXECUTORS is the number of executors.  CONFIG is a file with the fleet's
+ * configuration at the start.  ADVERTISED-OFFSET (default 0) is added to the
+ * port of each executor in its discovery entry; the executor itself listens
+ * on the port without the offset.
+ *
  * The program serves the HTTP interfaces that platform/ calls.  It answers
  * with the table and the executors of the simulation (regress/fsim), which it
  * runs in real time.  The table listens on PORT, executor K on PORT + 1 + K,
@@ -13,8 +18,9 @@
  * further violations (see regress/fsim/execs.c).  It reads commands from
  * standard input, one per line (MS is a time in ms):
  *   table down MS       the table refuses all calls for MS
- *   table lost SHARE    SHARE (0 to 1) of the writes is executed but not
- *                       answered
+ *   table lost SHARE    from now on, until the next such command, each write
+ *                       is executed but not answered with the probability
+ *                       SHARE (0 to 1; 0 at the start)
  *   table compact       compacts the table: from now on, a feed of changes
  *                       since a version before the present one fails
  *   exec K crash        ends the boot of executor K; all its runs are lost
--- a/regress/standin/fstore.h
+++ b/regress/standin/fstore.h
@@ -16,7 +16,8 @@
 /**
  * fstore_apply() - Execute one operation on the table or the object store.
  * @op: the operation; the store neither changes it nor keeps a reference to it
- * @rep: filled with the result; the caller frees it as a store_rep_desc
+ * @rep: filled with the result; the caller frees its contents with
+ *       codec_free (&store_rep_desc, @rep)
  */
 void fstore_apply (struct fstore *fs, const struct store_op *op,
                    struct store_rep *rep);
--- a/regress/standin/fworker.h
+++ b/regress/standin/fworker.h
@@ -55,8 +55,8 @@
 /**
  * fworker_sync() - Carry out the acknowledgements, then the stops, then the
  * starts of one sync request.
- * @rep: filled with the report on success; the caller frees it as a
- *       sync_rep_desc
+ * @rep: filled with the report on success; the caller then frees its contents
+ *       with codec_free (&sync_rep_desc, @rep)
  *
  * Return: 0, or %CLB_ECONFLICT if @w->fence is set and the epoch of @req is
  * older than that of the last accepted sync.
